--- a/crates/peppercrank-admit/examples/decision.rs
+++ b/crates/peppercrank-admit/examples/decision.rs
@@ -7,7 +7,7 @@
 
 use std::hint::black_box;
 use std::time::Duration;
-use std::time::Instant;
+use std::time::Instant as StdInstant;
 
 use peppercrank_admit::Action;
 use peppercrank_admit::Admission;
@@ -18,8 +18,8 @@
 use peppercrank_core::keys::AttemptId;
 use peppercrank_core::names::OrganisationName;
 use peppercrank_core::objects::Parameters;
-use peppercrank_core::objects::Policy;
-use peppercrank_core::time::Moment;
+use peppercrank_core::objects::PoolPolicy;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 
 const ROUNDS: u32 = 50_000;
@@ -41,11 +41,11 @@
     let mut running = 1;
     for _ in 0..16 + waiting {
         number += 1;
-        admission.on(Moment::ZERO, arrive(number));
+        admission.on(Instant::ZERO, arrive(number));
     }
-    let began = Instant::now();
+    let began = StdInstant::now();
     for round in 0..ROUNDS {
-        let now = Moment::from_millis(u64::from(round));
+        let now = Instant::from_millis(u64::from(round));
         admission.on(now, Input::Touched);
         let mut done = admission.on(now, Input::End(Ticket(running)));
         number += 1;
@@ -63,7 +63,7 @@
         ceiling: Cost(16 * COST),
         ..Settings::default()
     };
-    let policy = Policy {
+    let policy = PoolPolicy {
         cap: 1.25,
         floor: settings.ceiling,
         queue: 2_000,
@@ -72,8 +72,8 @@
         tries: 1,
         retries: 0.0,
     };
-    let mut admission = Admission::new(Moment::ZERO, settings, policy).expect("in range");
-    admission.on(Moment::ZERO, Input::TargetsHeard(1));
+    let mut admission = Admission::new(Instant::ZERO, settings, policy).expect("in range");
+    admission.on(Instant::ZERO, Input::TargetsHeard(1));
     for number in 0..ORGANISATIONS {
         let parameters = Parameters {
             weight: 10,
@@ -85,7 +85,7 @@
             services: Vec::new(),
         };
         admission.on(
-            Moment::ZERO,
+            Instant::ZERO,
             Input::ParametersChanged(name(number), Some(parameters)),
         );
     }
@@ -99,7 +99,7 @@
         organisation: name(number % ORGANISATIONS),
         cost: Cost(COST),
         priority: 5,
-        deadline: Moment::from_origin(Duration::from_secs(1 << 40)),
+        deadline: Instant::from_origin(Duration::from_secs(1 << 40)),
         need: Duration::ZERO,
         may_wait: true,
     })
--- a/crates/peppercrank-admit/examples/lag.rs
+++ b/crates/peppercrank-admit/examples/lag.rs
@@ -17,13 +17,13 @@
 use peppercrank_admit::Input;
 use peppercrank_admit::Settings;
 use peppercrank_admit::Ticket;
-use peppercrank_core::blackboard::Mean;
+use peppercrank_core::blackboard::MeanLoad;
 use peppercrank_core::hash::hash64;
 use peppercrank_core::keys::AttemptId;
 use peppercrank_core::names::OrganisationName;
 use peppercrank_core::objects::Parameters;
-use peppercrank_core::objects::Policy;
-use peppercrank_core::time::Moment;
+use peppercrank_core::objects::PoolPolicy;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -38,7 +38,7 @@
 struct Pool {
     targets: Vec<Admission>,
     history: Vec<u64>,
-    ends: BinaryHeap<Reverse<(Moment, usize, Ticket)>>,
+    ends: BinaryHeap<Reverse<(Instant, usize, Ticket)>>,
     rng: ChaCha8Rng,
     tickets: u64,
     seen: Seen,
@@ -87,7 +87,7 @@
 
     fn run(mut self, tenths: usize) -> Seen {
         for tenth in 0..SECONDS * 10 {
-            let now = Moment::from_millis(tenth * 100);
+            let now = Instant::from_millis(tenth * 100);
             self.end(now);
             self.history.push(self.load());
             self.tell(now, tenths);
@@ -110,18 +110,18 @@
     }
 
     /// Tells every target, each second, the mean as it was a lag ago.
-    fn tell(&mut self, now: Moment, tenths: usize) {
+    fn tell(&mut self, now: Instant, tenths: usize) {
         let Some(at) = self.history.len().checked_sub(1 + tenths) else {
             return;
         };
         if !at.is_multiple_of(10) && tenths > 0 {
             return;
         }
-        let mean = Mean {
-            load: Cost(self.history[at]),
-            weight: 900,
-            targets: 9,
-            at: now,
+        let mean = MeanLoad {
+            total_load: Cost(self.history[at]),
+            total_weight: 900,
+            target_count: 9,
+            updated_at: now,
         };
         for target in &mut self.targets {
             target.on(now, Input::MeanHeard(mean));
@@ -129,7 +129,7 @@
         }
     }
 
-    fn end(&mut self, now: Moment) {
+    fn end(&mut self, now: Instant) {
         while let Some(Reverse((at, target, ticket))) = self.ends.peek().copied() {
             if at > now {
                 return;
@@ -140,7 +140,7 @@
     }
 
     /// Walks down the key's ranking until a target admits.
-    fn send(&mut self, now: Moment) {
+    fn send(&mut self, now: Instant) {
         let hot = self.rng.random::<f64>() < 0.2;
         let key = if hot { 0 } else { self.rng.random::<u64>() };
         let output = 200.0 * -(1.0 - self.rng.random::<f64>()).ln();
@@ -158,7 +158,7 @@
         self.seen.refused += 1;
     }
 
-    fn admits(&mut self, now: Moment, target: usize, cost: Cost) -> bool {
+    fn admits(&mut self, now: Instant, target: usize, cost: Cost) -> bool {
         self.tickets += 1;
         let arrival = Arrival {
             ticket: Ticket(self.tickets),
@@ -191,7 +191,7 @@
 }
 
 fn target() -> Admission {
-    let policy = Policy {
+    let policy = PoolPolicy {
         cap: MULTIPLE,
         floor: Cost(FLOOR),
         queue: 0,
@@ -200,8 +200,8 @@
         tries: 9,
         retries: 0.0,
     };
-    let mut target = Admission::new(Moment::ZERO, Settings::default(), policy).expect("in range");
-    target.on(Moment::ZERO, Input::TargetsHeard(9));
+    let mut target = Admission::new(Instant::ZERO, Settings::default(), policy).expect("in range");
+    target.on(Instant::ZERO, Input::TargetsHeard(9));
     let parameters = Parameters {
         weight: 1,
         priority: 5,
@@ -212,7 +212,7 @@
         services: Vec::new(),
     };
     target.on(
-        Moment::ZERO,
+        Instant::ZERO,
         Input::ParametersChanged(name(), Some(parameters)),
     );
     target
--- a/crates/peppercrank-admit/examples/trace/mod.rs
+++ b/crates/peppercrank-admit/examples/trace/mod.rs
@@ -17,12 +17,12 @@
 use peppercrank_admit::Input;
 use peppercrank_admit::Settings;
 use peppercrank_admit::Ticket;
-use peppercrank_core::blackboard::Mean;
+use peppercrank_core::blackboard::MeanLoad;
 use peppercrank_core::keys::AttemptId;
 use peppercrank_core::names::OrganisationName;
 use peppercrank_core::objects::Parameters;
-use peppercrank_core::objects::Policy;
-use peppercrank_core::time::Moment;
+use peppercrank_core::objects::PoolPolicy;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -119,7 +119,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Request {
-    at: Moment,
+    at: Instant,
     organisation: usize,
     cost: Cost,
     time: Duration,
@@ -136,9 +136,9 @@
 struct World {
     admission: Admission,
     requests: Vec<Request>,
-    events: BinaryHeap<Reverse<(Moment, Event)>>,
+    events: BinaryHeap<Reverse<(Instant, Event)>>,
     report: Report,
-    now: Moment,
+    now: Instant,
     split: bool,
     ceiling: Ceiling,
     engine: Engine,
@@ -164,7 +164,7 @@
             requests: self.requests(cap),
             events: BinaryHeap::new(),
             report: Report::default(),
-            now: Moment::ZERO,
+            now: Instant::ZERO,
             split: self.split,
             ceiling: self.ceiling,
             engine: Engine {
@@ -179,8 +179,8 @@
         }
         world
             .events
-            .push(Reverse((Moment::ZERO + REPORT, Event::Report)));
-        let last = world.requests.last().map_or(Moment::ZERO, |last| last.at);
+            .push(Reverse((Instant::ZERO + REPORT, Event::Report)));
+        let last = world.requests.last().map_or(Instant::ZERO, |last| last.at);
         world.play(last);
         world.report.used /= last.since_origin().as_secs_f64() * cap;
         world.report
@@ -198,7 +198,7 @@
             fresh: Duration::MAX,
             ..Settings::default()
         };
-        let policy = Policy {
+        let policy = PoolPolicy {
             cap: 1.25,
             floor: whole(cap / 4.0),
             queue: 256,
@@ -207,16 +207,16 @@
             tries: 1,
             retries: 0.0,
         };
-        let mut admission = Admission::new(Moment::ZERO, settings, policy).expect("in range");
-        admission.on(Moment::ZERO, Input::TargetsHeard(1));
+        let mut admission = Admission::new(Instant::ZERO, settings, policy).expect("in range");
+        admission.on(Instant::ZERO, Input::TargetsHeard(1));
         // The mean leaves the cap to the ceiling, as in a pool that has more work than it can do.
-        let mean = Mean {
-            load: whole(cap * 100.0),
-            weight: 100,
-            targets: 1,
-            at: Moment::ZERO,
+        let mean = MeanLoad {
+            total_load: whole(cap * 100.0),
+            total_weight: 100,
+            target_count: 1,
+            updated_at: Instant::ZERO,
         };
-        admission.on(Moment::ZERO, Input::MeanHeard(mean));
+        admission.on(Instant::ZERO, Input::MeanHeard(mean));
         for number in 0..ORGANISATIONS {
             let parameters = Parameters {
                 weight: 10,
@@ -228,7 +228,7 @@
                 services: Vec::new(),
             };
             let input = Input::ParametersChanged(name(number), Some(parameters));
-            admission.on(Moment::ZERO, input);
+            admission.on(Instant::ZERO, input);
         }
         admission
     }
@@ -256,7 +256,7 @@
             let prompt = PROMPT * rng.random_range(0.2..1.8);
             let output = OUTPUT * exponential(&mut rng);
             requests.push(Request {
-                at: Moment::from_origin(Duration::from_secs_f64(at)),
+                at: Instant::from_origin(Duration::from_secs_f64(at)),
                 organisation,
                 cost: whole(prompt + 4.0 * output),
                 time: Duration::from_secs_f64(FIRST + BETWEEN * output),
@@ -268,7 +268,7 @@
 }
 
 impl World {
-    fn play(&mut self, last: Moment) {
+    fn play(&mut self, last: Instant) {
         while let Some(Reverse((at, event))) = self.events.pop() {
             while let Some(wake) = self.admission.next_wake().filter(|wake| *wake < at) {
                 self.put(wake.max(self.now), Input::Tick, last);
@@ -289,7 +289,7 @@
     }
 
     /// Passes on what the engine said a report ago, and asks it again.
-    fn report(&mut self, now: Moment, last: Moment) {
+    fn report(&mut self, now: Instant, last: Instant) {
         let (running, waiting) = self.engine.last;
         let kept = u32::try_from(self.engine.waiting.len()).unwrap_or(u32::MAX);
         self.engine.last = (self.engine.running, kept);
@@ -307,7 +307,7 @@
     }
 
     /// Runs what the engine has room for; a request larger than the engine runs alone.
-    fn fill(&mut self, now: Moment) {
+    fn fill(&mut self, now: Instant) {
         while let Some(ticket) = self.engine.waiting.front().copied() {
             let request = self.request(ticket);
             let load = self.engine.load + request.cost;
@@ -324,7 +324,7 @@
         }
     }
 
-    fn put(&mut self, now: Moment, input: Input, last: Moment) {
+    fn put(&mut self, now: Instant, input: Input, last: Instant) {
         let span = now.min(last).since(self.now).as_secs_f64();
         let load = u32::try_from(self.engine.load.0).unwrap_or(u32::MAX);
         self.report.used += f64::from(load) * span;
--- a/crates/peppercrank-admit/src/admission/change.rs
+++ b/crates/peppercrank-admit/src/admission/change.rs
@@ -5,7 +5,7 @@
 
 use peppercrank_core::names::OrganisationName;
 use peppercrank_core::objects::Parameters;
-use peppercrank_core::objects::Policy;
+use peppercrank_core::objects::PoolPolicy;
 use peppercrank_core::refusal::NotRun;
 
 use super::Admission;
@@ -14,7 +14,7 @@
 
 impl Admission {
     /// Puts a policy in force, and gives up what its queue has no place for.
-    pub(super) fn change_policy(&mut self, policy: Policy, actions: &mut Vec<Action>) {
+    pub(super) fn change_policy(&mut self, policy: PoolPolicy, actions: &mut Vec<Action>) {
         self.cap.apply(&policy);
         self.policy = policy;
         self.shorten(OrganisationKey::default(), actions);
--- a/crates/peppercrank-admit/src/admission/mod.rs
+++ b/crates/peppercrank-admit/src/admission/mod.rs
@@ -11,9 +11,9 @@
 
 use peppercrank_core::keys::AttemptId;
 use peppercrank_core::names::OrganisationName;
-use peppercrank_core::objects::Policy;
+use peppercrank_core::objects::PoolPolicy;
 use peppercrank_core::refusal::NotRun;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 
 use crate::cap::Cap;
@@ -77,9 +77,9 @@
 #[derive(Debug)]
 pub struct Admission {
     settings: Settings,
-    policy: Policy,
-    now: Moment,
-    touched: Moment,
+    policy: PoolPolicy,
+    now: Instant,
+    touched: Instant,
     cap: Cap,
     drain: Drain,
     organisations: Organisations,
@@ -97,7 +97,7 @@
     /// # Errors
     ///
     /// Returns [`crate::Error::Range`] when a setting lies outside its range.
-    pub fn new(now: Moment, settings: Settings, policy: Policy) -> crate::Result<Self> {
+    pub fn new(now: Instant, settings: Settings, policy: PoolPolicy) -> crate::Result<Self> {
         settings.check()?;
         Ok(Self {
             cap: Cap::new(&settings, &policy),
@@ -126,11 +126,11 @@
     /// use peppercrank_admit::Admission;
     /// use peppercrank_admit::Input;
     /// use peppercrank_admit::Settings;
-    /// use peppercrank_core::objects::Policy;
-    /// use peppercrank_core::time::Moment;
+    /// use peppercrank_core::objects::PoolPolicy;
+    /// use peppercrank_core::time::Instant;
     /// use peppercrank_core::units::Cost;
     ///
-    /// let policy = Policy {
+    /// let policy = PoolPolicy {
     ///     cap: 1.25,
     ///     floor: Cost(10_000),
     ///     queue: 16,
@@ -139,13 +139,13 @@
     ///     tries: 3,
     ///     retries: 0.1,
     /// };
-    /// let mut admission = Admission::new(Moment::ZERO, Settings::default(), policy)?;
-    /// let actions = admission.on(Moment::from_millis(5), Input::Touched);
+    /// let mut admission = Admission::new(Instant::ZERO, Settings::default(), policy)?;
+    /// let actions = admission.on(Instant::from_millis(5), Input::Touched);
     /// assert!(actions.is_empty());
     /// assert_eq!(admission.status().cap, Cost(10_000));
     /// # Ok::<(), peppercrank_admit::Error>(())
     /// ```
-    pub fn on(&mut self, now: Moment, input: Input) -> Vec<Action> {
+    pub fn on(&mut self, now: Instant, input: Input) -> Vec<Action> {
         self.now = self.now.max(now);
         let mut actions = Vec::new();
         self.apply(input, &mut actions);
@@ -160,7 +160,7 @@
 
     /// `next_wake` is when `on` is to be called with a tick if nothing else comes before.
     #[must_use]
-    pub fn next_wake(&self) -> Option<Moment> {
+    pub fn next_wake(&self) -> Option<Instant> {
         let grace = self.drain.grace_end();
         if self.queue.is_empty() {
             return grace;
--- a/crates/peppercrank-admit/src/admission/room.rs
+++ b/crates/peppercrank-admit/src/admission/room.rs
@@ -3,7 +3,7 @@
 
 //! What speaks for or against running one more request.
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 
 use crate::organisations::Organisations;
@@ -16,7 +16,7 @@
 /// `Room` is what speaks for or against running one more request now.
 #[derive(Debug)]
 pub(super) struct Room<'a> {
-    pub(super) now: Moment,
+    pub(super) now: Instant,
     pub(super) cap: Cost,
     pub(super) ceiling: Cost,
     pub(super) reserved: Cost,
--- a/crates/peppercrank-admit/src/cap.rs
+++ b/crates/peppercrank-admit/src/cap.rs
@@ -3,9 +3,9 @@
 
 //! The load that a target may carry.
 
-use peppercrank_core::blackboard::Mean;
-use peppercrank_core::objects::Policy;
-use peppercrank_core::time::Moment;
+use peppercrank_core::blackboard::MeanLoad;
+use peppercrank_core::objects::PoolPolicy;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 
 use crate::ceiling::Ceiling;
@@ -30,13 +30,13 @@
     ceiling: Ceiling,
     fresh: u128,
     stale: u128,
-    mean: Option<Mean>,
+    mean: Option<MeanLoad>,
 }
 
 impl Cap {
     /// `new` starts with no mean: the floor alone counts.
     #[must_use]
-    pub fn new(settings: &Settings, policy: &Policy) -> Self {
+    pub fn new(settings: &Settings, policy: &PoolPolicy) -> Self {
         Self {
             multiple: multiple(policy.cap),
             floor: policy.floor,
@@ -49,7 +49,7 @@
     }
 
     /// `apply` puts a changed policy in force.
-    pub fn apply(&mut self, policy: &Policy) {
+    pub fn apply(&mut self, policy: &PoolPolicy) {
         self.multiple = multiple(policy.cap);
         self.floor = policy.floor;
     }
@@ -60,13 +60,16 @@
     }
 
     /// `hear` takes a mean in, unless a newer one is known.
-    pub fn hear(&mut self, now: Moment, mean: Mean) {
+    pub fn hear(&mut self, now: Instant, mean: MeanLoad) {
         // A moment to come would keep the mean fresh for ever.
-        let at = mean.at.min(now);
-        if self.mean.is_some_and(|known| known.at > at) {
+        let at = mean.updated_at.min(now);
+        if self.mean.is_some_and(|known| known.updated_at > at) {
             return;
         }
-        self.mean = Some(Mean { at, ..mean });
+        self.mean = Some(MeanLoad {
+            updated_at: at,
+            ..mean
+        });
     }
 
     /// `hear_engine` takes in what the engine itself runs and keeps waiting.
@@ -82,7 +85,7 @@
 
     /// `at` is the load that the target may carry at `now`.
     #[must_use]
-    pub fn at(&self, now: Moment) -> Cost {
+    pub fn at(&self, now: Instant) -> Cost {
         if self.weight == 0 {
             return Cost::ZERO;
         }
@@ -100,26 +103,26 @@
 
     /// `is_stale` tells whether no mean is known that counts in full.
     #[must_use]
-    pub fn is_stale(&self, now: Moment) -> bool {
-        let age = self.mean.map(|mean| now.since(mean.at).as_millis());
+    pub fn is_stale(&self, now: Instant) -> bool {
+        let age = self.mean.map(|mean| now.since(mean.updated_at).as_millis());
         age.is_none_or(|age| age > self.fresh)
     }
 
     /// The known mean for this target's weight, less what its age takes from it.
-    fn faded(&self, now: Moment) -> Cost {
+    fn faded(&self, now: Instant) -> Cost {
         let Some(mean) = self.mean else {
             return Cost::ZERO;
         };
-        let age = now.since(mean.at).as_millis();
+        let age = now.since(mean.updated_at).as_millis();
         if age <= self.fresh {
-            return mean.share(self.weight);
+            return mean.for_weight(self.weight);
         }
         if age >= self.stale {
             return Cost::ZERO;
         }
         let left = self.stale - age;
         let span = self.stale - self.fresh;
-        let cost = u128::from(mean.share(self.weight).0).saturating_mul(left) / span;
+        let cost = u128::from(mean.for_weight(self.weight).0).saturating_mul(left) / span;
         Cost(u64::try_from(cost).unwrap_or(u64::MAX))
     }
 }
--- a/crates/peppercrank-admit/src/drain.rs
+++ b/crates/peppercrank-admit/src/drain.rs
@@ -5,9 +5,9 @@
 
 use std::time::Duration;
 
-use peppercrank_core::objects::Action;
 use peppercrank_core::objects::Mark;
-use peppercrank_core::time::Moment;
+use peppercrank_core::objects::MarkAction;
+use peppercrank_core::time::Instant;
 
 /// `Drain` follows a target's mark and its agent's own stop.
 #[derive(Debug, Default)]
@@ -20,14 +20,14 @@
 
 #[derive(Debug)]
 struct Marked {
-    since: Moment,
+    since: Instant,
     mark: Mark,
     cancelled: bool,
 }
 
 impl Drain {
     /// `mark` takes a mark in; one delivered again does not start its grace anew.
-    pub fn mark(&mut self, now: Moment, mark: Mark) {
+    pub fn mark(&mut self, now: Instant, mark: Mark) {
         let known = self.mark.take();
         // Time is counted from the first mark that asks for removal.
         let same = known.filter(|known| known.mark.action == mark.action);
@@ -66,16 +66,16 @@
 
     /// `grace_end` is when what runs is to be cancelled, if it is and was not yet.
     #[must_use]
-    pub fn grace_end(&self) -> Option<Moment> {
+    pub fn grace_end(&self) -> Option<Instant> {
         let marked = self.mark.as_ref()?;
-        if marked.cancelled || marked.mark.action != Action::Remove {
+        if marked.cancelled || marked.mark.action != MarkAction::Remove {
             return None;
         }
         Some(marked.since + Duration::from_millis(marked.mark.grace_ms))
     }
 
     /// `take_cancel` tells, once, that the grace is over.
-    pub fn take_cancel(&mut self, now: Moment) -> bool {
+    pub fn take_cancel(&mut self, now: Instant) -> bool {
         if self.grace_end().is_none_or(|end| now < end) {
             return false;
         }
--- a/crates/peppercrank-admit/src/messages.rs
+++ b/crates/peppercrank-admit/src/messages.rs
@@ -5,14 +5,14 @@
 
 use std::time::Duration;
 
-use peppercrank_core::blackboard::Mean;
+use peppercrank_core::blackboard::MeanLoad;
 use peppercrank_core::keys::AttemptId;
 use peppercrank_core::names::OrganisationName;
 use peppercrank_core::objects::Mark;
 use peppercrank_core::objects::Parameters;
-use peppercrank_core::objects::Policy;
+use peppercrank_core::objects::PoolPolicy;
 use peppercrank_core::refusal::NotRun;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 
 /// `Ticket` is the daemon's own number of one arrival; a process never uses one twice.
@@ -36,7 +36,7 @@
     /// Its priority, 0 (last) to 9 (first); never above its organisation's.
     pub priority: u8,
     /// When its caller no longer wants the answer.
-    pub deadline: Moment,
+    pub deadline: Instant,
     /// Least time that it needs once started, zero when unknown.
     pub need: Duration,
     /// Whether it may wait here: a router sets it on its last resort only.
@@ -60,7 +60,7 @@
     /// The caller of a request went away; one that runs stays reserved until its `End`.
     CallerGone(Ticket),
     /// The pool's mean load was heard, this target's own included.
-    MeanHeard(Mean),
+    MeanHeard(MeanLoad),
     /// The engine reported how many requests it runs and keeps waiting for its batch.
     EngineHeard {
         /// Requests in its batch.
@@ -71,7 +71,7 @@
     /// The number of live targets in the whole fleet was heard.
     TargetsHeard(u32),
     /// The pool's policy changed.
-    PolicyChanged(Policy),
+    PolicyChanged(PoolPolicy),
     /// The target's relative capacity changed.
     WeightChanged(u32),
     /// The parameters of an organisation changed; `None` when it is gone.
--- a/crates/peppercrank-admit/src/organisations.rs
+++ b/crates/peppercrank-admit/src/organisations.rs
@@ -9,7 +9,7 @@
 
 use peppercrank_core::names::OrganisationName;
 use peppercrank_core::objects::Parameters;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 use slotmap::SlotMap;
 use slotmap::new_key_type;
@@ -29,7 +29,7 @@
 struct Demand {
     level: Cost,
     smooth: Cost,
-    settled: Moment,
+    settled: Instant,
 }
 
 /// `Organisation` is one organisation as this agent knows it.
@@ -45,11 +45,11 @@
     /// What ran and waited here of late.
     demand: Demand,
     /// When a request of its was last refused for its limit.
-    pressed: Option<Moment>,
+    pressed: Option<Instant>,
     /// How many requests run or wait here.
     requests: u32,
     /// When its last request came.
-    last: Moment,
+    last: Instant,
     /// Whether its weight counts among the active ones.
     active: bool,
     /// Whether it has parameters still.
@@ -68,7 +68,7 @@
     slots: SlotMap<OrganisationKey, Organisation>,
     names: BTreeMap<OrganisationName, OrganisationKey>,
     /// When to look again whether an active organisation still is.
-    checks: BTreeSet<(Moment, OrganisationKey)>,
+    checks: BTreeSet<(Instant, OrganisationKey)>,
     /// The sum of the weights of active organisations.
     weights: u64,
     targets: u32,
@@ -212,7 +212,7 @@
     /// to its share come unevenly, and a moment's excess is no surge. One that met its limit of
     /// late surges too, since what its limit turned away shows in no demand.
     #[must_use]
-    pub fn surges(&self, now: Moment, key: OrganisationKey, fair: Cost) -> bool {
+    pub fn surges(&self, now: Instant, key: OrganisationKey, fair: Cost) -> bool {
         let Some(known) = self.slots.get(key) else {
             return false;
         };
@@ -222,14 +222,14 @@
 
     /// `others` is what all other organisations have asked for of late, smoothed.
     #[must_use]
-    pub fn others(&self, now: Moment, key: OrganisationKey) -> Cost {
+    pub fn others(&self, now: Instant, key: OrganisationKey) -> Cost {
         let all = self.all.smoothed(now, self.smooth);
         let own = self.slots.get(key);
         own.map_or(all, |known| all - known.demand.smoothed(now, self.smooth))
     }
 
     /// `come` notes a request of an organisation that begins to wait, which makes it active.
-    pub fn come(&mut self, now: Moment, key: OrganisationKey, cost: Cost) {
+    pub fn come(&mut self, now: Instant, key: OrganisationKey, cost: Cost) {
         let Some(known) = self.settle(now, key, |demand| demand.level += cost) else {
             return;
         };
@@ -244,7 +244,7 @@
     }
 
     /// `press` notes that a request of an organisation was refused for its limit.
-    pub fn press(&mut self, now: Moment, key: OrganisationKey) {
+    pub fn press(&mut self, now: Instant, key: OrganisationKey) {
         if let Some(known) = self.slots.get_mut(key) {
             known.pressed = Some(now);
         }
@@ -259,7 +259,7 @@
     }
 
     /// `leave` notes that a request that waited was given up.
-    pub fn leave(&mut self, now: Moment, key: OrganisationKey, cost: Cost) {
+    pub fn leave(&mut self, now: Instant, key: OrganisationKey, cost: Cost) {
         if let Some(known) = self.settle(now, key, |demand| demand.level -= cost) {
             known.waiting -= cost;
             known.requests = known.requests.saturating_sub(1);
@@ -267,7 +267,7 @@
     }
 
     /// `end` notes that a request that ran has ended.
-    pub fn end(&mut self, now: Moment, key: OrganisationKey, cost: Cost) {
+    pub fn end(&mut self, now: Instant, key: OrganisationKey, cost: Cost) {
         if let Some(known) = self.settle(now, key, |demand| demand.level -= cost) {
             known.running -= cost;
             known.requests = known.requests.saturating_sub(1);
@@ -275,7 +275,7 @@
     }
 
     /// `revise` puts a running request's true cost in place of the expected one.
-    pub fn revise(&mut self, now: Moment, key: OrganisationKey, was: Cost, cost: Cost) {
+    pub fn revise(&mut self, now: Instant, key: OrganisationKey, was: Cost, cost: Cost) {
         let change = |demand: &mut Demand| {
             demand.level -= was;
             demand.level += cost;
@@ -288,12 +288,12 @@
 
     /// `next_check` is when an organisation may stop being active.
     #[must_use]
-    pub fn next_check(&self) -> Option<Moment> {
+    pub fn next_check(&self) -> Option<Instant> {
         self.checks.first().map(|(at, _)| *at)
     }
 
     /// `expire` drops organisations from the active ones, and returns those gone altogether.
-    pub fn expire(&mut self, now: Moment) -> Vec<OrganisationKey> {
+    pub fn expire(&mut self, now: Instant) -> Vec<OrganisationKey> {
         let mut gone = Vec::new();
         // Those due are taken out first: one that is put back may be due again at once.
         let mut due = Vec::new();
@@ -310,7 +310,7 @@
     /// Brings smoothed demand up to now, and changes its level.
     fn settle(
         &mut self,
-        now: Moment,
+        now: Instant,
         key: OrganisationKey,
         change: impl Fn(&mut Demand),
     ) -> Option<&mut Organisation> {
@@ -323,7 +323,7 @@
         Some(known)
     }
 
-    fn check(&mut self, now: Moment, key: OrganisationKey, gone: &mut Vec<OrganisationKey>) {
+    fn check(&mut self, now: Instant, key: OrganisationKey, gone: &mut Vec<OrganisationKey>) {
         let Some(known) = self.slots.get_mut(key) else {
             return;
         };
@@ -348,7 +348,7 @@
 
 impl Demand {
     /// The smoothed level, if the level has been the same since it was settled.
-    fn smoothed(&self, now: Moment, over: Duration) -> Cost {
+    fn smoothed(&self, now: Instant, over: Duration) -> Cost {
         let span = now.since(self.settled).as_micros();
         let total = over.as_micros() + span;
         if total == 0 {
--- a/crates/peppercrank-admit/src/queue.rs
+++ b/crates/peppercrank-admit/src/queue.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 use peppercrank_core::keys::AttemptId;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 use slotmap::SecondaryMap;
 use slotmap::SlotMap;
@@ -50,9 +50,9 @@
     /// Its priority class, 0 (last) to 9 (first).
     pub class: u8,
     /// When it came.
-    pub since: Moment,
+    pub since: Instant,
     /// When it is given up.
-    pub until: Moment,
+    pub until: Instant,
     /// Whether its deadline, not the longest wait, sets `until`.
     pub dated: bool,
     /// Whether it may go elsewhere, so that it waits for [`crate::Settings::patience`] only.
@@ -90,7 +90,7 @@
     key: EntryKey,
     class: u8,
     start: u64,
-    since: Moment,
+    since: Instant,
     fits: bool,
 }
 
@@ -101,7 +101,7 @@
     flows: SecondaryMap<OrganisationKey, Flow>,
     /// The organisations that have something waiting.
     backlog: Vec<OrganisationKey>,
-    ends: BTreeSet<(Moment, EntryKey)>,
+    ends: BTreeSet<(Instant, EntryKey)>,
     cost: Cost,
     /// The start of what was dispatched last, which is the time that flows go by.
     time: u64,
@@ -171,7 +171,7 @@
     }
 
     /// `take_expired` takes out one request whose wait is over.
-    pub fn take_expired(&mut self, now: Moment) -> Option<Entry> {
+    pub fn take_expired(&mut self, now: Instant) -> Option<Entry> {
         let (until, key) = self.ends.first().copied()?;
         if until > now {
             return None;
@@ -264,7 +264,7 @@
 
     /// `next_end` is when the next wait is over.
     #[must_use]
-    pub fn next_end(&self) -> Option<Moment> {
+    pub fn next_end(&self) -> Option<Instant> {
         self.ends.first().map(|(until, _)| *until)
     }
 
--- a/crates/peppercrank-admit/src/rate.rs
+++ b/crates/peppercrank-admit/src/rate.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 
 /// Span over which the rate is taken.
@@ -17,14 +17,14 @@
 /// `Rate` measures the cost released over the last span, and the one before it.
 #[derive(Debug, Default)]
 pub struct Rate {
-    began: Moment,
+    began: Instant,
     now: Cost,
     last: Cost,
 }
 
 impl Rate {
     /// `release` notes that cost was released.
-    pub fn release(&mut self, now: Moment, cost: Cost) {
+    pub fn release(&mut self, now: Instant, cost: Cost) {
         let age = now.since(self.began);
         if age >= SPAN {
             // A span without any release in between leaves nothing to go by.
--- a/crates/peppercrank-admit/src/seen.rs
+++ b/crates/peppercrank-admit/src/seen.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use peppercrank_core::keys::AttemptId;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::messages::Ticket;
 
@@ -37,19 +37,19 @@
 #[derive(Debug, Clone, Copy)]
 struct Trace {
     ticket: Ticket,
-    until: Moment,
+    until: Instant,
 }
 
 /// `Seen` remembers attempts until no copy of them can be under way.
 #[derive(Debug, Default)]
 pub struct Seen {
     traces: HashMap<AttemptId, Trace>,
-    ends: BTreeSet<(Moment, AttemptId)>,
+    ends: BTreeSet<(Instant, AttemptId)>,
 }
 
 impl Seen {
     /// `see` notes an attempt that arrives.
-    pub fn see(&mut self, now: Moment, id: AttemptId, ticket: Ticket, deadline: Moment) -> Sight {
+    pub fn see(&mut self, now: Instant, id: AttemptId, ticket: Ticket, deadline: Instant) -> Sight {
         if self.traces.contains_key(&id) {
             return Sight::Known;
         }
@@ -64,7 +64,7 @@
     }
 
     /// `ended` keeps an attempt that has ended for as long as a copy may be under way.
-    pub fn ended(&mut self, now: Moment, id: AttemptId) {
+    pub fn ended(&mut self, now: Instant, id: AttemptId) {
         let Some(trace) = self.traces.get_mut(&id) else {
             return;
         };
@@ -81,7 +81,7 @@
     }
 
     /// `expire` forgets what no copy of can be under way, save what `lives`.
-    pub fn expire(&mut self, now: Moment, lives: impl Fn(Ticket) -> bool) {
+    pub fn expire(&mut self, now: Instant, lives: impl Fn(Ticket) -> bool) {
         // Those due are taken out first: one that is put back may be due again at once.
         let mut due = Vec::new();
         while let Some(first) = self.ends.first().copied().filter(|(at, _)| *at <= now) {
@@ -105,7 +105,7 @@
         self.traces.is_empty()
     }
 
-    fn expire_one(&mut self, now: Moment, id: AttemptId, lives: impl Fn(Ticket) -> bool) {
+    fn expire_one(&mut self, now: Instant, id: AttemptId, lives: impl Fn(Ticket) -> bool) {
         let Some(trace) = self.traces.get_mut(&id) else {
             return;
         };
--- a/crates/peppercrank-admit/tests/common/mod.rs
+++ b/crates/peppercrank-admit/tests/common/mod.rs
@@ -8,19 +8,19 @@
 use peppercrank_admit::Settings;
 use peppercrank_core::names::OrganisationName;
 use peppercrank_core::objects::Parameters;
-use peppercrank_core::objects::Policy;
-use peppercrank_core::time::Moment;
+use peppercrank_core::objects::PoolPolicy;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 
 /// The organisations that every test knows.
 pub const NAMES: [&str; 3] = ["kalev", "linda", "vanemuine"];
 
-pub fn at(millis: u64) -> Moment {
-    Moment::from_millis(millis)
+pub fn at(millis: u64) -> Instant {
+    Instant::from_millis(millis)
 }
 
-pub fn policy() -> Policy {
-    Policy {
+pub fn policy() -> PoolPolicy {
+    PoolPolicy {
         cap: 1.25,
         floor: Cost(100),
         queue: 8,
@@ -48,12 +48,12 @@
 }
 
 /// An admission with the tests' policy that knows [`NAMES`] and one live target.
-pub fn admission_with(settings: Settings, policy: Policy) -> Admission {
-    let mut admission = Admission::new(Moment::ZERO, settings, policy).expect("in range");
-    admission.on(Moment::ZERO, Input::TargetsHeard(1));
+pub fn admission_with(settings: Settings, policy: PoolPolicy) -> Admission {
+    let mut admission = Admission::new(Instant::ZERO, settings, policy).expect("in range");
+    admission.on(Instant::ZERO, Input::TargetsHeard(1));
     for name in NAMES {
         let input = Input::ParametersChanged(organisation(name), Some(parameters()));
-        admission.on(Moment::ZERO, input);
+        admission.on(Instant::ZERO, input);
     }
     admission
 }
--- a/crates/peppercrank-admit/tests/script/mod.rs
+++ b/crates/peppercrank-admit/tests/script/mod.rs
@@ -16,14 +16,14 @@
 use peppercrank_admit::Input;
 use peppercrank_admit::Settings;
 use peppercrank_admit::Ticket;
-use peppercrank_core::blackboard::Mean;
+use peppercrank_core::blackboard::MeanLoad;
 use peppercrank_core::keys::AttemptId;
 use peppercrank_core::names::TargetName;
 use peppercrank_core::objects;
 use peppercrank_core::objects::Mark;
 use peppercrank_core::objects::Parameters;
-use peppercrank_core::objects::Policy;
-use peppercrank_core::time::Moment;
+use peppercrank_core::objects::PoolPolicy;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 
 use crate::common::admission_with;
@@ -84,7 +84,7 @@
         Input::ParametersChanged(organisation(self.0[2]), Some(changed))
     }
 
-    fn mark(&self, action: objects::Action) -> Input {
+    fn mark(&self, action: objects::MarkAction) -> Input {
         let target = TargetName::new("engine-1").expect("well formed");
         let grace_ms = self.number(2);
         Input::Marked(Mark {
@@ -96,11 +96,11 @@
 
     fn mean(&self) -> Input {
         let targets = u32::try_from(self.number(3)).expect("small");
-        Input::MeanHeard(Mean {
-            load: Cost(self.number(2)),
-            weight: 100 * u64::from(targets),
-            targets,
-            at: at(self.set("at", self.number(0))),
+        Input::MeanHeard(MeanLoad {
+            total_load: Cost(self.number(2)),
+            total_weight: 100 * u64::from(targets),
+            target_count: targets,
+            updated_at: at(self.set("at", self.number(0))),
         })
     }
 
@@ -121,14 +121,14 @@
             },
             "targets" => Input::TargetsHeard(small()),
             "weight" => Input::WeightChanged(small()),
-            "queue" => Input::PolicyChanged(Policy {
+            "queue" => Input::PolicyChanged(PoolPolicy {
                 queue: small(),
                 ..policy()
             }),
             "set" => self.parameters(),
             "forget" => Input::ParametersChanged(organisation(self.0[2]), None),
-            "remove" => self.mark(objects::Action::Remove),
-            "shutdown" => self.mark(objects::Action::Shutdown),
+            "remove" => self.mark(objects::MarkAction::Remove),
+            "shutdown" => self.mark(objects::MarkAction::Shutdown),
             "unmark" => Input::Unmarked,
             "stop" => Input::Stopping,
             "handed" => Input::HandedOver,
@@ -150,7 +150,7 @@
 
 fn check_seen(admission: &Admission, result: &str, line: &str) {
     let (name, value) = result.split_once('=').expect("a setting");
-    let millis = |wake: Moment| wake.since_origin().as_millis().to_string();
+    let millis = |wake: Instant| wake.since_origin().as_millis().to_string();
     let seen = match name {
         "load" => admission.load().0.to_string(),
         "cap" => admission.status().cap.0.to_string(),
--- a/crates/peppercrank-admit/tests/verify_bounds.rs
+++ b/crates/peppercrank-admit/tests/verify_bounds.rs
@@ -13,11 +13,11 @@
 use peppercrank_admit::seen::Seen;
 use peppercrank_admit::seen::Sight;
 use peppercrank_core::keys::AttemptId;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 
-fn at(millis: u64) -> Moment {
-    Moment::from_millis(millis)
+fn at(millis: u64) -> Instant {
+    Instant::from_millis(millis)
 }
 
 #[test]
--- a/crates/peppercrank-admit/tests/verify_demand.rs
+++ b/crates/peppercrank-admit/tests/verify_demand.rs
@@ -16,12 +16,12 @@
 use peppercrank_admit::Input;
 use peppercrank_admit::Settings;
 use peppercrank_admit::Ticket;
-use peppercrank_core::blackboard::Mean;
+use peppercrank_core::blackboard::MeanLoad;
 use peppercrank_core::keys::AttemptId;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 
-fn arrive(admission: &mut Admission, now: Moment, number: u64, cost: u64) {
+fn arrive(admission: &mut Admission, now: Instant, number: u64, cost: u64) {
     let arrival = Arrival {
         ticket: Ticket(number),
         attempt: AttemptId(number.into()),
@@ -42,11 +42,11 @@
         arrive(&mut admission, at(0), number, 60);
     }
     let now = at(1_000);
-    let mean = Mean {
-        load: report(&admission),
-        weight: 100,
-        targets: 1,
-        at: now,
+    let mean = MeanLoad {
+        total_load: report(&admission),
+        total_weight: 100,
+        target_count: 1,
+        updated_at: now,
     };
     admission.on(now, Input::MeanHeard(mean));
     let status = admission.status();
--- a/crates/peppercrank-admit/tests/verify_patience.rs
+++ b/crates/peppercrank-admit/tests/verify_patience.rs
@@ -18,19 +18,19 @@
 use peppercrank_admit::Settings;
 use peppercrank_admit::Ticket;
 use peppercrank_core::keys::AttemptId;
-use peppercrank_core::objects::Policy;
+use peppercrank_core::objects::PoolPolicy;
 use peppercrank_core::refusal::NotRun;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 
 /// A full target with this patience; its one running request has ticket 0.
-fn full(patience: u64, policy: Policy) -> Admission {
+fn full(patience: u64, policy: PoolPolicy) -> Admission {
     let settings = Settings {
         patience: Duration::from_millis(patience),
         ..Settings::default()
     };
     let mut admission = admission_with(settings, policy);
-    let done = admission.on(Moment::ZERO, arrival(0, true, 60_000));
+    let done = admission.on(Instant::ZERO, arrival(0, true, 60_000));
     assert!(matches!(done[..], [Action::Admit { .. }]), "{done:?}");
     admission
 }
@@ -49,8 +49,8 @@
 }
 
 /// When and why the request of ticket 1 is refused, if the target is woken as it asks to be.
-fn refused(admission: &mut Admission, request: Input) -> Option<(Moment, NotRun)> {
-    let mut now = Moment::ZERO;
+fn refused(admission: &mut Admission, request: Input) -> Option<(Instant, NotRun)> {
+    let mut now = Instant::ZERO;
     let mut actions = admission.on(now, request);
     for _ in 0..100 {
         for action in &actions {
@@ -78,7 +78,7 @@
     ];
     for case in cases {
         let (patience, wait_ms, may_wait, deadline, when, why) = case;
-        let policy = Policy {
+        let policy = PoolPolicy {
             wait_ms,
             ..policy()
         };
@@ -123,7 +123,7 @@
     assert!(done.iter().any(leaving), "{done:?}");
     let mut short = full(
         500,
-        Policy {
+        PoolPolicy {
             queue: 0,
             ..policy()
         },
--- a/crates/peppercrank-admit/tests/verify_properties.rs
+++ b/crates/peppercrank-admit/tests/verify_properties.rs
@@ -14,13 +14,13 @@
 use peppercrank_admit::Input;
 use peppercrank_admit::Settings;
 use peppercrank_admit::Ticket;
-use peppercrank_core::blackboard::Mean;
+use peppercrank_core::blackboard::MeanLoad;
 use peppercrank_core::keys::AttemptId;
 use peppercrank_core::names::TargetName;
 use peppercrank_core::objects;
 use peppercrank_core::objects::Mark;
-use peppercrank_core::objects::Policy;
-use peppercrank_core::time::Moment;
+use peppercrank_core::objects::PoolPolicy;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
@@ -64,7 +64,7 @@
     attempt: AttemptId,
     organisation: usize,
     cost: Cost,
-    until: Moment,
+    until: Instant,
 }
 
 /// The model: plain sets of what waits and runs, and the cap by its formula.
@@ -73,13 +73,13 @@
     waiting: BTreeMap<Ticket, Known>,
     running: BTreeMap<Ticket, Known>,
     answered: BTreeMap<Ticket, u32>,
-    ran: BTreeMap<AttemptId, Moment>,
-    mean: Option<Mean>,
+    ran: BTreeMap<AttemptId, Instant>,
+    mean: Option<MeanLoad>,
     floor: u64,
-    touched: Moment,
-    mark: Option<(Moment, Mark)>,
+    touched: Instant,
+    mark: Option<(Instant, Mark)>,
     clock: u64,
-    now: Moment,
+    now: Instant,
     arrivals: u64,
 }
 
@@ -92,9 +92,9 @@
         let Some(mean) = self.mean else {
             return self.floor;
         };
-        let age = self.now.since(mean.at).as_millis();
+        let age = self.now.since(mean.updated_at).as_millis();
         let left = 30_000_u128.saturating_sub(age).min(25_000);
-        let faded = u128::from(mean.share(100).0) * left / 25_000;
+        let faded = u128::from(mean.for_weight(100).0) * left / 25_000;
         let relative = u64::try_from(faded * 1_250 / 1_000).expect("loads are small");
         relative.max(self.floor)
     }
@@ -113,7 +113,7 @@
             16 => self.hear(first, second),
             17 => {
                 self.floor = first % 400;
-                Input::PolicyChanged(Policy {
+                Input::PolicyChanged(PoolPolicy {
                     floor: Cost(self.floor),
                     queue: step.second.into(),
                     ..policy()
@@ -167,18 +167,21 @@
     }
 
     fn hear(&mut self, first: u64, second: u64) -> Input {
-        let mean = Mean {
-            load: Cost(first % 3_000),
-            weight: 100 * u64::from(TARGETS),
-            targets: TARGETS,
+        let mean = MeanLoad {
+            total_load: Cost(first % 3_000),
+            total_weight: 100 * u64::from(TARGETS),
+            target_count: TARGETS,
             // Heard up to eight seconds late, or as of a moment to come.
-            at: at((self.clock + second % 1_000).saturating_sub(second % 9_000)),
+            updated_at: at((self.clock + second % 1_000).saturating_sub(second % 9_000)),
         };
-        let kept = Mean {
-            at: mean.at.min(self.now),
+        let kept = MeanLoad {
+            updated_at: mean.updated_at.min(self.now),
             ..mean
         };
-        if self.mean.is_none_or(|known| known.at <= kept.at) {
+        if self
+            .mean
+            .is_none_or(|known| known.updated_at <= kept.updated_at)
+        {
             self.mean = Some(kept);
         }
         Input::MeanHeard(mean)
@@ -186,9 +189,9 @@
 
     fn mark(&mut self, second: u64) -> Input {
         let action = if second.is_multiple_of(2) {
-            objects::Action::Remove
+            objects::MarkAction::Remove
         } else {
-            objects::Action::Shutdown
+            objects::MarkAction::Shutdown
         };
         let mark = Mark {
             target: TargetName::new("engine-1").expect("well formed"),
@@ -238,7 +241,7 @@
             Action::Cancel { ticket, .. } => {
                 assert!(self.running.contains_key(&ticket));
                 let (since, mark) = self.mark.as_ref().expect("marked");
-                assert_eq!(mark.action, objects::Action::Remove);
+                assert_eq!(mark.action, objects::MarkAction::Remove);
                 assert!(self.now >= *since + Duration::from_millis(mark.grace_ms));
             }
             Action::Drained => {
--- a/crates/peppercrank-admit/tests/verify_queue.rs
+++ b/crates/peppercrank-admit/tests/verify_queue.rs
@@ -12,7 +12,7 @@
 use peppercrank_admit::Settings;
 use peppercrank_admit::Ticket;
 use peppercrank_admit::queue::LONGEST_TURN;
-use peppercrank_core::objects::Policy;
+use peppercrank_core::objects::PoolPolicy;
 
 use common::admission_with;
 use common::at;
@@ -21,7 +21,7 @@
 
 /// A target that runs one request of 100 at a time, with `1` running, and lets many wait.
 fn narrow(weight: u32) -> Admission {
-    let policy = Policy {
+    let policy = PoolPolicy {
         queue: 1_000,
         wait_ms: 50_000,
         ..policy()
--- a/crates/peppercrank-bench/src/engine.rs
+++ b/crates/peppercrank-bench/src/engine.rs
@@ -11,8 +11,8 @@
 use peppercrank_core::blackboard::TargetKey;
 use peppercrank_core::names::OrganisationName;
 use peppercrank_core::objects::Parameters;
-use peppercrank_core::objects::Policy;
-use peppercrank_core::time::Moment;
+use peppercrank_core::objects::PoolPolicy;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 use peppercrank_route::Pointers;
 use peppercrank_route::cache::CacheEvent;
@@ -69,9 +69,9 @@
     ///
     /// Panics if the bench's own settings are out of range.
     #[must_use]
-    pub fn new(now: Moment, n: usize, way: Way, memory: u64, incarnation: u64) -> Self {
+    pub fn new(now: Instant, n: usize, way: Way, memory: u64, incarnation: u64) -> Self {
         let capped = way.is_capped();
-        let policy = Policy {
+        let policy = PoolPolicy {
             cap: if capped { MULTIPLE } else { 10.0 },
             floor: Cost(if capped { FLOOR } else { CEILING }),
             queue: QUEUE,
--- a/crates/peppercrank-bench/src/router.rs
+++ b/crates/peppercrank-bench/src/router.rs
@@ -10,7 +10,7 @@
 use peppercrank_core::keys::ChatKey;
 use peppercrank_core::keys::PrefixKey;
 use peppercrank_core::keys::RequestId;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_route::Event;
 use peppercrank_route::Next;
 use peppercrank_route::Ranking;
@@ -99,7 +99,13 @@
     }
 
     /// `begin` begins a request.
-    pub fn begin(&mut self, way: Way, now: Moment, turn: &Turn, reports: &[u64]) -> (Course, Next) {
+    pub fn begin(
+        &mut self,
+        way: Way,
+        now: Instant,
+        turn: &Turn,
+        reports: &[u64],
+    ) -> (Course, Next) {
         let chat = ChatKey(turn.chat);
         let prefix = turn.document.map(PrefixKey);
         let id = hash64(turn.chat, &turn.prior.to_be_bytes());
@@ -126,7 +132,7 @@
     }
 
     /// `on` takes in an event of a request.
-    pub fn on(&mut self, now: Moment, course: &mut Course, event: Event) -> Next {
+    pub fn on(&mut self, now: Instant, course: &mut Course, event: Event) -> Next {
         match course {
             Course::Ours(trip) => self.routes.on(now, trip, event),
             Course::Plain(request) => request.on(now, event, &mut self.routes.retries),
@@ -134,7 +140,7 @@
     }
 
     /// `notes` is what is to be told of a request that was answered.
-    pub fn notes(&mut self, now: Moment, course: &Course) -> Vec<Addressed> {
+    pub fn notes(&mut self, now: Instant, course: &Course) -> Vec<Addressed> {
         match course {
             Course::Ours(trip) => self.routes.notes(now, trip),
             Course::Plain(_) => Vec::new(),
--- a/crates/peppercrank-bench/src/surge/callers.rs
+++ b/crates/peppercrank-bench/src/surge/callers.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
@@ -55,7 +55,7 @@
     /// The place of its class, which is its rank too.
     pub class: usize,
     /// When it called first.
-    pub begun: Moment,
+    pub begun: Instant,
     /// Tokens of its own prompt.
     pub own: u64,
     /// Tokens of its answer.
@@ -65,14 +65,14 @@
     /// Whether it was refused and came back.
     pub returned: bool,
     /// When the first token came.
-    pub first: Option<Moment>,
+    pub first: Option<Instant>,
     /// What became of it.
     pub outcome: Outcome,
 }
 
 impl Caller {
     /// `draw` is a caller of a class.
-    pub fn draw(rng: &mut ChaCha8Rng, class: usize, of: &Class, begun: Moment) -> Self {
+    pub fn draw(rng: &mut ChaCha8Rng, class: usize, of: &Class, begun: Instant) -> Self {
         let kind = class as u64 * 1_000_000;
         Self {
             class,
--- a/crates/peppercrank-bench/src/surge/fleet.rs
+++ b/crates/peppercrank-bench/src/surge/fleet.rs
@@ -7,7 +7,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::admission::SOONEST;
 use peppercrank_direct::decide::Decision;
 use peppercrank_direct::directory::Change;
@@ -68,8 +68,8 @@
 pub struct Fleet {
     scene: Scene,
     rng: ChaCha8Rng,
-    now: Moment,
-    queue: BinaryHeap<Reverse<(Moment, u64, What)>>,
+    now: Instant,
+    queue: BinaryHeap<Reverse<(Instant, u64, What)>>,
     /// Events so far, which orders those of one moment.
     count: u64,
     keys: Vec<TargetKey>,
@@ -77,7 +77,7 @@
     made: Vec<Vec<Made>>,
     routers: Vec<Router>,
     flights: Vec<Flight>,
-    told: Moment,
+    told: Instant,
     /// What each router told last of its work on each engine.
     work: Vec<Vec<Sum>>,
     /// The callers, in the order of their coming.
@@ -102,7 +102,7 @@
         let engines = keys.iter().map(|_| Engine::new(scene.speed));
         Self {
             rng: ChaCha8Rng::seed_from_u64(scene.seed),
-            now: Moment::ZERO,
+            now: Instant::ZERO,
             queue: BinaryHeap::new(),
             count: 0,
             engines: engines.collect(),
@@ -110,7 +110,7 @@
             keys,
             routers: (0..scene.routers).map(|_| Router::default()).collect(),
             flights: Vec::new(),
-            told: Moment::ZERO,
+            told: Instant::ZERO,
             work: vec![vec![Sum::default(); scene.engines]; scene.routers],
             callers: Vec::new(),
             sent: Vec::new(),
@@ -459,7 +459,7 @@
             leaving: false,
             cold: Duration::ZERO,
         };
-        directory.apply(Moment::ZERO, Change::Put(entry));
+        directory.apply(Instant::ZERO, Change::Put(entry));
     }
-    directory.pool(Moment::ZERO, "pool")
+    directory.pool(Instant::ZERO, "pool")
 }
--- a/crates/peppercrank-bench/src/surge/router.rs
+++ b/crates/peppercrank-bench/src/surge/router.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::admission::Admission;
 use peppercrank_direct::decide::Attempt;
 use peppercrank_direct::decide::Decision;
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct View<'a> {
     /// The moment.
-    pub now: Moment,
+    pub now: Instant,
     /// What is played.
     pub scene: &'a Scene,
     /// The engines, and which of them are up.
@@ -121,7 +121,7 @@
     }
 
     /// `send` counts an attempt with such a shared prompt that is sent.
-    pub fn send(&mut self, now: Moment, choice: Choice, shared: u64) -> InFlight {
+    pub fn send(&mut self, now: Instant, choice: Choice, shared: u64) -> InFlight {
         if self.prefixes.note(now, choice.key, shared) {
             self.news.push((choice.key, shared));
         }
@@ -129,14 +129,14 @@
     }
 
     /// `refused` notes that an engine is full, with which it tells its load.
-    pub fn refused(&mut self, now: Moment, choice: Choice, load: u32) {
+    pub fn refused(&mut self, now: Instant, choice: Choice, load: u32) {
         if let Some(stats) = self.board.of(choice.key) {
             stats.reported(now, load);
         }
     }
 
     /// `first` notes an attempt's first token, with which its engine tells its load.
-    pub fn first(&mut self, now: Moment, counted: &mut InFlight, load: u32) {
+    pub fn first(&mut self, now: Instant, counted: &mut InFlight, load: u32) {
         if let Some(stats) = self.board.of(counted.choice.key) {
             stats.reported(now, load);
         }
@@ -144,7 +144,7 @@
     }
 
     /// `end` notes the end of an attempt.
-    pub fn end(&mut self, now: Moment, counted: &mut InFlight) {
+    pub fn end(&mut self, now: Instant, counted: &mut InFlight) {
         counted.end(now, &mut self.board, &mut self.rates);
     }
 
@@ -165,7 +165,7 @@
 
     /// `reports` are the load reports that it passes on, with engines in their order for names.
     #[must_use]
-    pub fn reports(&self, now: Moment, engines: &[TargetKey]) -> Vec<LoadReport> {
+    pub fn reports(&self, now: Instant, engines: &[TargetKey]) -> Vec<LoadReport> {
         let report = |(n, key): (usize, &TargetKey)| {
             LoadReport::of(TargetId(u32::try_from(n).ok()?), &self.board.get(*key), now)
         };
@@ -176,7 +176,7 @@
     }
 
     /// `relayed` takes in load reports that another router passed on.
-    pub fn relayed(&mut self, now: Moment, engines: &[TargetKey], reports: &[LoadReport]) {
+    pub fn relayed(&mut self, now: Instant, engines: &[TargetKey], reports: &[LoadReport]) {
         for report in reports {
             let key = engines.get(report.target().0 as usize);
             if let Some(stats) = key.and_then(|key| self.board.of(*key)) {
@@ -191,7 +191,7 @@
     }
 
     /// `learn` takes in the prompts that another router sent.
-    pub fn learn(&mut self, now: Moment, news: &[(TargetKey, u64)]) {
+    pub fn learn(&mut self, now: Instant, news: &[(TargetKey, u64)]) {
         for (engine, shared) in news {
             self.prefixes.note(now, *engine, *shared);
         }
--- a/crates/peppercrank-bench/src/trace.rs
+++ b/crates/peppercrank-bench/src/trace.rs
@@ -108,7 +108,7 @@
     /// `cost` is what it costs an engine that holds `cached` tokens of its prompt.
     #[must_use]
     pub fn cost(&self, cached: u64) -> Cost {
-        Cost::of_chat(self.prompt() - cached.min(self.prompt()), OUTPUT)
+        Cost::for_chat(self.prompt() - cached.min(self.prompt()), OUTPUT)
     }
 
     /// `read_time` is how long an engine that holds `cached` tokens reads the prompt, in
@@ -127,7 +127,7 @@
     /// The work that it is to an engine: its cost over the time for which that is reserved.
     fn work(&self, cached: u64) -> f64 {
         let read = self.cost(cached).0 as f64 * self.read_time(cached) as f64;
-        read + Cost::of_chat(0, OUTPUT).0 as f64 * self.write_time() as f64
+        read + Cost::for_chat(0, OUTPUT).0 as f64 * self.write_time() as f64
     }
 }
 
--- a/crates/peppercrank-bench/src/world.rs
+++ b/crates/peppercrank-bench/src/world.rs
@@ -17,8 +17,8 @@
 use peppercrank_admit::Ticket;
 use peppercrank_core::hash::hash64;
 use peppercrank_core::keys::AttemptId;
-use peppercrank_core::refusal::Outcome;
-use peppercrank_core::time::Moment;
+use peppercrank_core::refusal::AttemptOutcome;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 use peppercrank_route::Event;
 use peppercrank_route::Next;
@@ -109,7 +109,7 @@
     pub fn new(shape: &'a Shape, trace: &'a Trace, way: Way, churn: Churn) -> Self {
         // One more, which may join.
         let engines = 0..=shape.engines;
-        let engine = |n| Engine::new(Moment::ZERO, n, way, shape.memory, 1);
+        let engine = |n| Engine::new(Instant::ZERO, n, way, shape.memory, 1);
         let mut world = Self {
             shape,
             trace,
@@ -182,8 +182,8 @@
         self.report
     }
 
-    fn at(&self) -> Moment {
-        Moment::from_millis(self.now)
+    fn at(&self) -> Instant {
+        Instant::from_millis(self.now)
     }
 
     fn plan(&mut self, at: u64, what: Happening) {
@@ -272,7 +272,7 @@
         }
     }
 
-    fn fail(&mut self, n: usize, outcome: Outcome) {
+    fn fail(&mut self, n: usize, outcome: AttemptOutcome) {
         self.stop_waiting(n);
         if let Some(flight) = self.flights.remove(&n) {
             // Where it is at an engine still, its guard is dropped.
@@ -282,13 +282,13 @@
             }
         }
         let reason = match outcome {
-            Outcome::NotRun(reason) => reason.code(),
-            Outcome::MayHaveRun(reason) => reason.code(),
-            Outcome::Done => "done",
+            AttemptOutcome::NotRun(reason) => reason.code(),
+            AttemptOutcome::MayHaveRun(reason) => reason.code(),
+            AttemptOutcome::Done => "done",
         };
         *self.report.failed.entry(reason).or_default() += 1;
         let turn = &self.trace.turns[n];
-        if self.is_warm(turn) && matches!(outcome, Outcome::NotRun(_)) {
+        if self.is_warm(turn) && matches!(outcome, AttemptOutcome::NotRun(_)) {
             let waited = self.now - turn.at;
             self.report.waits[turn.organisation].push(waited.max(WAIT_MS));
         }
@@ -334,7 +334,7 @@
             return;
         }
         // The work on the prompt is done: what is left is the answer.
-        let cost = Cost::of_chat(0, OUTPUT);
+        let cost = Cost::for_chat(0, OUTPUT);
         self.put(engine, Input::Actual { ticket, cost });
     }
 
--- a/crates/peppercrank-bench/src/world/change.rs
+++ b/crates/peppercrank-bench/src/world/change.rs
@@ -7,8 +7,8 @@
 
 use peppercrank_admit::Input;
 use peppercrank_core::names::TargetName;
-use peppercrank_core::objects::Action;
 use peppercrank_core::objects::Mark;
+use peppercrank_core::objects::MarkAction;
 use peppercrank_core::refusal::MayHaveRun;
 use peppercrank_route::Event;
 
@@ -33,7 +33,7 @@
                 let target = TargetName::new(&format!("engine-{n}")).expect("well formed");
                 let mark = Mark {
                     target,
-                    action: Action::Shutdown,
+                    action: MarkAction::Shutdown,
                     grace_ms: 0,
                 };
                 self.put(n, Input::Marked(mark));
--- a/crates/peppercrank-cli/src/holder.rs
+++ b/crates/peppercrank-cli/src/holder.rs
@@ -9,7 +9,7 @@
 
 use peppercrank_core::names::PoolName;
 use peppercrank_core::names::VmName;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_lease::lease::Action;
 use peppercrank_lease::lease::Contender;
 use peppercrank_lease::lease::Input;
@@ -47,7 +47,7 @@
     }
 }
 
-impl<C: Fn() -> Moment> Holder<C> {
+impl<C: Fn() -> Instant> Holder<C> {
     /// `new` makes a holder that has not sought the lease yet.
     ///
     /// # Errors
@@ -70,7 +70,7 @@
     }
 
     /// `seek` waits until the lease is held, at most until `end`; it tells the fencing number.
-    pub fn seek(&mut self, end: Moment) -> Option<Version> {
+    pub fn seek(&mut self, end: Instant) -> Option<Version> {
         self.step(Input::Seek);
         self.wait(end, Contender::fence)
     }
@@ -89,7 +89,7 @@
     /// `reach` waits for a renewal that brings a number of at least `least`.
     ///
     /// It tells whether one came by `end`; a lease that is lost meanwhile is not sought again.
-    pub fn reach(&mut self, least: Version, end: Moment) -> bool {
+    pub fn reach(&mut self, least: Version, end: Instant) -> bool {
         let reached = |contender: &Contender, now| match contender.fence(now) {
             Some(fence) if fence < least => None,
             fence => Some(fence),
@@ -98,7 +98,7 @@
     }
 
     /// `give_back` lets another take the lease at once, and tells whether that was written.
-    pub fn give_back(&mut self, end: Moment) -> bool {
+    pub fn give_back(&mut self, end: Instant) -> bool {
         self.step(Input::Leave);
         let owes_nothing = |contender: &Contender, _| contender.wake().is_none().then_some(());
         self.wait(end, owes_nothing).is_some()
@@ -113,8 +113,8 @@
     /// Carries on until `done` says something, at most until `end`.
     fn wait<T>(
         &mut self,
-        end: Moment,
-        done: impl Fn(&Contender, Moment) -> Option<T>,
+        end: Instant,
+        done: impl Fn(&Contender, Instant) -> Option<T>,
     ) -> Option<T> {
         loop {
             let now = (self.clock)();
--- a/crates/peppercrank-cli/src/in_force.rs
+++ b/crates/peppercrank-cli/src/in_force.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 use peppercrank_core::objects::ObjectKey;
-use peppercrank_core::status::Held;
+use peppercrank_core::status::HeldObject;
 use peppercrank_core::status::OBJECTS_PATH;
 use serde::Serialize;
 
@@ -120,7 +120,7 @@
 
 /// Asks the daemons that were behind, and keeps those that still are.
 fn lagging(pages: &Pages, path: &str, behind: &mut Vec<Daemon>, version: u64) -> Vec<Missing> {
-    let answers = pages.ask::<Held>(behind, path);
+    let answers = pages.ask::<HeldObject>(behind, path);
     let whys = answers.into_iter().map(|answer| match answer {
         Ok(held) if held.version >= version => None,
         Ok(held) => Some(Why::Version(held.version)),
--- a/crates/peppercrank-cli/src/remote.rs
+++ b/crates/peppercrank-cli/src/remote.rs
@@ -5,7 +5,7 @@
 
 use std::thread;
 use std::time::Duration;
-use std::time::Instant;
+use std::time::Instant as StdInstant;
 
 use peppercrank_config::object::Version;
 use peppercrank_config::publish::Base;
@@ -17,9 +17,9 @@
 use peppercrank_config::publish::Next;
 use peppercrank_config::publish::Publish;
 use peppercrank_config::publish::Written;
-use peppercrank_core::objects::Kind;
 use peppercrank_core::objects::ObjectKey;
-use peppercrank_core::time::Moment;
+use peppercrank_core::objects::ObjectKind;
+use peppercrank_core::time::Instant;
 use peppercrank_wire::platform;
 use peppercrank_wire::platform::Condition;
 use peppercrank_wire::platform::Fetched;
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub(crate) struct Remote {
     platform: Platform,
-    start: Instant,
+    start: StdInstant,
     timeout: Duration,
 }
 
@@ -59,7 +59,7 @@
         to.connect = to.connect.min(to.call);
         Ok(Self {
             platform: Platform::new(&to),
-            start: Instant::now(),
+            start: StdInstant::now(),
             timeout: access.timeout,
         })
     }
@@ -70,8 +70,8 @@
     }
 
     /// The moment by which everything must be done.
-    pub(crate) fn deadline(&self) -> Moment {
-        Moment::from_origin(self.timeout)
+    pub(crate) fn deadline(&self) -> Instant {
+        Instant::from_origin(self.timeout)
     }
 
     /// Reads an object, none when it is not there.
@@ -86,7 +86,7 @@
     }
 
     /// Lists a kind.
-    pub(crate) fn list(&self, kind: Kind) -> Result<Listing> {
+    pub(crate) fn list(&self, kind: ObjectKind) -> Result<Listing> {
         self.retry(|| self.platform.list(kind.code()))
     }
 
@@ -201,8 +201,8 @@
         }
     }
 
-    fn now(&self) -> Moment {
-        Moment::from_origin(self.start.elapsed())
+    fn now(&self) -> Instant {
+        Instant::from_origin(self.start.elapsed())
     }
 }
 
--- a/crates/peppercrank-cli/src/verbs/batch.rs
+++ b/crates/peppercrank-cli/src/verbs/batch.rs
@@ -17,8 +17,8 @@
 use peppercrank_config::publish::Change;
 use peppercrank_config::publish::Publish;
 use peppercrank_core::names::ObjectName;
-use peppercrank_core::objects::Kind;
 use peppercrank_core::objects::ObjectKey;
+use peppercrank_core::objects::ObjectKind;
 use serde_json::Value;
 use serde_json::json;
 
@@ -34,7 +34,12 @@
 use crate::report::Report;
 
 /// The kinds in an order in which no object names one that is not there yet.
-const ORDER: [Kind; 4] = [Kind::Pool, Kind::Template, Kind::Organisation, Kind::Mark];
+const ORDER: [ObjectKind; 4] = [
+    ObjectKind::Pool,
+    ObjectKind::Template,
+    ObjectKind::Organisation,
+    ObjectKind::Mark,
+];
 
 /// Endings of files that hold objects.
 const ENDINGS: [&str; 2] = ["json", "jsonc"];
@@ -161,7 +166,7 @@
     Ok(entries)
 }
 
-fn read(kind: Kind, path: &Path) -> Result<Entry> {
+fn read(kind: ObjectKind, path: &Path) -> Result<Entry> {
     let stem = path.file_stem().and_then(OsStr::to_str).unwrap_or_default();
     let name = ObjectName::new(stem).map_err(|e| errors::file(path, e))?;
     let spec = object::read(path)?;
--- a/crates/peppercrank-cli/src/verbs/mark.rs
+++ b/crates/peppercrank-cli/src/verbs/mark.rs
@@ -5,9 +5,9 @@
 
 use peppercrank_config::publish::Base;
 use peppercrank_config::publish::Change;
-use peppercrank_core::objects::Action;
-use peppercrank_core::objects::Kind;
 use peppercrank_core::objects::Mark;
+use peppercrank_core::objects::MarkAction;
+use peppercrank_core::objects::ObjectKind;
 use serde_json::json;
 
 use super::organisation::key;
@@ -26,15 +26,15 @@
 /// Marks a target, or changes its mark.
 pub(super) fn mark(access: &Access, flags: &flags::Mark) -> Result<Report> {
     let action = match (flags.remove, flags.shutdown) {
-        (true, false) => Action::Remove,
-        (false, true) => Action::Shutdown,
+        (true, false) => MarkAction::Remove,
+        (false, true) => MarkAction::Shutdown,
         _ => return Err(Misuse::MarkAction.into()),
     };
-    if flags.grace.is_some() && action == Action::Shutdown {
+    if flags.grace.is_some() && action == MarkAction::Shutdown {
         return Err(Misuse::Grace.into());
     }
     let grace = flags.grace.map_or(0, |g| g.0.as_millis());
-    let key = key(Kind::Mark, flags.target.as_str())?;
+    let key = key(ObjectKind::Mark, flags.target.as_str())?;
     let mark = Mark {
         target: flags.target.clone(),
         action,
@@ -62,7 +62,7 @@
 
 /// Takes a target's mark back.
 pub(super) fn unmark(access: &Access, flags: &flags::Unmark) -> Result<Report> {
-    let key = key(Kind::Mark, flags.target.as_str())?;
+    let key = key(ObjectKind::Mark, flags.target.as_str())?;
     let remote = Remote::new(access)?;
     let base = base_of_removal(&remote, &key, flags.publish_id)?;
     let act = Act {
--- a/crates/peppercrank-cli/src/verbs/objects.rs
+++ b/crates/peppercrank-cli/src/verbs/objects.rs
@@ -10,8 +10,8 @@
 use peppercrank_config::Version;
 use peppercrank_config::cross;
 use peppercrank_core::names::ObjectName;
-use peppercrank_core::objects::Kind;
 use peppercrank_core::objects::ObjectKey;
+use peppercrank_core::objects::ObjectKind;
 use peppercrank_wire::platform::Named;
 use serde_json::Value;
 use serde_json::json;
@@ -27,7 +27,7 @@
 pub(super) fn check(access: &Access) -> Result<Report> {
     let remote = Remote::new(access)?;
     let mut store = Store::new();
-    for kind in Kind::ALL {
+    for kind in ObjectKind::ALL {
         let listing = remote.list(*kind)?;
         for named in &listing.objects {
             // The platform holds other kinds of names too; none of ours looks so.
@@ -39,7 +39,7 @@
     Ok(report(&store))
 }
 
-fn own(kind: Kind, named: &Named) -> Option<Object> {
+fn own(kind: ObjectKind, named: &Named) -> Option<Object> {
     let name = ObjectName::new(&named.name).ok()?;
     let body = named.body.as_ref().map(|b| Arc::from(b.to_string()));
     Some(Object {
--- a/crates/peppercrank-cli/src/verbs/order.rs
+++ b/crates/peppercrank-cli/src/verbs/order.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use std::time::Instant;
+use std::time::Instant as StdInstant;
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
@@ -16,7 +16,7 @@
 use peppercrank_core::names::VmName;
 use peppercrank_core::status::STATUS_PATH;
 use peppercrank_core::status::Status;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_daemon::fleet::rotate::ring_of;
 use peppercrank_lease::gate::Command;
 use peppercrank_lease::lease::Session;
@@ -87,8 +87,8 @@
     let remote = Remote::new(access)?;
     let found = find(access, flags.name.as_str())?;
     let id = flags.order_id.unwrap_or_else(|| OrderWord(rand::random()));
-    let start = Instant::now();
-    let clock = move || Moment::from_origin(start.elapsed());
+    let start = StdInstant::now();
+    let clock = move || Instant::from_origin(start.elapsed());
     let session = Session(rand::random());
     let vm =
         VmName::new(&format!("operator-{:016x}", session.0)).map_err(|_e| Error::Unavailable)?;
@@ -110,7 +110,7 @@
         id: id.0,
         order: json!(command).to_string(),
     };
-    let end = Moment::from_origin(flags.within.map_or(DEFAULT_WITHIN, |s| s.0));
+    let end = Instant::from_origin(flags.within.map_or(DEFAULT_WITHIN, |s| s.0));
     let Some(fence) = giver.holder.seek(end) else {
         giver.holder.give_back(end + GIVE_BACK);
         return Err(unheld(giver.holder.other()));
@@ -181,9 +181,13 @@
     })
 }
 
-impl<C: Fn() -> Moment> Giver<C> {
+impl<C: Fn() -> Instant> Giver<C> {
     /// Gives the order to all, and again under a higher number to those whose agents want one.
-    fn give_all(&mut self, targets: &[(TargetName, Option<SocketAddr>)], end: Moment) -> Vec<Fate> {
+    fn give_all(
+        &mut self,
+        targets: &[(TargetName, Option<SocketAddr>)],
+        end: Instant,
+    ) -> Vec<Fate> {
         let mut fates = vec![Fate::NoAgent; targets.len()];
         let mut open = (0..targets.len()).collect::<Vec<_>>();
         loop {
--- a/crates/peppercrank-cli/src/verbs/organisation.rs
+++ b/crates/peppercrank-cli/src/verbs/organisation.rs
@@ -13,8 +13,8 @@
 use peppercrank_config::publish::Current;
 use peppercrank_core::names::ObjectName;
 use peppercrank_core::names::OrganisationName;
-use peppercrank_core::objects::Kind;
 use peppercrank_core::objects::ObjectKey;
+use peppercrank_core::objects::ObjectKind;
 use peppercrank_core::objects::Organisation;
 use peppercrank_core::objects::Overrides;
 use peppercrank_core::objects::Template;
@@ -46,7 +46,7 @@
     if flags.parameters.is_empty() {
         return Err(Misuse::NoParameter.into());
     }
-    let key = key(Kind::Organisation, flags.name.as_str())?;
+    let key = key(ObjectKind::Organisation, flags.name.as_str())?;
     let remote = Remote::new(access)?;
     let current = remote.read(&key)?;
     let mut organisation = match &current {
@@ -75,10 +75,10 @@
 pub(super) fn get(access: &Access, flags: &flags::GetOrganisation) -> Result<Report> {
     let remote = Remote::new(access)?;
     let (own_key, current, organisation) = fetch(&remote, &flags.name)?;
-    let template_key = key(Kind::Template, organisation.template.as_str())?;
+    let template_key = key(ObjectKind::Template, organisation.template.as_str())?;
     let template = remote.need(&template_key)?;
     let spec = object::spec(&template.body);
-    let checked = checks::validate_spec(Kind::Template, &template_key.name, spec)?;
+    let checked = checks::validate_spec(ObjectKind::Template, &template_key.name, spec)?;
     let Spec::Template(Template { parameters }) = checked else {
         return Err(Error::NotFound(template_key));
     };
@@ -120,7 +120,7 @@
 }
 
 fn fetch(remote: &Remote, name: &OrganisationName) -> Result<(ObjectKey, Current, Organisation)> {
-    let key = key(Kind::Organisation, name.as_str())?;
+    let key = key(ObjectKind::Organisation, name.as_str())?;
     let current = remote.need(&key)?;
     let organisation = read(&key, &current)?;
     Ok((key, current, organisation))
@@ -187,7 +187,7 @@
 }
 
 /// The key of an object whose own name type has the same form as object names.
-pub(super) fn key(kind: Kind, name: &str) -> Result<ObjectKey> {
+pub(super) fn key(kind: ObjectKind, name: &str) -> Result<ObjectKey> {
     let name = ObjectName::new(name).map_err(|_e| errors::value(kind.code(), name))?;
     Ok(ObjectKey { kind, name })
 }
--- a/crates/peppercrank-cli/src/words.rs
+++ b/crates/peppercrank-cli/src/words.rs
@@ -7,19 +7,19 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use peppercrank_core::objects::Kind;
+use peppercrank_core::objects::ObjectKind;
 
 use crate::errors::Word;
 
 /// `KindWord` is the kind of an object as an argument.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KindWord(pub Kind);
+pub struct KindWord(pub ObjectKind);
 
 impl FromStr for KindWord {
     type Err = Word;
 
     fn from_str(s: &str) -> Result<Self, Word> {
-        Kind::from_code(s).map(Self).ok_or(Word::Kind)
+        ObjectKind::from_code(s).map(Self).ok_or(Word::Kind)
     }
 }
 
--- a/crates/peppercrank-cli/tests/verify_daemons.rs
+++ b/crates/peppercrank-cli/tests/verify_daemons.rs
@@ -188,7 +188,7 @@
     let status = fleet.expect(Exit::Done, "status").json();
     assert_eq!(status["targets"][0]["drain"]["drained"], true, "{status}");
 
-    until(|| fleet.log.has(Event::Drained, "e-1"));
+    until(|| fleet.log.has(Event::TargetDrained, "e-1"));
 
     fleet.expect(Exit::Done, "unmark e-1 --wait --within 60s");
     let status = fleet.expect(Exit::Done, "status").json();
@@ -211,7 +211,7 @@
     let to = fleet.agent.agent.fleet.gossip_address();
     let socket = UdpSocket::bind(any()).expect("a socket");
     socket.send_to(&[7; 100], to).expect("a datagram");
-    until(|| fleet.log.has(Event::Forged, " x 1"));
+    until(|| fleet.log.has(Event::ControlMessageRefused, " x 1"));
 }
 
 /// Sends a chat through the router and returns its whole answer.
--- a/crates/peppercrank-cli/tests/verify_deploy.rs
+++ b/crates/peppercrank-cli/tests/verify_deploy.rs
@@ -16,8 +16,8 @@
 use peppercrank_config::checks::validate_spec;
 use peppercrank_config::object::Spec;
 use peppercrank_core::names::ObjectName;
-use peppercrank_core::objects::Kind;
-use peppercrank_core::objects::Serves;
+use peppercrank_core::objects::ObjectKind;
+use peppercrank_core::objects::PoolWorkload;
 use peppercrank_core::settings::parse;
 use peppercrank_settings::AgentSettings;
 use peppercrank_settings::GatewaySettings;
@@ -63,10 +63,10 @@
 }
 
 /// The objects of one deployment.
-fn objects(deployment: &str) -> BTreeMap<(Kind, String), Spec> {
+fn objects(deployment: &str) -> BTreeMap<(ObjectKind, String), Spec> {
     let all = files(&root().join(deployment));
     let all = all.iter().filter_map(|path| {
-        let kind = Kind::from_code(directory(path))?;
+        let kind = ObjectKind::from_code(directory(path))?;
         let text = fs::read_to_string(path).expect("a text");
         let value: Value = peppercrank_core::settings::parse(&text)
             .unwrap_or_else(|e| panic!("{}: {e}", path.display()));
@@ -128,7 +128,7 @@
         }
         if let Some(target) = daemon.get("target") {
             let pool = target["pool"].as_str().expect("a name").to_owned();
-            assert!(objects.contains_key(&(Kind::Pool, pool)), "{name}");
+            assert!(objects.contains_key(&(ObjectKind::Pool, pool)), "{name}");
             let serves = |s: &&Value| s["listen"] == target["address"];
             assert!(stand_ins.values().any(|s| serves(&s)), "{name}: no target");
         }
@@ -216,7 +216,7 @@
                 Ok(())
             }
             kind => {
-                assert!(Kind::from_code(kind).is_some(), "{}", path.display());
+                assert!(ObjectKind::from_code(kind).is_some(), "{}", path.display());
                 Ok(())
             }
         };
@@ -246,23 +246,23 @@
     for (deployment, zones) in ZONES {
         let objects = objects(deployment);
         let count = |kind| objects.keys().filter(|(k, _)| *k == kind).count();
-        assert_eq!(count(Kind::Organisation), 10, "{deployment}");
-        assert_eq!(count(Kind::Pool), 2, "{deployment}");
+        assert_eq!(count(ObjectKind::Organisation), 10, "{deployment}");
+        assert_eq!(count(ObjectKind::Pool), 2, "{deployment}");
         for ((_, name), spec) in &objects {
             match spec {
                 Spec::Organisation(o) => {
-                    let template = (Kind::Template, o.template.to_string());
+                    let template = (ObjectKind::Template, o.template.to_string());
                     assert!(objects.contains_key(&template), "{deployment} {name}");
                 }
                 Spec::Template(t) => {
                     for pool in &t.parameters.services {
-                        let pool = (Kind::Pool, pool.to_string());
+                        let pool = (ObjectKind::Pool, pool.to_string());
                         assert!(objects.contains_key(&pool), "{deployment} {name}");
                     }
                     for model in &t.parameters.models {
                         let served = objects.values().any(|s| {
                             matches!(s, Spec::Pool(p)
-                                if matches!(&p.serves, Serves::Models(m) if m.contains(model)))
+                                if matches!(&p.serves, PoolWorkload::Models(m) if m.contains(model)))
                         });
                         assert!(served, "{deployment} {name}: no pool serves {model}");
                     }
@@ -276,7 +276,7 @@
                 RouterSettings::parse(&text).expect("sound").fleet.zone
             } else {
                 let settings = AgentSettings::parse(&text).expect("sound");
-                let pool = (Kind::Pool, settings.target.pool.to_string());
+                let pool = (ObjectKind::Pool, settings.target.pool.to_string());
                 assert!(objects.contains_key(&pool), "{}", path.display());
                 settings.fleet.zone
             };
@@ -289,7 +289,7 @@
 fn verify_one_weighs_skew_and_the_other_reuse() {
     let policy = |deployment, pool: &str| {
         let objects = objects(deployment);
-        match &objects[&(Kind::Pool, pool.to_owned())] {
+        match &objects[&(ObjectKind::Pool, pool.to_owned())] {
             Spec::Pool(pool) => pool.policy.clone(),
             other => panic!("{other:?}"),
         }
--- a/crates/peppercrank-cli/tests/verify_orders.rs
+++ b/crates/peppercrank-cli/tests/verify_orders.rs
@@ -7,14 +7,14 @@
 
 use std::cell::Cell;
 use std::time::Duration;
-use std::time::Instant;
+use std::time::Instant as StdInstant;
 
 use peppercrank_cli::Exit;
 use peppercrank_cli::fate::Fate;
 use peppercrank_cli::holder::Holder;
 use peppercrank_core::names::PoolName;
 use peppercrank_core::names::VmName;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_daemon::agent;
 use peppercrank_daemon::log::Log;
 use peppercrank_lease::lease::Session;
@@ -232,10 +232,10 @@
     bench.faults(r#"{"only": "get", "outage": true}"#);
     let fleet = Fleet::on(bench);
     let tries = || fleet.bench.calls()["calls"]["get"].as_u64().unwrap_or(0);
-    let end = Instant::now() + Duration::from_secs(60);
+    let end = StdInstant::now() + Duration::from_secs(60);
     // Both agents have failed to read the lease at their start, and read it again with the order.
     while tries() < 2 {
-        assert!(Instant::now() < end, "{}", fleet.bench.calls());
+        assert!(StdInstant::now() < end, "{}", fleet.bench.calls());
     }
     fleet.bench.faults("{}");
     let ended = fleet.order(Exit::Done, "galley-llm --set-role prefill");
@@ -269,11 +269,11 @@
     bench: &Bench,
     session: u64,
     clock: &'a Cell<u64>,
-) -> Holder<impl Fn() -> Moment + use<'a>> {
+) -> Holder<impl Fn() -> Instant + use<'a>> {
     let platform = Platform::new(&Access::new(bench.address));
     let pool = PoolName::new("galley-llm").expect("a name");
     let vm = VmName::new(&format!("operator-{session}")).expect("a name");
-    let now = || Moment::from_millis(clock.get());
+    let now = || Instant::from_millis(clock.get());
     Holder::new(platform, pool, vm, Session(session), now).expect("a policy that holds")
 }
 
@@ -283,7 +283,7 @@
     let (clock, other_clock) = (Cell::new(0), Cell::new(0));
     let mut holder = holder(&bench, 1, &clock);
     // The clocks stand still unless the test moves them, so nothing may wait.
-    let end = Moment::ZERO;
+    let end = Instant::ZERO;
     let first = holder.seek(end).expect("the lease");
     clock.set(13_999);
     assert_eq!(
--- a/crates/peppercrank-config/examples/config_cost.rs
+++ b/crates/peppercrank-config/examples/config_cost.rs
@@ -29,7 +29,7 @@
 use peppercrank_config::Store;
 use peppercrank_config::Version;
 use peppercrank_config::message::Message;
-use peppercrank_core::objects::Kind;
+use peppercrank_core::objects::ObjectKind;
 use rand::RngExt;
 
 /// The fleets measured.
@@ -81,7 +81,7 @@
 fn settled(count: usize, zones: usize) -> Fleet {
     let mut fleet = Fleet::new(count, zones, 7);
     for i in 0..STANDING {
-        let key = key(Kind::Template, &format!("standing-{i}"));
+        let key = key(ObjectKind::Template, &format!("standing-{i}"));
         fleet.platform.put(&key, Some(&template(i + 1)));
     }
     fleet.start_all(&all(count));
@@ -110,7 +110,10 @@
     let mut missed = 0;
     let mut away = Vec::new();
     for change in 0..CHANGES {
-        let key = key(Kind::Template, &format!("standing-{}", change % STANDING));
+        let key = key(
+            ObjectKind::Template,
+            &format!("standing-{}", change % STANDING),
+        );
         let object = fleet.put(&key, Some(&template(500 + change)));
         let at = fleet.now;
         churn(&mut fleet, SPACING, &mut away);
@@ -180,7 +183,7 @@
     let ended = fleet.now;
     let ready = fleet.ready();
     fleet.platform.health = Health::Up(Duration::from_millis(3));
-    let object = fleet.put(&key(Kind::Template, "after"), Some(&template(9)));
+    let object = fleet.put(&key(ObjectKind::Template, "after"), Some(&template(9)));
     fleet.run(Duration::from_secs(60));
     let last = fleet.arrivals.values().max().copied().unwrap_or_default();
     println!(
@@ -199,7 +202,10 @@
     fleet.run(Duration::from_secs(60));
     let mut times = Vec::new();
     for change in 0..10 {
-        let object = fleet.put(&key(Kind::Template, "slow"), Some(&template(change + 1)));
+        let object = fleet.put(
+            &key(ObjectKind::Template, "slow"),
+            Some(&template(change + 1)),
+        );
         let at = fleet.now;
         fleet.run(SPACING);
         let last = fleet.arrivals.values().max().copied().unwrap_or_default();
@@ -218,7 +224,7 @@
     let mut fleet = Fleet::new(count, zones, 8);
     fleet
         .platform
-        .put(&key(Kind::Template, "base"), Some(&template(1)));
+        .put(&key(ObjectKind::Template, "base"), Some(&template(1)));
     fleet.start_all(&all(count));
     let first = time_ready(&mut fleet);
     let cold = most_calls(&fleet, Duration::ZERO, fleet.now);
@@ -249,7 +255,7 @@
 fn survey(count: usize, zones: usize) {
     let mut fleet = settled(count, zones);
     fleet.loss = 0.01;
-    let object = fleet.put(&key(Kind::Template, "asked"), Some(&template(3)));
+    let object = fleet.put(&key(ObjectKind::Template, "asked"), Some(&template(3)));
     fleet.run(Duration::from_secs(7));
     let before: Vec<u64> = fleet.processes.iter().map(|p| p.bytes).collect();
     let began = fleet.now;
@@ -280,7 +286,7 @@
     let before: Vec<u64> = fleet.processes.iter().map(|p| p.bytes).collect();
     let mut objects = Vec::new();
     for i in 0..BURST {
-        let key = key(Kind::Template, &format!("burst-{i}"));
+        let key = key(ObjectKind::Template, &format!("burst-{i}"));
         objects.push(fleet.put(&key, Some(&template(i + 1))));
         fleet.run(Duration::from_millis(10));
     }
@@ -316,11 +322,11 @@
     let mut store = Store::new();
     let mut platform = common::platform::Platform::new();
     for i in 0..20 {
-        let key = key(Kind::Template, &format!("template-{i}"));
+        let key = key(ObjectKind::Template, &format!("template-{i}"));
         store.merge(&platform.put(&key, Some(&template(i + 1))));
     }
     for i in 0..4_600 {
-        let key = key(Kind::Organisation, &format!("organisation-{i:04}"));
+        let key = key(ObjectKind::Organisation, &format!("organisation-{i:04}"));
         store.merge(&platform.put(&key, Some(&organisation(i))));
     }
     let merged = real.elapsed();
@@ -342,7 +348,7 @@
 fn bootstrap() {
     let mut fleet = Fleet::new(13, 4, 9);
     for i in 0..4_600 {
-        let key = key(Kind::Organisation, &format!("organisation-{i:04}"));
+        let key = key(ObjectKind::Organisation, &format!("organisation-{i:04}"));
         fleet.platform.put(&key, Some(&organisation(i)));
     }
     fleet.start_all(&all(13));
--- a/crates/peppercrank-config/src/checks.rs
+++ b/crates/peppercrank-config/src/checks.rs
@@ -9,15 +9,15 @@
 use std::ops::RangeInclusive;
 
 use peppercrank_core::names::ObjectName;
-use peppercrank_core::objects::Action;
-use peppercrank_core::objects::Kind;
 use peppercrank_core::objects::Mark;
+use peppercrank_core::objects::MarkAction;
+use peppercrank_core::objects::ObjectKind;
 use peppercrank_core::objects::Organisation;
 use peppercrank_core::objects::Overrides;
 use peppercrank_core::objects::Parameters;
-use peppercrank_core::objects::Policy;
 use peppercrank_core::objects::Pool;
-use peppercrank_core::objects::Serves;
+use peppercrank_core::objects::PoolPolicy;
+use peppercrank_core::objects::PoolWorkload;
 use peppercrank_core::objects::Template;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -78,15 +78,15 @@
 /// ```
 /// use peppercrank_config::validate;
 /// use peppercrank_core::names::ObjectName;
-/// use peppercrank_core::objects::Kind;
+/// use peppercrank_core::objects::ObjectKind;
 ///
 /// let name = ObjectName::new("engine-7")?;
 /// let body = r#"{"spec":{"target":"engine-8","action":"shutdown"}}"#;
-/// let fault = validate(Kind::Mark, &name, body).unwrap_err();
+/// let fault = validate(ObjectKind::Mark, &name, body).unwrap_err();
 /// assert_eq!(fault.path, "spec.target");
 /// # Ok::<(), peppercrank_core::Error>(())
 /// ```
-pub fn validate(kind: Kind, name: &ObjectName, body: &str) -> Result<Checked, Fault> {
+pub fn validate(kind: ObjectKind, name: &ObjectName, body: &str) -> Result<Checked, Fault> {
     if body.len() > MAX_BODY {
         return Err(fault(kind, "", Flaw::TooLong { most: MAX_BODY }));
     }
@@ -106,25 +106,25 @@
 /// # Errors
 ///
 /// Returns the first [`Fault`], with the path of its field below `spec`.
-pub fn validate_spec(kind: Kind, name: &ObjectName, spec: Value) -> Result<Spec, Fault> {
+pub fn validate_spec(kind: ObjectKind, name: &ObjectName, spec: Value) -> Result<Spec, Fault> {
     let at = At { kind };
     match kind {
-        Kind::Template => {
+        ObjectKind::Template => {
             let spec: Template = at.read(spec)?;
             at.parameters(&spec.parameters)?;
             Ok(Spec::Template(spec))
         }
-        Kind::Organisation => {
+        ObjectKind::Organisation => {
             let spec = at.read(spec)?;
             at.organisation(&spec)?;
             Ok(Spec::Organisation(spec))
         }
-        Kind::Pool => {
+        ObjectKind::Pool => {
             let spec = at.read(spec)?;
             at.pool(&spec)?;
             Ok(Spec::Pool(spec))
         }
-        Kind::Mark => {
+        ObjectKind::Mark => {
             let spec = at.read(spec)?;
             at.mark(name, &spec)?;
             Ok(Spec::Mark(spec))
@@ -154,7 +154,11 @@
     }
 }
 
-fn shape<E: std::fmt::Display>(kind: Kind, root: &str, e: &serde_path_to_error::Error<E>) -> Fault {
+fn shape<E: std::fmt::Display>(
+    kind: ObjectKind,
+    root: &str,
+    e: &serde_path_to_error::Error<E>,
+) -> Fault {
     let path = match (root, e.path().to_string()) {
         (root, path) if path == "." => root.to_owned(),
         ("", path) => path,
@@ -166,7 +170,7 @@
 /// Checks of one kind's fields.
 #[derive(Clone, Copy)]
 struct At {
-    kind: Kind,
+    kind: ObjectKind,
 }
 
 impl At {
@@ -217,15 +221,15 @@
 
     fn pool(self, pool: &Pool) -> Check {
         match &pool.serves {
-            Serves::Models(models) => self.list("spec.serves.models", models, 1)?,
-            Serves::Service { cost, .. } => {
+            PoolWorkload::Models(models) => self.list("spec.serves.models", models, 1)?,
+            PoolWorkload::Service { cost, .. } => {
                 self.range("spec.serves.service", "cost", Some(cost.0), 1..=MAX_COST)?;
             }
         }
         self.policy(&pool.policy)
     }
 
-    fn policy(self, p: &Policy) -> Check {
+    fn policy(self, p: &PoolPolicy) -> Check {
         const PATH: &str = "spec.policy";
         // A cap of the mean itself can be held by no real placement.
         let above_mean = p.cap > 1.0;
@@ -247,7 +251,7 @@
             return Err(fault(self.kind, "spec.target", Flaw::NameDiffers));
         }
         // A graceful shutdown cuts nothing off, so that no grace can run out.
-        if mark.action == Action::Shutdown && mark.grace_ms != 0 {
+        if mark.action == MarkAction::Shutdown && mark.grace_ms != 0 {
             return Err(fault(self.kind, "spec.grace_ms", Flaw::Unused));
         }
         self.range("spec", "grace_ms", Some(mark.grace_ms), 0..=MAX_TIME_MS)
--- a/crates/peppercrank-config/src/errors.rs
+++ b/crates/peppercrank-config/src/errors.rs
@@ -5,7 +5,7 @@
 
 use std::fmt;
 
-use peppercrank_core::objects::Kind;
+use peppercrank_core::objects::ObjectKind;
 
 /// `Result` is the result of the fallible functions of this crate that are not checks.
 pub type Result<T> = std::result::Result<T, Error>;
@@ -73,7 +73,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fault {
     /// The kind of the object.
-    pub kind: Kind,
+    pub kind: ObjectKind,
     /// The path of the field from the object's root, for example `spec.policy.cap`.
     pub path: String,
     /// What is wrong there.
@@ -82,7 +82,7 @@
 
 /// `fault` makes the fault of one field.
 #[must_use]
-pub fn fault(kind: Kind, path: &str, flaw: Flaw) -> Fault {
+pub fn fault(kind: ObjectKind, path: &str, flaw: Flaw) -> Fault {
     let path = path.to_owned();
     Fault { kind, path, flaw }
 }
--- a/crates/peppercrank-config/src/index.rs
+++ b/crates/peppercrank-config/src/index.rs
@@ -18,7 +18,7 @@
 use peppercrank_core::objects::Overrides;
 use peppercrank_core::objects::Parameters;
 use peppercrank_core::objects::Pool;
-use peppercrank_core::objects::Serves;
+use peppercrank_core::objects::PoolWorkload;
 use peppercrank_core::objects::Template;
 
 use crate::checks;
@@ -173,8 +173,8 @@
 /// The models that a pool serves, none for a plain service.
 pub(crate) fn models(pool: &Pool) -> &[ModelName] {
     match &pool.serves {
-        Serves::Models(models) => models,
-        Serves::Service { .. } => &[],
+        PoolWorkload::Models(models) => models,
+        PoolWorkload::Service { .. } => &[],
     }
 }
 
--- a/crates/peppercrank-config/src/object.rs
+++ b/crates/peppercrank-config/src/object.rs
@@ -7,7 +7,7 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-use peppercrank_core::errors::key as malformed_key;
+use peppercrank_core::errors::invalid_key as malformed_key;
 use peppercrank_core::objects::Mark;
 use peppercrank_core::objects::ObjectKey;
 use peppercrank_core::objects::Organisation;
--- a/crates/peppercrank-config/src/publish.rs
+++ b/crates/peppercrank-config/src/publish.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 use peppercrank_core::names::ObjectName;
-use peppercrank_core::objects::Kind;
 use peppercrank_core::objects::ObjectKey;
-use peppercrank_core::time::Moment;
+use peppercrank_core::objects::ObjectKind;
+use peppercrank_core::time::Instant;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -53,7 +53,7 @@
     id: PublishId,
     base: Base,
     change: Change,
-    deadline: Moment,
+    deadline: Instant,
     /// Whether a write was sent whose fate is unknown.
     unsure: bool,
     pauses: u32,
@@ -78,7 +78,7 @@
         id: PublishId,
         base: Base,
         change: Change,
-        deadline: Moment,
+        deadline: Instant,
     ) -> Self {
         let [a, b] = [id.0 >> 64, id.0].map(|half| u64::try_from(half & u128::from(u64::MAX)));
         let seed = a.unwrap_or(0) ^ b.unwrap_or(0);
@@ -110,23 +110,23 @@
     /// use peppercrank_config::Version;
     /// use peppercrank_config::object::PublishId;
     /// use peppercrank_config::publish::*;
-    /// use peppercrank_core::objects::Kind;
-    /// use peppercrank_core::time::Moment;
+    /// use peppercrank_core::objects::ObjectKind;
+    /// use peppercrank_core::time::Instant;
     ///
-    /// let key = key(Kind::Mark, "engine-7")?;
+    /// let key = key(ObjectKind::Mark, "engine-7")?;
     /// let spec = serde_json::json!({"target": "engine-7", "action": "shutdown"});
-    /// let deadline = Moment::from_millis(10_000);
+    /// let deadline = Instant::from_millis(10_000);
     /// let change = Change::Put(spec);
     /// let mut act = Publish::new(key, PublishId(1), Base::Absent, change, deadline);
-    /// assert_eq!(act.on(Moment::ZERO, Input::Begin), Next::Read);
-    /// let next = act.on(Moment::ZERO, Input::Read(Ok(None)));
+    /// assert_eq!(act.on(Instant::ZERO, Input::Begin), Next::Read);
+    /// let next = act.on(Instant::ZERO, Input::Read(Ok(None)));
     /// assert!(matches!(next, Next::Write { base: Base::Absent, .. }));
     /// let written = Written::Version(Version(5));
-    /// let next = act.on(Moment::ZERO, Input::Written(Ok(written)));
+    /// let next = act.on(Instant::ZERO, Input::Written(Ok(written)));
     /// assert!(matches!(next, Next::Done(Done { version: Version(5), .. })));
     /// # Ok::<(), peppercrank_core::Error>(())
     /// ```
-    pub fn on(&mut self, now: Moment, input: Input) -> Next {
+    pub fn on(&mut self, now: Instant, input: Input) -> Next {
         let next = match input {
             Input::Begin => self.begin(),
             Input::Read(Ok(current)) => self.compare(current),
@@ -262,7 +262,7 @@
         }))
     }
 
-    fn unwritten(&mut self, now: Moment, failure: Failure) -> Next {
+    fn unwritten(&mut self, now: Instant, failure: Failure) -> Next {
         match failure {
             Failure::Busy { .. } | Failure::Unreached => self.pause(now, failure, Resume::Write),
             Failure::Lost => {
@@ -272,7 +272,7 @@
         }
     }
 
-    fn pause(&mut self, now: Moment, failure: Failure, resume: Resume) -> Next {
+    fn pause(&mut self, now: Instant, failure: Failure, resume: Resume) -> Next {
         self.resume = resume;
         let doubled = MIN_PAUSE.saturating_mul(1 << self.pauses.min(10));
         let full = doubled.min(MAX_PAUSE);
@@ -307,7 +307,7 @@
 /// # Errors
 ///
 /// Returns the core's error when `name` is not a name.
-pub fn key(kind: Kind, name: &str) -> peppercrank_core::Result<ObjectKey> {
+pub fn key(kind: ObjectKind, name: &str) -> peppercrank_core::Result<ObjectKey> {
     let name = ObjectName::new(name)?;
     Ok(ObjectKey { kind, name })
 }
--- a/crates/peppercrank-config/src/publish/step.rs
+++ b/crates/peppercrank-config/src/publish/step.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use peppercrank_core::objects::ObjectKey;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use serde_json::Value;
 
 use crate::diff::Difference;
@@ -96,7 +96,7 @@
     /// Come back at this time with [`Input::Due`].
     Wait {
         /// When.
-        until: Moment,
+        until: Instant,
     },
     /// It is published.
     Done(Done),
--- a/crates/peppercrank-config/src/relay.rs
+++ b/crates/peppercrank-config/src/relay.rs
@@ -22,7 +22,7 @@
 
 use peppercrank_core::hash::hash64;
 use peppercrank_core::names::VmName;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -81,9 +81,9 @@
     surveys: Surveys,
     boot: Boot,
     /// When a peer was last heard.
-    peer_heard: Moment,
+    peer_heard: Instant,
     /// The latest time at which a peer with our digest knew it to be the API's.
-    confirmed: Option<Moment>,
+    confirmed: Option<Instant>,
     /// Whether the calls of a fresh process are under way.
     kicked: bool,
     salt: u16,
@@ -95,7 +95,7 @@
 impl Relay {
     /// `new` makes the relay of a process that starts now and holds nothing.
     #[must_use]
-    pub fn new(now: Moment, me: Member, seed: u64) -> Self {
+    pub fn new(now: Instant, me: Member, seed: u64) -> Self {
         let [a, b, ..] = hash64(0, me.name.as_str().as_bytes()).to_le_bytes();
         Self {
             store: Store::new(),
@@ -135,7 +135,7 @@
 
     /// `age` is how long ago the configuration was last known to be the platform's own.
     #[must_use]
-    pub fn age(&self, now: Moment) -> Option<Duration> {
+    pub fn age(&self, now: Instant) -> Option<Duration> {
         let confirmed = self.confirmed.max(self.calls.confirmed());
         confirmed.map(|at| now.since(at))
     }
@@ -148,20 +148,20 @@
 
     /// `beat` is what the next heartbeat is to carry.
     #[must_use]
-    pub fn beat(&self, now: Moment) -> Beat {
+    pub fn beat(&self, now: Instant) -> Beat {
         let ready = self.readiness().is_ready();
         Beat::new(self.store.digest(), self.age(now), ready)
     }
 
     /// `beat_bytes` is [`Relay::beat`] for a heartbeat, salted by this member's name.
     #[must_use]
-    pub fn beat_bytes(&self, now: Moment) -> [u8; BEAT_BYTES] {
+    pub fn beat_bytes(&self, now: Instant) -> [u8; BEAT_BYTES] {
         self.beat(now).to_bytes(self.salt)
     }
 
     /// `next` is when [`Input::Tick`] is due, unless another input comes before.
     #[must_use]
-    pub fn next(&self) -> Moment {
+    pub fn next(&self) -> Instant {
         let spread = self.spread.next();
         let calls = self.calls.next();
         let repair = self.repair.next();
@@ -169,7 +169,7 @@
         let timers = spread.into_iter().chain(calls).chain(repair);
         let timers = timers.chain(surveys);
         let kick = (!self.kicked).then(|| self.boot.began() + UNTOLD);
-        timers.chain(kick).fold(self.boot.next(), Moment::min)
+        timers.chain(kick).fold(self.boot.next(), Instant::min)
     }
 
     /// `on` takes an input in and returns what is to be done.
@@ -181,19 +181,19 @@
     /// use peppercrank_config::relay::Action;
     /// use peppercrank_config::relay::Input;
     /// use peppercrank_config::relay::Member;
-    /// use peppercrank_core::time::Moment;
+    /// use peppercrank_core::time::Instant;
     ///
     /// let me = Member {
     ///     name: "vm-1".parse()?,
     ///     zone: "zone-a".parse()?,
     /// };
-    /// let mut relay = Relay::new(Moment::ZERO, me.clone(), 7);
-    /// relay.on(Moment::ZERO, Input::Members(vec![me]));
+    /// let mut relay = Relay::new(Instant::ZERO, me.clone(), 7);
+    /// relay.on(Instant::ZERO, Input::Members(vec![me]));
     /// let actions = relay.on(relay.next(), Input::Tick);
     /// assert!(matches!(actions[0], Action::Call(_)));
     /// # Ok::<(), peppercrank_core::Error>(())
     /// ```
-    pub fn on(&mut self, now: Moment, input: Input) -> Vec<Action> {
+    pub fn on(&mut self, now: Instant, input: Input) -> Vec<Action> {
         let before = self.readiness();
         match input {
             Input::Members(members) => self.on_members(now, members),
--- a/crates/peppercrank-config/src/relay/action.rs
+++ b/crates/peppercrank-config/src/relay/action.rs
@@ -7,8 +7,8 @@
 
 use peppercrank_core::names::VmName;
 use peppercrank_core::names::ZoneName;
-use peppercrank_core::objects::Kind;
 use peppercrank_core::objects::ObjectKey;
+use peppercrank_core::objects::ObjectKind;
 
 use super::survey::Question;
 use super::survey::Tally;
@@ -34,12 +34,12 @@
     /// All objects of a kind, tombstones included.
     List {
         /// The kind.
-        kind: Kind,
+        kind: ObjectKind,
     },
     /// What changed after a revision; waits for a change when there is none yet.
     Watch {
         /// The kind.
-        kind: Kind,
+        kind: ObjectKind,
         /// The revision.
         since: Version,
         /// How long the API may hold the call; zero asks and does not wait.
@@ -50,7 +50,7 @@
 impl Call {
     /// `kind` is the kind that the call asks about.
     #[must_use]
-    pub const fn kind(self) -> Kind {
+    pub const fn kind(self) -> ObjectKind {
         match self {
             Self::List { kind } | Self::Watch { kind, .. } => kind,
         }
--- a/crates/peppercrank-config/src/relay/boot.rs
+++ b/crates/peppercrank-config/src/relay/boot.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use peppercrank_core::names::VmName;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use super::action::Basis;
 use super::action::Readiness;
@@ -51,7 +51,7 @@
     /// All live peers.
     pub(super) peers: usize,
     /// The latest time at which the configuration was known to be the API's.
-    pub(super) confirmed: Option<Moment>,
+    pub(super) confirmed: Option<Instant>,
     /// Whether the API's last call failed.
     pub(super) failing: bool,
     /// Whether a comparison is going on.
@@ -62,24 +62,24 @@
 #[derive(Debug)]
 pub(super) struct Boot {
     state: Readiness,
-    began: Moment,
-    heard: Moment,
+    began: Instant,
+    heard: Instant,
     /// The ready peers compared with since `began`.
     compared: BTreeSet<VmName>,
     /// The peers that were asked, and until when they are not asked again.
-    asked: BTreeMap<VmName, Moment>,
-    again: Moment,
+    asked: BTreeMap<VmName, Instant>,
+    again: Instant,
     /// When it was last judged whether the process may serve.
-    judged: Moment,
+    judged: Instant,
     /// How many were asked since one answered well.
     vain: u32,
     /// Whether one of the peers was not stale.
     recent: bool,
-    tried: Option<Moment>,
+    tried: Option<Instant>,
 }
 
 impl Boot {
-    pub(super) const fn new(now: Moment) -> Self {
+    pub(super) const fn new(now: Instant) -> Self {
         Self {
             state: Readiness::Fresh,
             began: now,
@@ -98,12 +98,12 @@
         self.state
     }
 
-    pub(super) const fn began(&self) -> Moment {
+    pub(super) const fn began(&self) -> Instant {
         self.began
     }
 
     /// Notes that a peer or the API was heard.
-    pub(super) fn heard(&mut self, now: Moment) {
+    pub(super) fn heard(&mut self, now: Instant) {
         self.touch(now);
         self.heard = now;
     }
@@ -119,13 +119,13 @@
     }
 
     /// Whether a peer need not be asked now.
-    pub(super) fn skips(&self, now: Moment, peer: &VmName) -> bool {
+    pub(super) fn skips(&self, now: Instant, peer: &VmName) -> bool {
         let asked = self.asked.get(peer).is_some_and(|until| *until > now);
         asked || self.compared.contains(peer)
     }
 
     /// Notes that a peer is asked.
-    pub(super) fn ask(&mut self, now: Moment, peer: &VmName) {
+    pub(super) fn ask(&mut self, now: Instant, peer: &VmName) {
         let doubled = NEXT_PEER.saturating_mul(1 << self.vain.min(10));
         self.vain += 1;
         self.again = now + doubled.min(MAX_NEXT);
@@ -133,12 +133,12 @@
     }
 
     /// Notes when the API is tried.
-    pub(super) const fn try_api(&mut self, at: Moment) {
+    pub(super) const fn try_api(&mut self, at: Instant) {
         self.tried = Some(at);
     }
 
     /// Judges anew whether the process may serve, and what to do until it may.
-    pub(super) fn step(&mut self, now: Moment, around: Around) -> Step {
+    pub(super) fn step(&mut self, now: Instant, around: Around) -> Step {
         self.touch(now);
         self.judged = now;
         if self.state.is_ready() {
@@ -161,14 +161,14 @@
     }
 
     /// When to judge anew, at the latest.
-    pub(super) fn next(&self) -> Moment {
+    pub(super) fn next(&self) -> Instant {
         match self.state {
             Readiness::Ready(_) => self.heard + OUT_OF_TOUCH,
             Readiness::Fresh | Readiness::OutOfTouch => self.again.max(self.judged + JUDGE),
         }
     }
 
-    fn is_enough(&self, now: Moment, around: Around) -> bool {
+    fn is_enough(&self, now: Instant, around: Around) -> bool {
         let compared = self.compared.len();
         let settled = now.since(self.began) >= SETTLE;
         let all = compared >= QUORUM.min(around.peers);
@@ -176,7 +176,7 @@
         compared > 0 && (all || all_ready)
     }
 
-    fn gave_up_api(&self, now: Moment, around: Around) -> bool {
+    fn gave_up_api(&self, now: Instant, around: Around) -> bool {
         let tried = self.tried;
         tried.is_some_and(|at| around.failing || now.since(at) >= TRY_API)
     }
@@ -189,7 +189,7 @@
     }
 
     /// Leaves the ready state when nobody was heard past the limit.
-    fn touch(&mut self, now: Moment) {
+    fn touch(&mut self, now: Instant) {
         if now.since(self.heard) < OUT_OF_TOUCH || self.state == Readiness::OutOfTouch {
             return;
         }
--- a/crates/peppercrank-config/src/relay/calls.rs
+++ b/crates/peppercrank-config/src/relay/calls.rs
@@ -5,8 +5,8 @@
 
 use std::time::Duration;
 
-use peppercrank_core::objects::Kind;
-use peppercrank_core::time::Moment;
+use peppercrank_core::objects::ObjectKind;
+use peppercrank_core::time::Instant;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
@@ -61,22 +61,22 @@
 #[derive(Debug, Clone, Copy)]
 enum State {
     /// Calls at this time, or when told to.
-    Idle { at: Option<Moment> },
+    Idle { at: Option<Instant> },
     /// Waits for an answer, until then.
-    Waiting { until: Moment },
+    Waiting { until: Instant },
 }
 
 /// The calls about one kind.
 #[derive(Debug, Clone, Copy)]
 struct Slot {
     state: State,
-    started: Moment,
+    started: Instant,
     failures: u32,
     relist: bool,
     /// Whether a list was answered: what an empty API holds is known at revision 0, too.
     listed: bool,
     /// The latest time of which it is known that nothing newer was to be had.
-    confirmed: Option<Moment>,
+    confirmed: Option<Instant>,
 }
 
 /// When to call the platform's API.
@@ -90,7 +90,7 @@
     pub(super) const fn new(mode: Mode) -> Self {
         let slot = Slot {
             state: State::Idle { at: None },
-            started: Moment::ZERO,
+            started: Instant::ZERO,
             failures: 0,
             relist: false,
             listed: false,
@@ -101,7 +101,7 @@
     }
 
     /// Sets why to call from now on.
-    pub(super) fn set_mode(&mut self, now: Moment, mode: Mode, rng: &mut ChaCha8Rng) {
+    pub(super) fn set_mode(&mut self, now: Instant, mode: Mode, rng: &mut ChaCha8Rng) {
         if self.mode == mode {
             return;
         }
@@ -116,8 +116,8 @@
     /// now, pauses after failures excepted.
     pub(super) fn hasten(
         &mut self,
-        now: Moment,
-        since: Moment,
+        now: Instant,
+        since: Instant,
         spread: Duration,
         rng: &mut ChaCha8Rng,
     ) {
@@ -130,7 +130,7 @@
     }
 
     /// Puts all calls to when the mode asks for them.
-    fn retime(&mut self, now: Moment, rng: &mut ChaCha8Rng) {
+    fn retime(&mut self, now: Instant, rng: &mut ChaCha8Rng) {
         // One time for all kinds: one kind's answer brings the others' calls forward.
         let at = now + first_pause(self.mode, rng);
         for slot in &mut self.slots {
@@ -139,18 +139,18 @@
     }
 
     /// Brings the call about one kind forward.
-    pub(super) fn hasten_one(&mut self, kind: Kind, at: Moment) {
+    pub(super) fn hasten_one(&mut self, kind: ObjectKind, at: Instant) {
         self.slots[kind as usize].hasten(at);
     }
 
     /// The calls that are due.
-    pub(super) fn due(&mut self, now: Moment, complete: &Complete) -> Vec<Call> {
+    pub(super) fn due(&mut self, now: Instant, complete: &Complete) -> Vec<Call> {
         let wait = match self.mode {
             Mode::Watch => WATCH_WAIT,
             // One that may not serve yet wants an answer now, also that nothing changed.
             Mode::Eager | Mode::Fresh { .. } | Mode::Poll { .. } | Mode::Lonely => Duration::ZERO,
         };
-        let kinds = Kind::ALL.iter().zip(&mut self.slots).zip(complete);
+        let kinds = ObjectKind::ALL.iter().zip(&mut self.slots).zip(complete);
         let due = kinds.filter_map(|((kind, slot), since)| slot.call(now, *kind, *since, wait));
         due.collect()
     }
@@ -158,7 +158,7 @@
     /// Takes the end of a call in.
     pub(super) fn answered(
         &mut self,
-        now: Moment,
+        now: Instant,
         call: Call,
         answer: &Answer,
         rng: &mut ChaCha8Rng,
@@ -199,18 +199,18 @@
     }
 
     /// The latest time of which it is known of every kind that nothing newer was to be had.
-    pub(super) fn confirmed(&self) -> Option<Moment> {
+    pub(super) fn confirmed(&self) -> Option<Instant> {
         let all = self.slots.iter().map(|s| s.confirmed);
         all.min().flatten()
     }
 
     /// Whether the last call about a kind failed.
-    pub(super) const fn failing(&self, kind: Kind) -> bool {
+    pub(super) const fn failing(&self, kind: ObjectKind) -> bool {
         self.slots[kind as usize].failures > 0
     }
 
     /// When something is due next.
-    pub(super) fn next(&self) -> Option<Moment> {
+    pub(super) fn next(&self) -> Option<Instant> {
         let times = self.slots.iter().filter_map(|s| match s.state {
             State::Idle { at } => at,
             State::Waiting { until } => Some(until),
@@ -220,7 +220,7 @@
 }
 
 impl Slot {
-    fn retime(&mut self, to: Moment) {
+    fn retime(&mut self, to: Instant) {
         let State::Idle { at: Some(at) } = self.state else {
             return;
         };
@@ -230,7 +230,7 @@
         self.state = State::Idle { at };
     }
 
-    fn hasten(&mut self, soon: Moment) {
+    fn hasten(&mut self, soon: Instant) {
         let State::Idle { at } = self.state else {
             return;
         };
@@ -241,7 +241,13 @@
         self.state = State::Idle { at: Some(at) };
     }
 
-    fn call(&mut self, now: Moment, kind: Kind, since: Version, wait: Duration) -> Option<Call> {
+    fn call(
+        &mut self,
+        now: Instant,
+        kind: ObjectKind,
+        since: Version,
+        wait: Duration,
+    ) -> Option<Call> {
         let due = match self.state {
             State::Idle { at } => at,
             State::Waiting { until } => Some(until),
@@ -262,7 +268,7 @@
         Some(call)
     }
 
-    fn confirm(&mut self, now: Moment, call: Call, unchanged: bool) {
+    fn confirm(&mut self, now: Instant, call: Call, unchanged: bool) {
         let held = match call {
             // An API that held the call to its end would have told of a change until then.
             Call::Watch { wait, .. } if unchanged => wait,
@@ -283,7 +289,7 @@
     }
 }
 
-fn next_pause(now: Moment, started: Moment, mode: Mode, rng: &mut ChaCha8Rng) -> Duration {
+fn next_pause(now: Instant, started: Instant, mode: Mode, rng: &mut ChaCha8Rng) -> Duration {
     match mode {
         Mode::Watch => WATCH_GAP.saturating_sub(now.since(started)),
         Mode::Eager => MIN_PAUSE,
--- a/crates/peppercrank-config/src/relay/receive.rs
+++ b/crates/peppercrank-config/src/relay/receive.rs
@@ -7,7 +7,7 @@
 
 use peppercrank_core::names::VmName;
 use peppercrank_core::objects::ObjectKey;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use super::Relay;
 use super::WATCHER_SPREAD;
@@ -26,12 +26,12 @@
 use crate::store::Merged;
 
 impl Relay {
-    pub(super) fn on_members(&mut self, now: Moment, members: Vec<Member>) {
+    pub(super) fn on_members(&mut self, now: Instant, members: Vec<Member>) {
         self.peers.replace(members);
         self.kick(now);
     }
 
-    pub(super) fn on_beat(&mut self, now: Moment, from: &VmName, beat: Beat) {
+    pub(super) fn on_beat(&mut self, now: Instant, from: &VmName, beat: Beat) {
         self.heard_peer(now, from, beat);
         let ours = self.beat(now);
         if ours.digest == beat.digest {
@@ -44,20 +44,20 @@
         }
     }
 
-    fn heard_peer(&mut self, now: Moment, from: &VmName, beat: Beat) {
+    fn heard_peer(&mut self, now: Instant, from: &VmName, beat: Beat) {
         self.peers.note_ready(from, beat.ready);
         self.peer_heard = now;
         self.boot.heard(now);
     }
 
     /// A peer with our digest vouches for our configuration as for its own.
-    pub(super) fn confirm(&mut self, now: Moment, beat: Beat) {
+    pub(super) fn confirm(&mut self, now: Instant, beat: Beat) {
         let origin = now.since_origin();
         let at = beat.age.and_then(|age| origin.checked_sub(age));
-        self.confirmed = self.confirmed.max(at.map(Moment::from_origin));
+        self.confirmed = self.confirmed.max(at.map(Instant::from_origin));
     }
 
-    pub(super) fn on_message(&mut self, now: Moment, from: &VmName, message: Message) {
+    pub(super) fn on_message(&mut self, now: Instant, from: &VmName, message: Message) {
         self.peer_heard = now;
         self.boot.heard(now);
         match message {
@@ -94,7 +94,7 @@
         }
     }
 
-    fn on_differs(&mut self, now: Moment, from: &VmName, answer: repair::Differs) {
+    fn on_differs(&mut self, now: Instant, from: &VmName, answer: repair::Differs) {
         let verdict = self.repair.differs(now, &self.store, from, answer);
         let verdict = verdict.unwrap_or_default();
         self.give(from, &verdict.lacking);
@@ -105,7 +105,7 @@
         }
     }
 
-    pub(super) fn on_survey(&mut self, now: Moment, question: Question) {
+    pub(super) fn on_survey(&mut self, now: Instant, question: Question) {
         let rng = &mut self.rng;
         let words = self
             .surveys
@@ -124,7 +124,7 @@
         }
     }
 
-    fn on_objects(&mut self, now: Moment, from: &VmName, objects: &[Object]) {
+    fn on_objects(&mut self, now: Instant, from: &VmName, objects: &[Object]) {
         for object in objects {
             let merged = self.store.merge(object);
             self.note(object, merged, Some(from));
@@ -141,7 +141,7 @@
         }
     }
 
-    pub(super) fn on_answer(&mut self, now: Moment, call: Call, answer: Answer) {
+    pub(super) fn on_answer(&mut self, now: Instant, call: Call, answer: Answer) {
         self.calls.answered(now, call, &answer, &mut self.rng);
         self.count(&answer);
         let Answer::Objects { revision, objects } = answer else {
--- a/crates/peppercrank-config/src/relay/repair.rs
+++ b/crates/peppercrank-config/src/relay/repair.rs
@@ -9,7 +9,7 @@
 
 use peppercrank_core::names::VmName;
 use peppercrank_core::objects::ObjectKey;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use rand_chacha::ChaCha8Rng;
 
 use super::calls::uniform;
@@ -37,14 +37,14 @@
 struct Notice {
     peer: VmName,
     digest: u64,
-    at: Moment,
+    at: Instant,
 }
 
 /// A comparison in progress.
 #[derive(Debug)]
 struct Session {
     peer: VmName,
-    until: Moment,
+    until: Instant,
     digest: u64,
     stage: Stage,
 }
@@ -89,12 +89,12 @@
     notice: Option<Notice>,
     session: Option<Session>,
     futile: u32,
-    earliest: Moment,
+    earliest: Instant,
 }
 
 impl Repair {
     /// Notes that a peer's digest differs from ours.
-    pub(super) fn note(&mut self, now: Moment, peer: &VmName, digest: u64, rng: &mut ChaCha8Rng) {
+    pub(super) fn note(&mut self, now: Instant, peer: &VmName, digest: u64, rng: &mut ChaCha8Rng) {
         if self.notice.is_some() || self.session.is_some() {
             return;
         }
@@ -104,14 +104,14 @@
     }
 
     /// The peer to compare with now; none when news came since the difference was noticed.
-    pub(super) fn due(&mut self, now: Moment, digest: u64) -> Option<VmName> {
+    pub(super) fn due(&mut self, now: Instant, digest: u64) -> Option<VmName> {
         self.give_up_stalled(now);
         let notice = self.notice.take_if(|n| n.at <= now)?;
         let unchanged = notice.digest == digest && self.session.is_none();
         unchanged.then_some(notice.peer)
     }
 
-    pub(super) fn begin(&mut self, now: Moment, peer: VmName, store: &Store) -> Message {
+    pub(super) fn begin(&mut self, now: Instant, peer: VmName, store: &Store) -> Message {
         self.session = Some(Session {
             peer,
             until: now + STALLED,
@@ -134,7 +134,7 @@
     /// Takes the answer to a comparison in.
     pub(super) fn differs(
         &mut self,
-        now: Moment,
+        now: Instant,
         store: &Store,
         from: &VmName,
         answer: Differs,
@@ -158,7 +158,7 @@
     }
 
     /// Takes note of objects that came from a peer.
-    pub(super) fn received(&mut self, now: Moment, from: &VmName, keys: &BTreeSet<ObjectKey>) {
+    pub(super) fn received(&mut self, now: Instant, from: &VmName, keys: &BTreeSet<ObjectKey>) {
         let Some(session) = self.session.as_mut().filter(|s| s.peer == *from) else {
             return;
         };
@@ -187,7 +187,7 @@
     }
 
     /// Ends the comparison once everything is here.
-    pub(super) fn finish(&mut self, now: Moment, store: &Store) -> Option<Finished> {
+    pub(super) fn finish(&mut self, now: Instant, store: &Store) -> Option<Finished> {
         let done = |s: &mut Session| match &s.stage {
             Stage::Comparing => false,
             Stage::Fetching { queue, open, .. } => queue.is_empty() && open.is_empty(),
@@ -205,13 +205,13 @@
     }
 
     /// When something is due next.
-    pub(super) fn next(&self) -> Option<Moment> {
+    pub(super) fn next(&self) -> Option<Instant> {
         let notice = self.notice.as_ref().map(|n| n.at);
         let session = self.session.as_ref().map(|s| s.until);
         notice.into_iter().chain(session).min()
     }
 
-    fn judge_use(&mut self, now: Moment, useful: bool) {
+    fn judge_use(&mut self, now: Instant, useful: bool) {
         if useful {
             self.futile = 0;
             self.earliest = now;
@@ -223,7 +223,7 @@
         self.earliest = now + doubled.min(MAX_FUTILE);
     }
 
-    fn give_up_stalled(&mut self, now: Moment) {
+    fn give_up_stalled(&mut self, now: Instant) {
         if self.session.take_if(|s| s.until <= now).is_some() {
             self.earliest = now;
         }
--- a/crates/peppercrank-config/src/relay/spread.rs
+++ b/crates/peppercrank-config/src/relay/spread.rs
@@ -8,7 +8,7 @@
 
 use peppercrank_core::names::VmName;
 use peppercrank_core::objects::ObjectKey;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::digest::Stamp;
 use crate::message::DATAGRAM;
@@ -41,14 +41,14 @@
 #[derive(Debug)]
 pub(super) struct Spread {
     news: BTreeMap<ObjectKey, Option<VmName>>,
-    told: Moment,
+    told: Instant,
     whole: Budget,
     stamps: Budget,
-    asked: BTreeMap<ObjectKey, (Version, Moment)>,
+    asked: BTreeMap<ObjectKey, (Version, Instant)>,
 }
 
 impl Spread {
-    pub(super) const fn new(now: Moment) -> Self {
+    pub(super) const fn new(now: Instant) -> Self {
         Self {
             news: BTreeMap::new(),
             told: now,
@@ -71,11 +71,11 @@
         same.then_some(first)
     }
 
-    pub(super) fn is_due(&self, now: Moment) -> bool {
+    pub(super) fn is_due(&self, now: Instant) -> bool {
         self.next().is_some_and(|at| at <= now)
     }
 
-    pub(super) fn next(&self) -> Option<Moment> {
+    pub(super) fn next(&self) -> Option<Instant> {
         if self.news.is_empty() {
             return None;
         }
@@ -83,7 +83,7 @@
     }
 
     /// The messages that tell the news to one peer, when `peers` peers are told.
-    pub(super) fn tell(&mut self, now: Moment, store: &Store, peers: usize) -> Vec<Message> {
+    pub(super) fn tell(&mut self, now: Instant, store: &Store, peers: usize) -> Vec<Message> {
         let since = now.since(self.told);
         self.whole.refill(since);
         self.stamps.refill(since);
@@ -113,7 +113,7 @@
     /// Which of the stamps told by a peer to ask it for.
     pub(super) fn wanted(
         &mut self,
-        now: Moment,
+        now: Instant,
         store: &Store,
         stamps: Vec<Stamp>,
     ) -> Vec<ObjectKey> {
--- a/crates/peppercrank-config/src/relay/survey.rs
+++ b/crates/peppercrank-config/src/relay/survey.rs
@@ -12,7 +12,7 @@
 use peppercrank_core::hash::hash64;
 use peppercrank_core::names::VmName;
 use peppercrank_core::objects::ObjectKey;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
 use serde::Deserialize;
@@ -107,8 +107,8 @@
     asker: Option<VmName>,
     waiting: Waiting,
     tally: Tally,
-    again: Moment,
-    until: Moment,
+    again: Instant,
+    until: Instant,
     done: bool,
 }
 
@@ -122,7 +122,7 @@
     /// Begins a survey of the whole fleet.
     pub(super) fn begin(
         &mut self,
-        now: Moment,
+        now: Instant,
         question: Question,
         store: &Store,
         peers: &Peers,
@@ -150,7 +150,7 @@
     /// Answers a question, or begins to count a group.
     pub(super) fn asked(
         &mut self,
-        now: Moment,
+        now: Instant,
         from: &VmName,
         question: Question,
         group: Option<Group>,
@@ -182,7 +182,7 @@
     /// Takes a tally in.
     pub(super) fn counted(
         &mut self,
-        now: Moment,
+        now: Instant,
         from: &VmName,
         id: u64,
         tally: Tally,
@@ -197,21 +197,21 @@
     }
 
     /// Asks again, ends rounds and forgets old ones, as time passes.
-    pub(super) fn turn(&mut self, now: Moment) -> Vec<Word> {
+    pub(super) fn turn(&mut self, now: Instant) -> Vec<Word> {
         self.rounds.retain(|_, r| !r.done || now < r.until + KEEP);
         let rounds = self.rounds.values_mut().filter(|r| !r.done);
         rounds.flat_map(|r| r.turn(now)).collect()
     }
 
     /// When something is due next.
-    pub(super) fn next(&self) -> Option<Moment> {
+    pub(super) fn next(&self) -> Option<Instant> {
         let open = self.rounds.values().filter(|r| !r.done);
         open.map(|r| r.again.min(r.until)).min()
     }
 }
 
 impl Round {
-    fn turn(&mut self, now: Moment) -> Vec<Word> {
+    fn turn(&mut self, now: Instant) -> Vec<Word> {
         if self.waiting.is_empty() || self.until <= now {
             self.done = true;
             let lost = std::mem::take(&mut self.waiting);
--- a/crates/peppercrank-config/src/relay/turn.rs
+++ b/crates/peppercrank-config/src/relay/turn.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use peppercrank_core::names::VmName;
-use peppercrank_core::objects::Kind;
-use peppercrank_core::time::Moment;
+use peppercrank_core::objects::ObjectKind;
+use peppercrank_core::time::Instant;
 
 use super::LONELY;
 use super::MAX_TRY;
@@ -25,7 +25,7 @@
 
 impl Relay {
     /// Does what has become due.
-    pub(super) fn turn(&mut self, now: Moment) {
+    pub(super) fn turn(&mut self, now: Instant) {
         self.mend(now);
         let words = self.surveys.turn(now);
         self.say(words);
@@ -34,7 +34,7 @@
         self.call(now);
     }
 
-    fn mend(&mut self, now: Moment) {
+    fn mend(&mut self, now: Instant) {
         if let Some(peer) = self.repair.due(now, self.store.digest()) {
             self.compare(now, peer);
         }
@@ -46,19 +46,19 @@
         }
     }
 
-    fn compare(&mut self, now: Moment, peer: VmName) {
+    fn compare(&mut self, now: Instant, peer: VmName) {
         self.counters.compared += 1;
         let message = self.repair.begin(now, peer.clone(), &self.store);
         self.send(peer, message);
     }
 
-    fn finished(&mut self, now: Moment, finished: &Finished) {
+    fn finished(&mut self, now: Instant, finished: &Finished) {
         let Finished {
             peer,
             beat,
             complete,
         } = finished;
-        for (kind, revision) in Kind::ALL.iter().zip(complete) {
+        for (kind, revision) in ObjectKind::ALL.iter().zip(complete) {
             self.store.set_complete(*kind, *revision);
         }
         if self.beat(now).digest == beat.digest {
@@ -67,7 +67,7 @@
         self.boot.compared(peer, beat.ready, beat.age);
     }
 
-    fn tell(&mut self, now: Moment) {
+    fn tell(&mut self, now: Instant) {
         if !self.spread.is_due(now) {
             return;
         }
@@ -87,12 +87,12 @@
         }
     }
 
-    fn judge(&mut self, now: Moment) {
+    fn judge(&mut self, now: Instant) {
         let around = Around {
             ready: self.peers.ready_count(),
             peers: self.peers.count() - 1,
             confirmed: self.calls.confirmed(),
-            failing: self.calls.failing(Kind::ALL[0]),
+            failing: self.calls.failing(ObjectKind::ALL[0]),
             busy: self.repair.is_busy(),
         };
         match self.boot.step(now, around) {
@@ -102,15 +102,15 @@
         }
     }
 
-    fn try_api(&mut self, now: Moment) {
+    fn try_api(&mut self, now: Instant) {
         let members = u32::try_from(self.peers.count()).unwrap_or(u32::MAX);
         let spread = Duration::from_secs_f64(f64::from(members) / TRY_RATE);
         let at = now + calls::uniform(&mut self.rng, spread.min(MAX_TRY));
         self.boot.try_api(at);
-        self.calls.hasten_one(Kind::ALL[0], at);
+        self.calls.hasten_one(ObjectKind::ALL[0], at);
     }
 
-    fn compare_fresh(&mut self, now: Moment) {
+    fn compare_fresh(&mut self, now: Instant) {
         let boot = &self.boot;
         let skip = |name: &VmName| boot.skips(now, name);
         let Some(peer) = self.peers.candidate(&mut self.rng, skip) else {
@@ -120,7 +120,7 @@
         self.compare(now, peer);
     }
 
-    fn call(&mut self, now: Moment) {
+    fn call(&mut self, now: Instant) {
         let alone = self.peers.is_alone() || now.since(self.peer_heard) >= LONELY;
         let members = self.peers.count();
         let mode = match (self.peers.is_watcher(), self.readiness().is_ready()) {
@@ -141,7 +141,7 @@
     }
 
     /// Sets the calls of a fresh process going.
-    pub(super) fn kick(&mut self, now: Moment) {
+    pub(super) fn kick(&mut self, now: Instant) {
         if self.kicked {
             return;
         }
--- a/crates/peppercrank-config/src/store.rs
+++ b/crates/peppercrank-config/src/store.rs
@@ -17,9 +17,9 @@
 use peppercrank_core::names::PoolName;
 use peppercrank_core::names::TargetName;
 use peppercrank_core::names::TemplateName;
-use peppercrank_core::objects::Kind;
 use peppercrank_core::objects::Mark;
 use peppercrank_core::objects::ObjectKey;
+use peppercrank_core::objects::ObjectKind;
 use peppercrank_core::objects::Pool;
 use peppercrank_core::objects::Template;
 
@@ -42,9 +42,9 @@
 pub const MAX_TOMBSTONES: usize = 4_096;
 
 /// How many kinds there are.
-pub const KINDS: usize = Kind::ALL.len();
+pub const KINDS: usize = ObjectKind::ALL.len();
 
-/// `Complete` is, for each kind in the order of [`Kind::ALL`], the revision up to which a
+/// `Complete` is, for each kind in the order of [`ObjectKind::ALL`], the revision up to which a
 /// process knows every object.
 pub type Complete = [Version; KINDS];
 
@@ -88,11 +88,11 @@
     /// use peppercrank_config::Version;
     /// use peppercrank_config::publish::key;
     /// use peppercrank_config::store::Merged;
-    /// use peppercrank_core::objects::Kind;
+    /// use peppercrank_core::objects::ObjectKind;
     ///
     /// let mut store = Store::new();
     /// let mut object = Object {
-    ///     key: key(Kind::Mark, "engine-7")?,
+    ///     key: key(ObjectKind::Mark, "engine-7")?,
     ///     version: Version(8),
     ///     body: None,
     /// };
@@ -126,7 +126,7 @@
     /// deleted.
     pub fn merge_list(
         &mut self,
-        kind: Kind,
+        kind: ObjectKind,
         revision: Version,
         objects: &[Object],
     ) -> Vec<(Object, Merged)> {
@@ -150,7 +150,7 @@
     /// `merge_changes` takes in the changes of one kind after `since` up to `revision`.
     pub fn merge_changes(
         &mut self,
-        kind: Kind,
+        kind: ObjectKind,
         since: Version,
         revision: Version,
         objects: &[Object],
@@ -178,7 +178,7 @@
     }
 
     /// `set_complete` notes that every object of the kind at `revision` was merged.
-    pub fn set_complete(&mut self, kind: Kind, revision: Version) {
+    pub fn set_complete(&mut self, kind: ObjectKind, revision: Version) {
         let slot = &mut self.complete[kind as usize];
         *slot = revision.max(*slot);
         self.drop_tombstones();
@@ -186,7 +186,7 @@
 
     /// `complete` is the revision up to which every object of the kind is known.
     #[must_use]
-    pub const fn complete(&self, kind: Kind) -> Version {
+    pub const fn complete(&self, kind: ObjectKind) -> Version {
         self.complete[kind as usize]
     }
 
--- a/crates/peppercrank-config/tests/common/mod.rs
+++ b/crates/peppercrank-config/tests/common/mod.rs
@@ -26,9 +26,9 @@
 use peppercrank_core::names::ObjectName;
 use peppercrank_core::names::VmName;
 use peppercrank_core::names::ZoneName;
-use peppercrank_core::objects::Kind;
 use peppercrank_core::objects::ObjectKey;
-use peppercrank_core::time::Moment;
+use peppercrank_core::objects::ObjectKind;
+use peppercrank_core::time::Instant;
 use platform::Health;
 use platform::Platform;
 use rand::RngExt;
@@ -301,8 +301,8 @@
         }
     }
 
-    fn moment(&self) -> Moment {
-        Moment::from_origin(self.now)
+    fn moment(&self) -> Instant {
+        Instant::from_origin(self.now)
     }
 
     fn happen(&mut self, i: usize, event: Event) {
@@ -455,7 +455,7 @@
     }
 }
 
-pub fn key(kind: Kind, name: &str) -> ObjectKey {
+pub fn key(kind: ObjectKind, name: &str) -> ObjectKey {
     let name = ObjectName::new(name).unwrap();
     ObjectKey { kind, name }
 }
--- a/crates/peppercrank-config/tests/common/platform.rs
+++ b/crates/peppercrank-config/tests/common/platform.rs
@@ -11,8 +11,8 @@
 use peppercrank_config::Version;
 use peppercrank_config::relay::Answer;
 use peppercrank_config::relay::Call;
-use peppercrank_core::objects::Kind;
 use peppercrank_core::objects::ObjectKey;
+use peppercrank_core::objects::ObjectKind;
 
 /// How the API behaves.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -84,7 +84,7 @@
     }
 
     /// What changed of a kind after a revision.
-    pub fn changed(&self, kind: Kind, since: Version) -> Answer {
+    pub fn changed(&self, kind: ObjectKind, since: Version) -> Answer {
         let whole = since == Version(0);
         let objects = self.objects.values().filter(|o| o.key.kind == kind);
         let objects = objects.filter(|o| o.version > since);
--- a/crates/peppercrank-config/tests/verify_checks.rs
+++ b/crates/peppercrank-config/tests/verify_checks.rs
@@ -10,8 +10,8 @@
 use peppercrank_config::errors::Flaw;
 use peppercrank_config::validate;
 use peppercrank_core::names::ObjectName;
-use peppercrank_core::objects::Kind;
 use peppercrank_core::objects::ObjectKey;
+use peppercrank_core::objects::ObjectKind;
 use serde_json::Value;
 use serde_json::json;
 
@@ -23,17 +23,17 @@
     "queue":64,"wait_ms":2000,"prefix":2048,"tries":3,"retries":0.1}}}"#;
 const MARK: &str = r#"{"spec":{"target":"x","action":"remove","grace_ms":5}}"#;
 
-fn good(kind: Kind) -> Value {
+fn good(kind: ObjectKind) -> Value {
     let text = match kind {
-        Kind::Template => TEMPLATE,
-        Kind::Organisation => ORGANISATION,
-        Kind::Pool => POOL,
-        Kind::Mark => MARK,
+        ObjectKind::Template => TEMPLATE,
+        ObjectKind::Organisation => ORGANISATION,
+        ObjectKind::Pool => POOL,
+        ObjectKind::Mark => MARK,
     };
     serde_json::from_str(text).unwrap()
 }
 
-fn check(kind: Kind, body: &Value) -> Result<(), (String, Flaw)> {
+fn check(kind: ObjectKind, body: &Value) -> Result<(), (String, Flaw)> {
     let name = ObjectName::new("x").unwrap();
     let checked = validate(kind, &name, &body.to_string());
     checked.map(drop).map_err(|f| (f.path, f.flaw))
@@ -41,22 +41,22 @@
 
 #[test]
 fn verify_good_objects() {
-    for kind in Kind::ALL {
+    for kind in ObjectKind::ALL {
         assert_eq!(check(*kind, &good(*kind)), Ok(()));
     }
     let service = json!({"service": {"cost": 1, "repeatable": false}});
-    let mut pool = good(Kind::Pool);
+    let mut pool = good(ObjectKind::Pool);
     pool["spec"]["serves"] = service;
-    assert_eq!(check(Kind::Pool, &pool), Ok(()));
+    assert_eq!(check(ObjectKind::Pool, &pool), Ok(()));
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one table")]
 fn verify_faults_with_paths() {
-    use Kind::Mark;
-    use Kind::Organisation;
-    use Kind::Pool;
-    use Kind::Template;
+    use ObjectKind::Mark;
+    use ObjectKind::Organisation;
+    use ObjectKind::Pool;
+    use ObjectKind::Template;
     let upper = json!(["A".repeat(64)]);
     let twice = json!(["a".repeat(64), "a".repeat(64)]);
     let cases = [
@@ -200,30 +200,39 @@
         &trailing,
     ];
     for body in bodies {
-        assert!(validate(Kind::Template, &name, body).is_err(), "{body:.20}");
+        assert!(
+            validate(ObjectKind::Template, &name, body).is_err(),
+            "{body:.20}"
+        );
     }
-    let mut body = good(Kind::Template);
+    let mut body = good(ObjectKind::Template);
     for (id, fine) in [
         ("0".repeat(32), true),
         ("0".repeat(31), false),
         ("+".repeat(32), false),
     ] {
         body["publish"] = json!(id);
-        assert_eq!(check(Kind::Template, &body).is_ok(), fine, "{id}");
+        assert_eq!(check(ObjectKind::Template, &body).is_ok(), fine, "{id}");
     }
 }
 
 #[test]
 fn verify_parameters_resolved() {
     let mut store = Store::new();
-    put(&mut store, Kind::Organisation, "o", 1, Some(ORGANISATION));
+    put(
+        &mut store,
+        ObjectKind::Organisation,
+        "o",
+        1,
+        Some(ORGANISATION),
+    );
     let name = "o".parse().unwrap();
     let digest = [0xaa; 32];
     assert!(store.organisation(&name).unwrap().parameters.is_none());
     assert!(matches!(warnings(&store)[..], [Warning::NoTemplate { .. }]));
-    put(&mut store, Kind::Template, "t", 2, Some(TEMPLATE));
+    put(&mut store, ObjectKind::Template, "t", 2, Some(TEMPLATE));
     assert!(matches!(warnings(&store)[..], [Warning::NoModel { .. }]));
-    put(&mut store, Kind::Pool, "p", 3, Some(POOL));
+    put(&mut store, ObjectKind::Pool, "p", 3, Some(POOL));
     assert_eq!(warnings(&store), []);
     let found = store.organisation_by_key(&digest).unwrap();
     let parameters = found.parameters.as_ref().unwrap();
@@ -232,27 +241,33 @@
     assert_eq!(store.pools_of(&model).count(), 1);
     // The template's change reaches those that name it; its deletion leaves them without.
     let changed = TEMPLATE.replace("\"priority\":5", "\"priority\":7");
-    put(&mut store, Kind::Template, "t", 4, Some(&changed));
+    put(&mut store, ObjectKind::Template, "t", 4, Some(&changed));
     let found = store.organisation_by_key(&digest).unwrap();
     assert_eq!(found.parameters.as_ref().unwrap().priority, 7);
-    put(&mut store, Kind::Template, "t", 5, None);
+    put(&mut store, ObjectKind::Template, "t", 5, None);
     assert!(store.organisation(&name).unwrap().parameters.is_none());
     // A key of two organisations finds neither.
-    put(&mut store, Kind::Organisation, "o2", 6, Some(ORGANISATION));
+    put(
+        &mut store,
+        ObjectKind::Organisation,
+        "o2",
+        6,
+        Some(ORGANISATION),
+    );
     assert!(store.organisation_by_key(&digest).is_none());
     assert!(matches!(warnings(&store)[0], Warning::SharedKey { .. }));
-    put(&mut store, Kind::Organisation, "o2", 7, None);
+    put(&mut store, ObjectKind::Organisation, "o2", 7, None);
     assert!(store.organisation_by_key(&digest).is_some());
-    put(&mut store, Kind::Pool, "p", 8, None);
+    put(&mut store, ObjectKind::Pool, "p", 8, None);
     assert_eq!(store.pools_of(&model).count(), 0);
-    put(&mut store, Kind::Mark, "x", 9, Some(MARK));
+    put(&mut store, ObjectKind::Mark, "x", 9, Some(MARK));
     let target = "x".parse().unwrap();
     assert_eq!(store.mark(&target).unwrap().grace_ms, 5);
-    put(&mut store, Kind::Mark, "x", 10, None);
+    put(&mut store, ObjectKind::Mark, "x", 10, None);
     assert!(store.mark(&target).is_none());
 }
 
-fn put(store: &mut Store, kind: Kind, name: &str, version: u64, body: Option<&str>) {
+fn put(store: &mut Store, kind: ObjectKind, name: &str, version: u64, body: Option<&str>) {
     let name = ObjectName::new(name).unwrap();
     store.merge(&peppercrank_config::Object {
         key: ObjectKey { kind, name },
--- a/crates/peppercrank-config/tests/verify_merge.rs
+++ b/crates/peppercrank-config/tests/verify_merge.rs
@@ -12,8 +12,8 @@
 use peppercrank_config::store::MAX_TOMBSTONES;
 use peppercrank_config::store::Merged;
 use peppercrank_core::names::ObjectName;
-use peppercrank_core::objects::Kind;
 use peppercrank_core::objects::ObjectKey;
+use peppercrank_core::objects::ObjectKind;
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
 use rand::SeedableRng;
@@ -33,7 +33,7 @@
 
 fn key(name: &str) -> ObjectKey {
     let name = ObjectName::new(name).unwrap();
-    let kind = Kind::Mark;
+    let kind = ObjectKind::Mark;
     ObjectKey { kind, name }
 }
 
@@ -133,7 +133,7 @@
         let listed: Vec<Object> = listed.copied().cloned().collect();
         let parts = shuffled(&objects, seed);
         let mut store = merged(&parts[..parts.len() / 2]);
-        store.merge_list(Kind::Mark, revision, &listed);
+        store.merge_list(ObjectKind::Mark, revision, &listed);
         let settled = store.digest();
         let live = |s: &Store| s.marks().count();
         let before = live(&store);
@@ -160,7 +160,7 @@
     }
     // Below no complete revision a tombstone is all that stands against an old message.
     assert_eq!(store.tombstones(), MAX_TOMBSTONES + 100);
-    store.set_complete(Kind::Mark, Version(count * 2));
+    store.set_complete(ObjectKind::Mark, Version(count * 2));
     assert_eq!(store.tombstones(), MAX_TOMBSTONES);
     let body = r#"{"spec":{"target":"t0","action":"remove"}}"#;
     assert_eq!(store.merge(&object(0, 1, Some(body))), Merged::Deleted);
--- a/crates/peppercrank-config/tests/verify_publish.rs
+++ b/crates/peppercrank-config/tests/verify_publish.rs
@@ -19,8 +19,8 @@
 use peppercrank_config::publish::Next;
 use peppercrank_config::publish::Written;
 use peppercrank_config::publish::key;
-use peppercrank_core::objects::Kind;
-use peppercrank_core::time::Moment;
+use peppercrank_core::objects::ObjectKind;
+use peppercrank_core::time::Instant;
 use serde_json::Value;
 use serde_json::json;
 
@@ -118,14 +118,14 @@
 }
 
 fn publisher(id: u128, base: Base, change: Change) -> Publish {
-    let key = key(Kind::Template, "base").unwrap();
-    let deadline = Moment::from_millis(30_000);
+    let key = key(ObjectKind::Template, "base").unwrap();
+    let deadline = Instant::from_millis(30_000);
     Publish::new(key, PublishId(id), base, change, deadline)
 }
 
 /// Carries one act of publishing through to its end.
 fn run(api: &mut Api, mut publish: Publish) -> Next {
-    let mut now = Moment::ZERO;
+    let mut now = Instant::ZERO;
     let mut next = publish.on(now, Input::Begin);
     loop {
         let input = match next {
@@ -197,8 +197,8 @@
         let contents = [(1, spec(11)), (2, spec(12))];
         let mut acts = contents.map(|(i, spec)| publisher(i, base, Change::Put(spec)));
         let writes = acts.each_mut().map(|act| {
-            act.on(Moment::ZERO, Input::Begin);
-            act.on(Moment::ZERO, Input::Read(Ok(api.object.clone())))
+            act.on(Instant::ZERO, Input::Begin);
+            act.on(Instant::ZERO, Input::Read(Ok(api.object.clone())))
         });
         let mut order: Vec<_> = acts.into_iter().zip(writes).collect();
         if first == 2 {
@@ -206,7 +206,7 @@
         }
         let mut ends = order.into_iter().map(|(mut act, write)| {
             let input = api.call(write);
-            act.on(Moment::ZERO, input)
+            act.on(Instant::ZERO, input)
         });
         assert!(matches!(ends.next(), Some(Next::Done(_))));
         let Some(Next::Conflict(conflict)) = ends.next() else {
@@ -226,9 +226,9 @@
     // The operator's program died after its write; it is run again with the id that it printed.
     api.mishaps = vec![Mishap::None, Mishap::AnswerLost];
     let mut died = act();
-    let read = died.on(Moment::ZERO, Input::Begin);
+    let read = died.on(Instant::ZERO, Input::Begin);
     let read = api.call(read);
-    let write = died.on(Moment::ZERO, read);
+    let write = died.on(Instant::ZERO, read);
     api.call(write);
     drop(died);
     let Next::Done(done) = run(&mut api, act()) else {
--- a/crates/peppercrank-config/tests/verify_relay.rs
+++ b/crates/peppercrank-config/tests/verify_relay.rs
@@ -29,9 +29,9 @@
 use peppercrank_core::names::TemplateName;
 use peppercrank_core::names::VmName;
 use peppercrank_core::names::ZoneName;
-use peppercrank_core::objects::Kind;
 use peppercrank_core::objects::ObjectKey;
-use peppercrank_core::time::Moment;
+use peppercrank_core::objects::ObjectKind;
+use peppercrank_core::time::Instant;
 
 /// The bar: a change is in force everywhere within this time.
 const BAR: Duration = Duration::from_secs(7);
@@ -43,7 +43,7 @@
 }
 
 fn base() -> ObjectKey {
-    key(Kind::Template, "base")
+    key(ObjectKind::Template, "base")
 }
 
 /// 26 processes in four zones, all serving version 1 of `base`.
@@ -211,7 +211,7 @@
 #[test]
 fn verify_partitions_with_different_changes() {
     let mut fleet = settled(8);
-    let other = key(Kind::Template, "other");
+    let other = key(ObjectKind::Template, "other");
     for (i, process) in fleet.processes.iter_mut().enumerate() {
         process.side = u32::from(i % 2 == 1);
         process.platform = i % 2 == 0;
@@ -274,7 +274,7 @@
     fleet.run(seconds(25));
     fleet.platform.compacts = true;
     let gone = fleet.put(&base(), None);
-    fleet.put(&key(Kind::Template, "other"), Some(&template(3)));
+    fleet.put(&key(ObjectKind::Template, "other"), Some(&template(3)));
     let others: Vec<usize> = (0..26).filter(|i| *i != 2).collect();
     fleet.start_all(&others);
     fleet.run(seconds(30));
@@ -351,7 +351,7 @@
     fleet.stop(2);
     let object = fleet.put(&base(), Some(&template(2)));
     fleet.run(seconds(300));
-    let now = Moment::from_origin(fleet.now);
+    let now = Instant::from_origin(fleet.now);
     relay.on(now, Input::Tick);
     assert_eq!(relay.readiness(), Readiness::OutOfTouch);
     assert!(!relay.store().covers(&base(), object.version));
@@ -362,10 +362,10 @@
     // Nobody answers: the process must neither spin nor sleep for good.
     let fleet = Fleet::new(5, 2, 18);
     let members: Vec<Member> = fleet.processes.iter().map(|p| p.member.clone()).collect();
-    let mut relay = Relay::new(Moment::ZERO, members[0].clone(), 1);
-    let mut actions = relay.on(Moment::ZERO, Input::Members(members));
-    let (mut wakes, mut calls, mut now) = (0, 0, Moment::ZERO);
-    while now < Moment::from_millis(600_000) {
+    let mut relay = Relay::new(Instant::ZERO, members[0].clone(), 1);
+    let mut actions = relay.on(Instant::ZERO, Input::Members(members));
+    let (mut wakes, mut calls, mut now) = (0, 0, Instant::ZERO);
+    while now < Instant::from_millis(600_000) {
         for action in actions {
             if let Action::Call(call) = action {
                 calls += 1;
@@ -389,7 +389,7 @@
     let keys: Vec<String> = (0..900).map(|i| format!("\"{i:064x}\"")).collect();
     let keys = keys.join(",");
     let body = format!(r#"{{"spec":{{"template":"base","keys":[{keys}]}}}}"#);
-    let key = key(Kind::Organisation, "large");
+    let key = key(ObjectKind::Organisation, "large");
     let object = fleet.put(&key, Some(&body));
     fleet.run(BAR);
     assert!(fleet.everywhere(&key, object.version));
--- a/crates/peppercrank-core/src/blackboard.rs
+++ b/crates/peppercrank-core/src/blackboard.rs
@@ -19,7 +19,7 @@
 use crate::names::TargetName;
 use crate::names::VmName;
 use crate::names::ZoneName;
-use crate::time::Moment;
+use crate::time::Instant;
 use crate::units::Cost;
 
 new_key_type! {
@@ -64,25 +64,26 @@
 /// It holds a sum and its weight rather than their quotient: a mean below one cost unit per unit of
 /// weight would round to nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Mean {
+pub struct MeanLoad {
     /// The load of the targets that it was taken over, added up.
-    pub load: Cost,
+    pub total_load: Cost,
     /// The weight of these targets, added up.
-    pub weight: u64,
+    pub total_weight: u64,
     /// How many targets it was taken over.
-    pub targets: u32,
+    pub target_count: u32,
     /// When it was last renewed.
-    pub at: Moment,
+    pub updated_at: Instant,
 }
 
-impl Mean {
+impl MeanLoad {
     /// `share` is the mean load of a target of this weight, rounded down; zero without weight.
     #[must_use]
-    pub fn share(&self, weight: u32) -> Cost {
-        if self.weight == 0 {
+    pub fn for_weight(&self, weight: u32) -> Cost {
+        if self.total_weight == 0 {
             return Cost::ZERO;
         }
-        let part = u128::from(self.load.0) * u128::from(weight) / u128::from(self.weight);
+        let part =
+            u128::from(self.total_load.0) * u128::from(weight) / u128::from(self.total_weight);
         Cost(u64::try_from(part).unwrap_or(u64::MAX))
     }
 }
@@ -93,40 +94,40 @@
     /// The targets, by key.
     pub targets: SlotMap<TargetKey, Target>,
     /// The keys by name.
-    pub names: BTreeMap<TargetName, TargetKey>,
+    pub keys_by_name: BTreeMap<TargetName, TargetKey>,
     /// The keys of each pool's targets, in order of the targets' names.
-    pub pools: BTreeMap<PoolName, Vec<TargetKey>>,
+    pub keys_by_pool: BTreeMap<PoolName, Vec<TargetKey>>,
     /// The mean load of each pool.
-    pub means: BTreeMap<PoolName, Mean>,
+    pub mean_loads: BTreeMap<PoolName, MeanLoad>,
 }
 
 impl Blackboard {
     /// `put` writes a target, new or known, and returns its key.
-    pub fn put(&mut self, target: Target) -> TargetKey {
-        if let Some(key) = self.names.get(&target.name).copied() {
+    pub fn upsert(&mut self, target: Target) -> TargetKey {
+        if let Some(key) = self.keys_by_name.get(&target.name).copied() {
             self.replace(key, target);
             return key;
         }
         let name = target.name.clone();
         let pool = target.pool.clone();
         let key = self.targets.insert(target);
-        self.names.insert(name, key);
-        self.enlist(&pool, key);
+        self.keys_by_name.insert(name, key);
+        self.add_to_pool(&pool, key);
         key
     }
 
     /// `remove` forgets a target.
     pub fn remove(&mut self, name: &TargetName) -> Option<Target> {
-        let key = self.names.remove(name)?;
+        let key = self.keys_by_name.remove(name)?;
         let target = self.targets.remove(key)?;
-        self.delist(&target.pool, key);
+        self.remove_from_pool(&target.pool, key);
         Some(target)
     }
 
     /// `pool` lists the keys of a pool's targets.
     #[must_use]
-    pub fn pool(&self, pool: &PoolName) -> &[TargetKey] {
-        self.pools.get(pool).map_or(&[], Vec::as_slice)
+    pub fn pool_targets(&self, pool: &PoolName) -> &[TargetKey] {
+        self.keys_by_pool.get(pool).map_or(&[], Vec::as_slice)
     }
 
     fn replace(&mut self, key: TargetKey, target: Target) {
@@ -136,25 +137,25 @@
         };
         let old = std::mem::replace(slot, target);
         if old.pool != pool {
-            self.delist(&old.pool, key);
-            self.enlist(&pool, key);
+            self.remove_from_pool(&old.pool, key);
+            self.add_to_pool(&pool, key);
         }
     }
 
-    fn enlist(&mut self, pool: &PoolName, key: TargetKey) {
-        let keys = self.pools.entry(pool.clone()).or_default();
+    fn add_to_pool(&mut self, pool: &PoolName, key: TargetKey) {
+        let keys = self.keys_by_pool.entry(pool.clone()).or_default();
         keys.push(key);
         let targets = &self.targets;
         keys.sort_by(|a, b| targets[*a].name.cmp(&targets[*b].name));
     }
 
-    fn delist(&mut self, pool: &PoolName, key: TargetKey) {
-        let Some(keys) = self.pools.get_mut(pool) else {
+    fn remove_from_pool(&mut self, pool: &PoolName, key: TargetKey) {
+        let Some(keys) = self.keys_by_pool.get_mut(pool) else {
             return;
         };
         keys.retain(|k| *k != key);
         if keys.is_empty() {
-            self.pools.remove(pool);
+            self.keys_by_pool.remove(pool);
         }
     }
 }
--- a/crates/peppercrank-core/src/errors.rs
+++ b/crates/peppercrank-core/src/errors.rs
@@ -38,30 +38,30 @@
         /// The field that holds the value.
         field: &'static str,
         /// The least value allowed, in the field's unit.
-        least: f64,
+        min: f64,
         /// The greatest value allowed, in the field's unit.
-        most: f64,
+        max: f64,
     },
 }
 
 /// `name` makes the error for a malformed name.
 #[must_use]
-pub fn name(kind: &'static str, text: &str) -> Error {
-    let text = text.chars().take(crate::names::MAX_NAME).collect();
+pub fn invalid_name(kind: &'static str, text: &str) -> Error {
+    let text = text.chars().take(crate::names::MAX_NAME_LEN).collect();
     Error::Name { kind, text }
 }
 
 /// `key` makes the error for a malformed key.
 #[must_use]
-pub fn key(text: &str) -> Error {
-    let text = text.chars().take(crate::names::MAX_NAME).collect();
+pub fn invalid_key(text: &str) -> Error {
+    let text = text.chars().take(crate::names::MAX_NAME_LEN).collect();
     Error::Key { text }
 }
 
 /// `range` makes the error for a value outside its range.
 #[must_use]
-pub fn range(field: &'static str, least: f64, most: f64) -> Error {
-    Error::Range { field, least, most }
+pub fn out_of_range(field: &'static str, min: f64, max: f64) -> Error {
+    Error::Range { field, min, max }
 }
 
 impl fmt::Display for Error {
@@ -81,8 +81,8 @@
                 write!(f, "line {line}, column {column}: {reason}")
             }
             Self::Key { text } => write!(f, "`{text}` is not a hexadecimal key"),
-            Self::Range { field, least, most } => {
-                write!(f, "`{field}` lies outside {least} to {most}")
+            Self::Range { field, min, max } => {
+                write!(f, "`{field}` lies outside {min} to {max}")
             }
         }
     }
--- a/crates/peppercrank-core/src/events.rs
+++ b/crates/peppercrank-core/src/events.rs
@@ -61,7 +61,7 @@
     /// A daemon has ended.
     Stopped = 1003 Info "daemon stopped";
     /// Streams were still open when the time for stopping ran out.
-    StopCut = 1004 Warning "streams cut at the end of the time for stopping";
+    StreamsCutAtStop = 1004 Warning "streams cut at the end of the time for stopping";
     /// The readiness of a daemon changed.
     Ready = 1005 Info "readiness changed";
     /// Settings were read anew.
@@ -77,7 +77,7 @@
     /// A request is tried at another target.
     Retried = 2002 Info "request retried";
     /// An attempt ended with an unknown fate.
-    Unknown = 2003 Warning "attempt may have run";
+    OutcomeUnknown = 2003 Warning "attempt may have run";
     /// An answer was to another attempt.
     WrongAnswer = 2004 Error "answer of another attempt discarded";
     /// A caller went away.
@@ -101,7 +101,7 @@
     /// A member is held to have failed.
     MemberDead = 3003 Warning "member dead";
     /// A control message was not authentic.
-    Forged = 3004 Error "control message refused";
+    ControlMessageRefused = 3004 Error "control message refused";
     /// Nothing was heard from peers or platform past the limit.
     OutOfTouch = 3005 Error "out of touch";
     /// A newer configuration object is in force.
@@ -115,15 +115,15 @@
     /// An entry of the platform's store could not be decoded.
     EntryInvalid = 4005 Error "invalid entry in the store";
     /// The store's history is gone, so a kind of entries is listed anew.
-    Relisted = 4006 Info "entries listed anew";
+    EntriesRelisted = 4006 Info "entries listed anew";
     /// Changes of the configuration were read from the store.
     ChangesRead = 4007 Info "changes read from the store";
     /// The store came back from an older copy, so that all is read anew.
     StoreRestored = 4008 Warning "store back from an older copy";
     /// A target was marked as leaving.
-    Leaving = 5001 Info "target leaving";
+    TargetLeaving = 5001 Info "target leaving";
     /// A leaving target has no work left.
-    Drained = 5002 Info "target drained";
+    TargetDrained = 5002 Info "target drained";
     /// An order was refused for its fencing number.
     OrderRefused = 5003 Warning "order refused";
     /// An order was passed to the engine.
--- a/crates/peppercrank-core/src/keys.rs
+++ b/crates/peppercrank-core/src/keys.rs
@@ -37,10 +37,10 @@
             fn from_str(text: &str) -> crate::Result<Self> {
                 // `from_str_radix` takes a sign, and a header must not smuggle one in.
                 if text.len() != $width || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
-                    return Err(errors::key(text));
+                    return Err(errors::invalid_key(text));
                 }
                 let Ok(value) = <$int>::from_str_radix(text, 16) else {
-                    return Err(errors::key(text));
+                    return Err(errors::invalid_key(text));
                 };
                 Ok(Self(value))
             }
@@ -62,7 +62,7 @@
 impl ChatKey {
     /// `of` derives the key of a chat from its organisation and the caller's chat id.
     #[must_use]
-    pub fn of(organisation: &str, chat: &str) -> Self {
+    pub fn derive(organisation: &str, chat: &str) -> Self {
         // The organisation seeds the hash, so that equal chat ids of two never meet.
         Self(hash64(hash64(0, organisation.as_bytes()), chat.as_bytes()))
     }
--- a/crates/peppercrank-core/src/names.rs
+++ b/crates/peppercrank-core/src/names.rs
@@ -14,11 +14,11 @@
 use crate::errors;
 
 /// The longest name, in bytes.
-pub const MAX_NAME: usize = 63;
+pub const MAX_NAME_LEN: usize = 63;
 
 /// Tells whether `text` may serve as a name.
-fn is_name(text: &str) -> bool {
-    let fits = (1..=MAX_NAME).contains(&text.len());
+fn is_valid_name(text: &str) -> bool {
+    let fits = (1..=MAX_NAME_LEN).contains(&text.len());
     fits && text
         .bytes()
         .all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b"._-".contains(&b))
@@ -38,10 +38,10 @@
             ///
             /// Returns [`Error::Name`] when `text` is not 1 to 63 of `[a-z0-9._-]`.
             pub fn new(text: &str) -> crate::Result<Self> {
-                if is_name(text) {
+                if is_valid_name(text) {
                     return Ok(Self(Arc::from(text)));
                 }
-                Err(errors::name($kind, text))
+                Err(errors::invalid_name($kind, text))
             }
 
             /// `as_str` is the name as text.
--- a/crates/peppercrank-core/src/objects.rs
+++ b/crates/peppercrank-core/src/objects.rs
@@ -18,7 +18,7 @@
 /// `Kind` is the kind of a configuration object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum ObjectKind {
     /// A [`Template`].
     Template,
     /// An [`Organisation`].
@@ -29,7 +29,7 @@
     Mark,
 }
 
-impl Kind {
+impl ObjectKind {
     /// All kinds.
     pub const ALL: &[Self] = &[Self::Template, Self::Organisation, Self::Pool, Self::Mark];
 
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ObjectKey {
     /// The kind.
-    pub kind: Kind,
+    pub kind: ObjectKind,
     /// The name within the kind.
     pub name: ObjectName,
 }
@@ -134,7 +134,7 @@
 /// `Serves` is what a pool serves.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
-pub enum Serves {
+pub enum PoolWorkload {
     /// Chats of these models.
     Models(Vec<ModelName>),
     /// Calls of a plain service, each of this cost.
@@ -151,7 +151,7 @@
 /// `Policy` is how a pool is balanced.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Policy {
+pub struct PoolPolicy {
     /// The multiple of the pool's mean load that no target exceeds; above 1, at most 10.
     pub cap: f64,
     /// Load that a target may always carry, whatever the mean, in cost units.
@@ -173,15 +173,15 @@
 #[serde(deny_unknown_fields)]
 pub struct Pool {
     /// What it serves.
-    pub serves: Serves,
+    pub serves: PoolWorkload,
     /// How it is balanced.
-    pub policy: Policy,
+    pub policy: PoolPolicy,
 }
 
 /// `Action` is what a mark asks of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Action {
+pub enum MarkAction {
     /// Take the target out: no new work, what runs may be ended after `grace_ms`.
     Remove,
     /// Shut the target down gracefully: no new work, what runs goes on to its end.
@@ -195,7 +195,7 @@
     /// The target.
     pub target: TargetName,
     /// What to do.
-    pub action: Action,
+    pub action: MarkAction,
     /// For a removal, the time left to what runs, in milliseconds.
     #[serde(default)]
     pub grace_ms: u64,
--- a/crates/peppercrank-core/src/refusal.rs
+++ b/crates/peppercrank-core/src/refusal.rs
@@ -101,7 +101,7 @@
 
 /// `Outcome` is how one attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// The target saw nothing of the request.
     NotRun(NotRun),
     /// The target may have run some or all of it.
--- a/crates/peppercrank-core/src/settings.rs
+++ b/crates/peppercrank-core/src/settings.rs
@@ -38,27 +38,27 @@
 ///
 /// Returns [`Error::Settings`] with the place of the first fault.
 pub fn parse<T: DeserializeOwned>(text: &str) -> crate::Result<T> {
-    let tree = tree(text)?;
-    refuse_doubles(text, &tree)?;
+    let tree = parse_tree(text)?;
+    reject_duplicate_keys(text, &tree)?;
     let plain = serde_json::Value::from(tree.clone());
     serde_path_to_error::deserialize(plain).map_err(|e| {
-        let at = locate(&tree, e.path());
-        fault(text, at, &e.inner().to_string())
+        let at = offset_of_path(&tree, e.path());
+        error_at(text, at, &e.inner().to_string())
     })
 }
 
 /// The syntax tree of `text`, with the place of each part.
-fn tree(text: &str) -> crate::Result<Value<'_>> {
+fn parse_tree(text: &str) -> crate::Result<Value<'_>> {
     match parse_to_ast(text, &CollectOptions::default(), &SYNTAX) {
         Ok(result) => result
             .value
-            .ok_or_else(|| fault(text, text.len(), "no value")),
-        Err(e) => Err(fault(text, e.range().start, &e.kind().to_string())),
+            .ok_or_else(|| error_at(text, text.len(), "no value")),
+        Err(e) => Err(error_at(text, e.range().start, &e.kind().to_string())),
     }
 }
 
 /// Refuses a key that stands twice in one object: which was meant cannot be known.
-fn refuse_doubles(text: &str, value: &Value<'_>) -> crate::Result<()> {
+fn reject_duplicate_keys(text: &str, value: &Value<'_>) -> crate::Result<()> {
     match value {
         Value::Object(object) => {
             let mut seen = BTreeSet::new();
@@ -66,23 +66,23 @@
                 let name = property.name.as_str();
                 if !seen.insert(name) {
                     let reason = format!("the key `{name}` stands twice");
-                    return Err(fault(text, property.range.start, &reason));
+                    return Err(error_at(text, property.range.start, &reason));
                 }
-                refuse_doubles(text, &property.value)?;
+                reject_duplicate_keys(text, &property.value)?;
             }
             Ok(())
         }
         Value::Array(array) => array
             .elements
             .iter()
-            .try_for_each(|v| refuse_doubles(text, v)),
+            .try_for_each(|v| reject_duplicate_keys(text, v)),
         _ => Ok(()),
     }
 }
 
 /// The byte at which the part at `path` begins, or the last known part on the way there.
-fn locate(tree: &Value<'_>, path: &Path) -> usize {
-    let mut at = start(tree);
+fn offset_of_path(tree: &Value<'_>, path: &Path) -> usize {
+    let mut at = start_offset(tree);
     let mut value = tree;
     for segment in path {
         match (segment, value) {
@@ -98,7 +98,7 @@
                 let Some(element) = array.elements.get(*index) else {
                     return at;
                 };
-                at = start(element);
+                at = start_offset(element);
                 value = element;
             }
             _ => return at,
@@ -108,7 +108,7 @@
 }
 
 /// The byte at which `value` begins.
-fn start(value: &Value<'_>) -> usize {
+fn start_offset(value: &Value<'_>) -> usize {
     match value {
         Value::StringLit(v) => v.range.start,
         Value::NumberLit(v) => v.range.start,
@@ -120,7 +120,7 @@
 }
 
 /// The error for a fault at byte `at` of `text`.
-fn fault(text: &str, at: usize, reason: &str) -> Error {
+fn error_at(text: &str, at: usize, reason: &str) -> Error {
     let before = text.get(..at).unwrap_or(text);
     let line = before.matches('\n').count() + 1;
     let column = before.rsplit('\n').next().map_or(0, |l| l.chars().count()) + 1;
--- a/crates/peppercrank-core/src/status.rs
+++ b/crates/peppercrank-core/src/status.rs
@@ -17,7 +17,7 @@
 use crate::names::TargetName;
 use crate::names::VmName;
 use crate::names::ZoneName;
-use crate::objects::Action;
+use crate::objects::MarkAction;
 use crate::objects::ObjectKey;
 use crate::units::Cost;
 
@@ -30,7 +30,7 @@
 /// `Role` is which daemon answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Role {
+pub enum DaemonRole {
     /// It takes callers' requests.
     Router,
     /// It stands beside one target.
@@ -45,14 +45,14 @@
     /// Its availability zone.
     pub zone: ZoneName,
     /// Which daemon it is.
-    pub role: Role,
+    pub role: DaemonRole,
     /// Whether `/readyz` says yes.
     pub ready: bool,
     /// Whether it was told to stop.
     #[serde(default)]
     pub stopping: bool,
     /// The configuration that it holds.
-    pub configuration: Configuration,
+    pub configuration: ConfigurationStatus,
     /// Where it takes control calls, none when it does not say.
     #[serde(default)]
     pub control: Option<SocketAddr>,
@@ -63,7 +63,7 @@
 
 /// `Configuration` is what configuration a daemon holds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Configuration {
+pub struct ConfigurationStatus {
     /// Digest over all objects and versions, hexadecimal: equal where the configuration is.
     pub digest: String,
     /// The highest version among the objects held.
@@ -75,12 +75,12 @@
     pub age_ms: Option<u64>,
     /// Objects that failed the checks, so that an older version is in force.
     #[serde(default)]
-    pub invalid: Vec<Invalid>,
+    pub invalid: Vec<InvalidObject>,
 }
 
 /// `Invalid` is an object that failed the checks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Invalid {
+pub struct InvalidObject {
     /// The object.
     pub key: ObjectKey,
     /// The version that failed.
@@ -125,14 +125,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainStatus {
     /// What its mark asks.
-    pub action: Action,
+    pub action: MarkAction,
     /// Whether nothing runs any more and its pointers were handed on.
     pub drained: bool,
 }
 
 /// `Held` is what a daemon holds of one object.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldObject {
     /// The version in force, a tombstone's included; 0 when it never heard of one.
     pub version: u64,
     /// Whether that version is a deletion.
--- a/crates/peppercrank-core/src/time.rs
+++ b/crates/peppercrank-core/src/time.rs
@@ -9,15 +9,15 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// `Moment` is a point of one process's monotonic clock, as time since that process's origin.
+/// `Instant` is a point of one process's monotonic clock, as time since that process's origin.
 ///
 /// Moments of two processes cannot be compared: only durations travel between them.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Moment(Duration);
+pub struct Instant(Duration);
 
-impl Moment {
+impl Instant {
     /// The origin of the clock.
     pub const ZERO: Self = Self(Duration::ZERO);
 
@@ -41,7 +41,7 @@
 
     /// `earlier` is the moment so long before, the clock's origin where that lies before it.
     #[must_use]
-    pub const fn earlier(self, by: Duration) -> Self {
+    pub const fn saturating_sub(self, by: Duration) -> Self {
         Self(self.0.saturating_sub(by))
     }
 
@@ -52,7 +52,7 @@
     }
 }
 
-impl Add<Duration> for Moment {
+impl Add<Duration> for Instant {
     type Output = Self;
 
     fn add(self, rhs: Duration) -> Self {
--- a/crates/peppercrank-core/src/units.rs
+++ b/crates/peppercrank-core/src/units.rs
@@ -13,12 +13,12 @@
 use serde::Serialize;
 
 /// Work of one prompt token that is not cached, in cost units.
-pub const PROMPT_COST: u64 = 1;
+pub const PROMPT_TOKEN_COST: u64 = 1;
 
 /// Work of one generated token, in cost units.
 ///
 /// A generated token takes one decoding step, a prompt token a share of a wide prefill step.
-pub const OUTPUT_COST: u64 = 4;
+pub const OUTPUT_TOKEN_COST: u64 = 4;
 
 /// `Cost` is the load unit: work reserved on a target, in uncached prompt tokens' worth.
 ///
@@ -34,9 +34,9 @@
 
     /// `of_chat` is the cost of `uncached` prompt tokens and `output` expected tokens.
     #[must_use]
-    pub const fn of_chat(uncached: u64, output: u64) -> Self {
-        let prompt = uncached.saturating_mul(PROMPT_COST);
-        let answer = output.saturating_mul(OUTPUT_COST);
+    pub const fn for_chat(uncached: u64, output: u64) -> Self {
+        let prompt = uncached.saturating_mul(PROMPT_TOKEN_COST);
+        let answer = output.saturating_mul(OUTPUT_TOKEN_COST);
         Self(prompt.saturating_add(answer))
     }
 }
--- a/crates/peppercrank-core/tests/verify_blackboard.rs
+++ b/crates/peppercrank-core/tests/verify_blackboard.rs
@@ -4,14 +4,14 @@
 //! The blackboard keeps its indexes true to its targets.
 
 use peppercrank_core::blackboard::Blackboard;
-use peppercrank_core::blackboard::Mean;
+use peppercrank_core::blackboard::MeanLoad;
 use peppercrank_core::blackboard::Target;
 use peppercrank_core::blackboard::TargetState;
 use peppercrank_core::names::PoolName;
 use peppercrank_core::names::TargetName;
 use peppercrank_core::names::VmName;
 use peppercrank_core::names::ZoneName;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 
 fn target(name: &str, pool: &str) -> Target {
@@ -29,24 +29,24 @@
 #[test]
 fn verify_a_target_that_changes_pool_moves() {
     let mut board = Blackboard::default();
-    let key = board.put(target("b", "first"));
-    board.put(target("a", "first"));
-    assert_eq!(board.put(target("b", "second")), key);
+    let key = board.upsert(target("b", "first"));
+    board.upsert(target("a", "first"));
+    assert_eq!(board.upsert(target("b", "second")), key);
     let first = PoolName::new("first").unwrap();
     let second = PoolName::new("second").unwrap();
-    assert_eq!(board.pool(&first).len(), 1);
-    assert_eq!(board.pool(&second), [key]);
+    assert_eq!(board.pool_targets(&first).len(), 1);
+    assert_eq!(board.pool_targets(&second), [key]);
 }
 
 #[test]
-fn verify_targets_stand_in_order_of_name() {
+fn verify_pool_targets_are_sorted_by_name() {
     let mut board = Blackboard::default();
     for name in ["c", "a", "b"] {
-        board.put(target(name, "pool"));
+        board.upsert(target(name, "pool"));
     }
     let pool = PoolName::new("pool").unwrap();
     let names: Vec<_> = board
-        .pool(&pool)
+        .pool_targets(&pool)
         .iter()
         .map(|k| board.targets[*k].name.as_str())
         .collect();
@@ -56,16 +56,20 @@
 #[test]
 fn verify_a_removed_target_is_gone_everywhere() {
     let mut board = Blackboard::default();
-    let key = board.put(target("a", "pool"));
+    let key = board.upsert(target("a", "pool"));
     let name = TargetName::new("a").unwrap();
     assert!(board.remove(&name).is_some());
     assert!(board.remove(&name).is_none());
-    assert!(board.pool(&PoolName::new("pool").unwrap()).is_empty());
+    assert!(
+        board
+            .pool_targets(&PoolName::new("pool").unwrap())
+            .is_empty()
+    );
     assert!(board.targets.get(key).is_none());
 }
 
 #[test]
-fn verify_a_mean_is_shared_by_weight() {
+fn verify_a_mean_load_scales_with_weight() {
     let table = [
         (9, 300, 100, 3),
         (2, 400, 100, 0),
@@ -74,14 +78,14 @@
         (u64::MAX, 1, u32::MAX, u64::MAX),
     ];
     for (load, weight, own, share) in table {
-        let mean = Mean {
-            load: Cost(load),
-            weight,
-            targets: 3,
-            at: Moment::ZERO,
+        let mean = MeanLoad {
+            total_load: Cost(load),
+            total_weight: weight,
+            target_count: 3,
+            updated_at: Instant::ZERO,
         };
         assert_eq!(
-            mean.share(own),
+            mean.for_weight(own),
             Cost(share),
             "{load} over {weight} for {own}"
         );
--- a/crates/peppercrank-core/tests/verify_events.rs
+++ b/crates/peppercrank-core/tests/verify_events.rs
@@ -30,6 +30,6 @@
 }
 
 #[test]
-fn verify_numbers_rise() {
+fn verify_event_numbers_are_ascending() {
     assert!(Event::ALL.windows(2).all(|w| w[0].number() < w[1].number()));
 }
--- a/crates/peppercrank-core/tests/verify_values.rs
+++ b/crates/peppercrank-core/tests/verify_values.rs
@@ -12,7 +12,7 @@
 use peppercrank_core::refusal::MayHaveRun;
 use peppercrank_core::refusal::NotRun;
 use peppercrank_core::settings;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn verify_keys_read_back() {
+fn verify_keys_round_trip() {
     fn property(value: u128) -> bool {
         let key = AttemptId(value);
         key.to_string().parse() == Ok(key)
@@ -75,29 +75,32 @@
 }
 
 #[test]
-fn verify_equal_chats_of_two_organisations_differ() {
-    assert_ne!(ChatKey::of("first", "1"), ChatKey::of("second", "1"));
-    assert_eq!(ChatKey::of("first", "1"), ChatKey::of("first", "1"));
+fn verify_chat_keys_differ_between_organisations() {
+    assert_ne!(
+        ChatKey::derive("first", "1"),
+        ChatKey::derive("second", "1")
+    );
+    assert_eq!(ChatKey::derive("first", "1"), ChatKey::derive("first", "1"));
 }
 
 #[test]
 fn verify_time_never_goes_below_zero() {
-    let early = Moment::from_millis(5);
-    let late = Moment::from_millis(9);
+    let early = Instant::from_millis(5);
+    let late = Instant::from_millis(9);
     assert_eq!(late.since(early), Duration::from_millis(4));
     assert_eq!(early.since(late), Duration::ZERO);
-    assert!(Moment::from_origin(Duration::MAX) + Duration::MAX >= late);
+    assert!(Instant::from_origin(Duration::MAX) + Duration::MAX >= late);
 }
 
 #[test]
 fn verify_costs_saturate() {
     assert_eq!(Cost(1) - Cost(2), Cost::ZERO);
     assert_eq!(Cost(u64::MAX) + Cost(1), Cost(u64::MAX));
-    assert_eq!(Cost::of_chat(100, 10), Cost(140));
+    assert_eq!(Cost::for_chat(100, 10), Cost(140));
 }
 
 #[test]
-fn verify_codes_read_back() {
+fn verify_reason_codes_round_trip() {
     for reason in NotRun::ALL {
         assert_eq!(NotRun::from_code(reason.code()), Some(*reason));
     }
@@ -115,7 +118,7 @@
 }
 
 #[test]
-fn verify_settings_name_the_place_of_a_fault() {
+fn verify_settings_errors_report_line_and_column() {
     let table = [
         ("{\n  // comment\n  \"name\": \"ok\"\n}", None),
         ("{\n  \"name\": \"ok\", // last\n}", None),
--- a/crates/peppercrank-daemon/src/agent/attempt.rs
+++ b/crates/peppercrank-daemon/src/agent/attempt.rs
@@ -14,7 +14,7 @@
 use peppercrank_core::keys::RequestId;
 use peppercrank_core::names::OrganisationName;
 use peppercrank_core::names::PoolName;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 use peppercrank_route::Ask;
 
@@ -170,7 +170,7 @@
 
     /// `arrival` is the attempt as the admission takes it, at its cost here.
     #[must_use]
-    pub fn arrival(&self, now: Moment, ticket: Ticket, cost: Cost) -> Arrival {
+    pub fn arrival(&self, now: Instant, ticket: Ticket, cost: Cost) -> Arrival {
         Arrival {
             ticket,
             attempt: self.id,
--- a/crates/peppercrank-daemon/src/agent/control.rs
+++ b/crates/peppercrank-daemon/src/agent/control.rs
@@ -12,7 +12,7 @@
 use peppercrank_core::names::OrganisationName;
 use peppercrank_core::objects::Mark;
 use peppercrank_core::objects::Parameters;
-use peppercrank_core::objects::Policy;
+use peppercrank_core::objects::PoolPolicy;
 use peppercrank_route::Note;
 use peppercrank_route::Ranking;
 use tokio::sync::mpsc;
@@ -64,7 +64,7 @@
 /// What the configuration says for this agent.
 #[derive(Debug, Default)]
 struct Wanted {
-    policy: Option<Policy>,
+    policy: Option<PoolPolicy>,
     mark: Option<Mark>,
     organisations: BTreeMap<OrganisationName, Option<Parameters>>,
 }
@@ -123,7 +123,7 @@
     match &wanted.mark {
         Some(mark) => {
             let about = agent.settings.target.name.as_str();
-            agent.fleet.log.event(Event::Leaving, about);
+            agent.fleet.log.event(Event::TargetLeaving, about);
             agent.desk.put(Input::Marked(mark.clone()));
         }
         None => agent.desk.put(Input::Unmarked),
--- a/crates/peppercrank-daemon/src/agent/desk.rs
+++ b/crates/peppercrank-daemon/src/agent/desk.rs
@@ -20,9 +20,9 @@
 use peppercrank_admit::Status;
 use peppercrank_admit::Ticket;
 use peppercrank_core::keys::AttemptId;
+use peppercrank_core::refusal::AttemptOutcome;
 use peppercrank_core::refusal::NotRun;
-use peppercrank_core::refusal::Outcome;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 use tokio::sync::Notify;
 use tokio::sync::oneshot;
@@ -202,7 +202,7 @@
 impl Inner {
     fn put(
         &mut self,
-        now: Moment,
+        now: Instant,
         input: Input,
         releases: &Releases,
         drained: &watch::Sender<bool>,
@@ -219,7 +219,7 @@
                     retry_after,
                     ..
                 } => {
-                    let outcome = Outcome::NotRun(reason);
+                    let outcome = AttemptOutcome::NotRun(reason);
                     self.answer(
                         ticket,
                         Answer::Refused(Refusal {
@@ -237,7 +237,7 @@
     }
 
     /// Takes in the ends of requests until there are none.
-    fn settle(&mut self, now: Moment, releases: &Releases, drained: &watch::Sender<bool>) {
+    fn settle(&mut self, now: Instant, releases: &Releases, drained: &watch::Sender<bool>) {
         loop {
             let ended = releases.drain();
             if ended.is_empty() {
--- a/crates/peppercrank-daemon/src/agent/mod.rs
+++ b/crates/peppercrank-daemon/src/agent/mod.rs
@@ -24,7 +24,7 @@
 use peppercrank_core::blackboard::TargetState;
 use peppercrank_core::events::Event;
 use peppercrank_core::names::PoolName;
-use peppercrank_core::objects::Policy;
+use peppercrank_core::objects::PoolPolicy;
 use peppercrank_core::status::DrainStatus;
 use peppercrank_core::status::LoadStatus;
 use peppercrank_core::status::TargetStatus;
@@ -73,7 +73,7 @@
 const HAND_OVER: Duration = Duration::from_secs(2);
 
 /// The policy until the pool's own is known; nothing is admitted by it, since no organisation is.
-const UNKNOWN: Policy = Policy {
+const UNKNOWN: PoolPolicy = PoolPolicy {
     cap: 1.25,
     floor: Cost(0),
     queue: 0,
@@ -154,7 +154,7 @@
     control::start(&agent, inbox.notes);
     let shared = Arc::clone(&agent);
     let shown = pages::Shown {
-        role: peppercrank_core::status::Role::Agent,
+        role: peppercrank_core::status::DaemonRole::Agent,
         targets: Box::new(move |_| vec![shared.status()]),
         edge: edge.counters(),
     };
@@ -196,7 +196,7 @@
             return;
         };
         let about = agent.settings.target.name.as_str();
-        agent.fleet.log.event(Event::Drained, about);
+        agent.fleet.log.event(Event::TargetDrained, about);
         drop(agent);
         // A mark taken back can be set again.
         if drained.wait_for(|drained| !*drained).await.is_err() {
@@ -229,7 +229,7 @@
             .map_err(|cause| Error::Admission { cause })?;
         let own = fleet
             .board()
-            .names
+            .keys_by_name
             .get(&settings.target.name)
             .copied()
             .unwrap_or_default();
@@ -317,7 +317,7 @@
         let bytes = self
             .fleet
             .with_store(|s| s.pool(self.pool()).map_or(0, |p| p.policy.prefix));
-        Cost::of_chat(u64::from(bytes) / BYTES_PER_TOKEN as u64, 0)
+        Cost::for_chat(u64::from(bytes) / BYTES_PER_TOKEN as u64, 0)
     }
 
     /// The hash of another target that may hold the context.
--- a/crates/peppercrank-daemon/src/agent/relay.rs
+++ b/crates/peppercrank-daemon/src/agent/relay.rs
@@ -11,7 +11,7 @@
 use peppercrank_core::keys::AttemptId;
 use peppercrank_core::keys::RequestId;
 use peppercrank_core::refusal::MayHaveRun;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 use peppercrank_route::resume;
 use peppercrank_route::resume::Input;
@@ -65,7 +65,7 @@
     /// What the answer alone is expected to cost.
     pub output: Cost,
     /// When its time is over.
-    pub deadline: Moment,
+    pub deadline: Instant,
     /// The clock.
     pub clock: Clock,
 }
--- a/crates/peppercrank-daemon/src/agent/serve.rs
+++ b/crates/peppercrank-daemon/src/agent/serve.rs
@@ -14,9 +14,9 @@
 use http::response;
 use peppercrank_core::events::Event;
 use peppercrank_core::keys::AttemptId;
+use peppercrank_core::refusal::AttemptOutcome;
 use peppercrank_core::refusal::MayHaveRun;
 use peppercrank_core::refusal::NotRun;
-use peppercrank_core::refusal::Outcome;
 use peppercrank_route::Ask;
 use peppercrank_route::Place;
 use peppercrank_settings::agent::TargetKind;
@@ -61,7 +61,7 @@
         return reply::reject(StatusCode::NOT_FOUND, "path_unknown", None);
     }
     if !agent.fleet.is_authentic(&call.head) {
-        agent.count(Outcome::NotRun(NotRun::Unauthentic));
+        agent.count(AttemptOutcome::NotRun(NotRun::Unauthentic));
         return reply::refuse(Refusal::not_run(NotRun::Unauthentic), None);
     }
     let Ok(attempt) = Attempt::read(&call.head.headers) else {
@@ -84,7 +84,7 @@
         return reply::reject(StatusCode::METHOD_NOT_ALLOWED, "method_unknown", None);
     }
     if !agent.fleet.is_authentic(head) {
-        agent.count(Outcome::NotRun(NotRun::Unauthentic));
+        agent.count(AttemptOutcome::NotRun(NotRun::Unauthentic));
         return reply::refuse(Refusal::not_run(NotRun::Unauthentic), None);
     }
     let Ok(attempt) = id.parse() else {
@@ -356,9 +356,9 @@
     /// Notes how an attempt ended.
     fn ended(&self, attempt: &Attempt, ask: Option<Ask>, ending: Ending) {
         let outcome = match ending {
-            Ending::Whole(_) => Outcome::Done,
-            Ending::Cut | Ending::Cancelled => Outcome::MayHaveRun(MayHaveRun::Cut),
-            Ending::ReaderGone => Outcome::MayHaveRun(MayHaveRun::CallerGone),
+            Ending::Whole(_) => AttemptOutcome::Done,
+            Ending::Cut | Ending::Cancelled => AttemptOutcome::MayHaveRun(MayHaveRun::Cut),
+            Ending::ReaderGone => AttemptOutcome::MayHaveRun(MayHaveRun::CallerGone),
         };
         self.metrics.attempts.get_or_create(&label(outcome)).inc();
         if let Ending::Whole(Some(usage)) = ending {
@@ -374,7 +374,7 @@
         self.metrics.cached.inc_by(usage.details.cached);
     }
 
-    fn count(&self, outcome: Outcome) {
+    fn count(&self, outcome: AttemptOutcome) {
         self.metrics.attempts.get_or_create(&label(outcome)).inc();
     }
 }
--- a/crates/peppercrank-daemon/src/chat.rs
+++ b/crates/peppercrank-daemon/src/chat.rs
@@ -99,7 +99,7 @@
     #[must_use]
     pub fn key(&self, organisation: &str, header: Option<&str>) -> ChatKey {
         if let Some(id) = header.or(self.id.as_deref()) {
-            return ChatKey::of(organisation, id);
+            return ChatKey::derive(organisation, id);
         }
         let mut hash = hash64(0, organisation.as_bytes());
         for (role, text) in &self.messages {
--- a/crates/peppercrank-daemon/src/fleet/config.rs
+++ b/crates/peppercrank-daemon/src/fleet/config.rs
@@ -62,7 +62,7 @@
     }
 
     fn call(&self, call: relay::Call) {
-        let at = peppercrank_core::objects::Kind::ALL
+        let at = peppercrank_core::objects::ObjectKind::ALL
             .iter()
             .position(|k| *k == call.kind());
         let workers = lock(&self.workers);
--- a/crates/peppercrank-daemon/src/fleet/join.rs
+++ b/crates/peppercrank-daemon/src/fleet/join.rs
@@ -206,7 +206,7 @@
 fn own_board(description: &Description) -> Blackboard {
     let mut board = Blackboard::default();
     if let Some(target) = description.target(TargetState::Live) {
-        board.put(target);
+        board.upsert(target);
     }
     board
 }
--- a/crates/peppercrank-daemon/src/fleet/mod.rs
+++ b/crates/peppercrank-daemon/src/fleet/mod.rs
@@ -156,7 +156,7 @@
 
     /// `mean` is the mean load of a pool, as known here.
     #[must_use]
-    pub fn mean(&self, pool: &PoolName) -> Option<peppercrank_core::blackboard::Mean> {
+    pub fn mean(&self, pool: &PoolName) -> Option<peppercrank_core::blackboard::MeanLoad> {
         let now = self.clock.now();
         lock(&self.members).estimate(pool, now).map(|e| e.mean)
     }
--- a/crates/peppercrank-daemon/src/fleet/pages.rs
+++ b/crates/peppercrank-daemon/src/fleet/pages.rs
@@ -9,12 +9,12 @@
 
 use peppercrank_core::blackboard::Target;
 use peppercrank_core::names::ObjectName;
-use peppercrank_core::objects::Kind;
 use peppercrank_core::objects::ObjectKey;
-use peppercrank_core::status::Configuration;
-use peppercrank_core::status::Held;
-use peppercrank_core::status::Invalid;
-use peppercrank_core::status::Role;
+use peppercrank_core::objects::ObjectKind;
+use peppercrank_core::status::ConfigurationStatus;
+use peppercrank_core::status::DaemonRole;
+use peppercrank_core::status::HeldObject;
+use peppercrank_core::status::InvalidObject;
 use peppercrank_core::status::Status;
 use peppercrank_core::status::TargetStatus;
 use peppercrank_settings::Secret;
@@ -47,7 +47,7 @@
 /// `Shown` is what a daemon's pages show besides what all daemons have.
 pub struct Shown {
     /// Which daemon it is.
-    pub role: Role,
+    pub role: DaemonRole,
     /// The targets.
     pub targets: Targets,
     /// The counters of its edge.
@@ -124,16 +124,16 @@
     }
 }
 
-fn configuration(fleet: &Fleet) -> Configuration {
+fn configuration(fleet: &Fleet) -> ConfigurationStatus {
     let age = read(&fleet.relay).age(fleet.clock.now());
     fleet.with_store(|store| {
         let versions = store.keys().filter_map(|key| store.in_force(key));
-        let invalid = store.all_held().map(|(key, held)| Invalid {
+        let invalid = store.all_held().map(|(key, held)| InvalidObject {
             key: key.clone(),
             version: held.version.0,
             reason: held.fault.to_string(),
         });
-        Configuration {
+        ConfigurationStatus {
             digest: format!("{:016x}", store.digest()),
             version: versions.map(|v| v.0).max().unwrap_or(0),
             objects: (store.len() - store.tombstones()) as u64,
@@ -148,7 +148,7 @@
     let parts = rest.split_once('/');
     let key = parts.and_then(|(kind, name)| {
         Some(ObjectKey {
-            kind: Kind::from_code(kind)?,
+            kind: ObjectKind::from_code(kind)?,
             name: ObjectName::new(name).ok()?,
         })
     });
@@ -161,7 +161,7 @@
             && store
                 .objects(&key)
                 .any(|o| o.version.0 == version && o.body.is_none());
-        Held { version, deleted }
+        HeldObject { version, deleted }
     });
     json(&held)
 }
--- a/crates/peppercrank-daemon/src/fleet/platform.rs
+++ b/crates/peppercrank-daemon/src/fleet/platform.rs
@@ -14,8 +14,8 @@
 use peppercrank_config::relay::Call;
 use peppercrank_config::relay::Input;
 use peppercrank_core::names::ObjectName;
-use peppercrank_core::objects::Kind;
 use peppercrank_core::objects::ObjectKey;
+use peppercrank_core::objects::ObjectKind;
 use peppercrank_member::Seed;
 use peppercrank_member::SeedRole;
 use peppercrank_settings::FleetSettings;
@@ -74,13 +74,13 @@
 ///
 /// Returns [`Error::Start`] when a thread cannot be started.
 pub fn workers(platform: &Platform, fleet: &Weak<Fleet>) -> Result<Vec<Worker>> {
-    Kind::ALL
+    ObjectKind::ALL
         .iter()
         .map(|kind| worker(*kind, platform.clone(), Weak::clone(fleet)))
         .collect()
 }
 
-fn worker(kind: Kind, platform: Platform, fleet: Weak<Fleet>) -> Result<Worker> {
+fn worker(kind: ObjectKind, platform: Platform, fleet: Weak<Fleet>) -> Result<Worker> {
     let (tx, rx) = mpsc::channel();
     let run = move || {
         while let Ok(call) = rx.recv() {
@@ -176,7 +176,7 @@
     }
 }
 
-fn objects(kind: Kind, listing: Listing) -> Answer {
+fn objects(kind: ObjectKind, listing: Listing) -> Answer {
     // A name that is none cannot have been published by our tools, and nothing could use it.
     let object = |named: Named| {
         let name = ObjectName::new(&named.name).ok()?;
--- a/crates/peppercrank-daemon/src/fleet/rankings.rs
+++ b/crates/peppercrank-daemon/src/fleet/rankings.rs
@@ -28,11 +28,11 @@
         let ranking = same.map_or_else(|| Arc::new(new), Arc::clone);
         (pool.clone(), ranking)
     };
-    board.pools.keys().map(rank).collect()
+    board.keys_by_pool.keys().map(rank).collect()
 }
 
 fn rank_pool(board: &Blackboard, store: &Store, pool: &PoolName) -> Ranking {
-    let keys = board.pool(pool).iter();
+    let keys = board.pool_targets(pool).iter();
     let known = keys.filter_map(|key| Some((*key, board.targets.get(*key)?)));
     let able = known.filter(|(_, target)| takes_work(target, store));
     Ranking::new(able.map(|(key, t)| (key, TargetHash::of(t.name.as_str()), t.weight)))
--- a/crates/peppercrank-daemon/src/fleet/touch.rs
+++ b/crates/peppercrank-daemon/src/fleet/touch.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use peppercrank_core::events::Event;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::fleet::Fleet;
 use crate::fleet::lock;
@@ -15,15 +15,15 @@
 /// `Heard` is when others were last heard.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Heard {
-    peer: Moment,
-    platform: Moment,
+    peer: Instant,
+    platform: Instant,
     /// Whether the process was in touch when it was last asked.
     touch: bool,
 }
 
 impl Heard {
     /// A process that starts counts as having heard both just now.
-    pub(super) const fn new(now: Moment) -> Self {
+    pub(super) const fn new(now: Instant) -> Self {
         Self {
             peer: now,
             platform: now,
@@ -41,7 +41,7 @@
     pub fn is_in_touch(&self) -> bool {
         let now = self.clock.now();
         let limits = self.settings.touch;
-        let within = |at: Moment, limit: Duration| now.since(at) < limit;
+        let within = |at: Instant, limit: Duration| now.since(at) < limit;
         let mut heard = lock(&self.heard);
         let touch = within(heard.peer, limits.peers) || within(heard.platform, limits.platform);
         let lost = heard.touch && !touch;
--- a/crates/peppercrank-daemon/src/metrics.rs
+++ b/crates/peppercrank-daemon/src/metrics.rs
@@ -5,9 +5,9 @@
 
 use std::sync::atomic::AtomicU64;
 
+use peppercrank_core::refusal::AttemptOutcome;
 use peppercrank_core::refusal::MayHaveRun;
 use peppercrank_core::refusal::NotRun;
-use peppercrank_core::refusal::Outcome;
 use peppercrank_wire::edge::Refused;
 use peppercrank_wire::platform::Ending;
 use peppercrank_wire::platform::Operation;
@@ -232,12 +232,12 @@
     /// Makes each reason stand at zero, so that an alert sees its first occurrence.
     fn touch(&self) {
         for reason in NotRun::ALL {
-            self.touch_reason(Outcome::NotRun(*reason));
+            self.touch_reason(AttemptOutcome::NotRun(*reason));
         }
         for reason in MayHaveRun::ALL {
-            self.touch_reason(Outcome::MayHaveRun(*reason));
+            self.touch_reason(AttemptOutcome::MayHaveRun(*reason));
         }
-        self.touch_reason(Outcome::Done);
+        self.touch_reason(AttemptOutcome::Done);
         for reason in Refused::ALL {
             let label = Reason {
                 run: reason.run(),
@@ -259,7 +259,7 @@
         }
     }
 
-    fn touch_reason(&self, outcome: Outcome) {
+    fn touch_reason(&self, outcome: AttemptOutcome) {
         let label = label(outcome);
         for family in [&self.requests, &self.attempts, &self.retries] {
             drop(family.get_or_create(&label));
@@ -269,17 +269,17 @@
 
 /// `label` is the label of an outcome.
 #[must_use]
-pub fn label(outcome: Outcome) -> Reason {
+pub fn label(outcome: AttemptOutcome) -> Reason {
     match outcome {
-        Outcome::NotRun(reason) => Reason {
+        AttemptOutcome::NotRun(reason) => Reason {
             run: "not_run",
             reason: reason.code(),
         },
-        Outcome::MayHaveRun(reason) => Reason {
+        AttemptOutcome::MayHaveRun(reason) => Reason {
             run: "may_have_run",
             reason: reason.code(),
         },
-        Outcome::Done => Reason {
+        AttemptOutcome::Done => Reason {
             run: "done",
             reason: "done",
         },
--- a/crates/peppercrank-daemon/src/process.rs
+++ b/crates/peppercrank-daemon/src/process.rs
@@ -77,7 +77,9 @@
 pub fn end(fleet: &Fleet, finished: Finished) {
     fleet.leave();
     if finished.cut > 0 {
-        fleet.log.event(Event::StopCut, &finished.cut.to_string());
+        fleet
+            .log
+            .event(Event::StreamsCutAtStop, &finished.cut.to_string());
     }
     fleet.log.event(Event::Stopped, "");
 }
--- a/crates/peppercrank-daemon/src/reply.rs
+++ b/crates/peppercrank-daemon/src/reply.rs
@@ -9,9 +9,9 @@
 use http::StatusCode;
 use http::header;
 use peppercrank_core::keys::RequestId;
+use peppercrank_core::refusal::AttemptOutcome;
 use peppercrank_core::refusal::MayHaveRun;
 use peppercrank_core::refusal::NotRun;
-use peppercrank_core::refusal::Outcome;
 use peppercrank_wire::body;
 use peppercrank_wire::edge::Reply;
 use serde::Serialize;
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
     /// How the request ended; never `Done`.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// When to come back, where that helps.
     pub retry_after: Option<Duration>,
 }
@@ -45,7 +45,7 @@
     #[must_use]
     pub const fn not_run(reason: NotRun) -> Self {
         Self {
-            outcome: Outcome::NotRun(reason),
+            outcome: AttemptOutcome::NotRun(reason),
             retry_after: None,
         }
     }
@@ -54,7 +54,7 @@
     #[must_use]
     pub const fn may_have_run(reason: MayHaveRun) -> Self {
         Self {
-            outcome: Outcome::MayHaveRun(reason),
+            outcome: AttemptOutcome::MayHaveRun(reason),
             retry_after: None,
         }
     }
@@ -64,9 +64,9 @@
 #[must_use]
 pub fn refuse(refusal: Refusal, request: Option<RequestId>) -> Reply {
     let (run, code, status) = match refusal.outcome {
-        Outcome::NotRun(reason) => ("not_run", reason.code(), status_not_run(reason)),
-        Outcome::MayHaveRun(reason) => ("may_have_run", reason.code(), status_may(reason)),
-        Outcome::Done => (
+        AttemptOutcome::NotRun(reason) => ("not_run", reason.code(), status_not_run(reason)),
+        AttemptOutcome::MayHaveRun(reason) => ("may_have_run", reason.code(), status_may(reason)),
+        AttemptOutcome::Done => (
             "may_have_run",
             MayHaveRun::BadAnswer.code(),
             StatusCode::BAD_GATEWAY,
--- a/crates/peppercrank-daemon/src/router/deliver.rs
+++ b/crates/peppercrank-daemon/src/router/deliver.rs
@@ -8,8 +8,8 @@
 use http_body_util::BodyExt;
 use peppercrank_core::events::Event as LogEvent;
 use peppercrank_core::keys::AttemptId;
+use peppercrank_core::refusal::AttemptOutcome;
 use peppercrank_core::refusal::MayHaveRun;
-use peppercrank_core::refusal::Outcome;
 use peppercrank_route::Event;
 use peppercrank_wire::body;
 use peppercrank_wire::body::Feed;
@@ -161,7 +161,7 @@
 /// Notes that an answer broke off after some of it was delivered.
 fn failed(course: &mut Course, attempt: AttemptId, reason: MayHaveRun) {
     course.on(Event::MayHaveRun { attempt, reason });
-    course.router.count(Outcome::MayHaveRun(reason));
+    course.router.count(AttemptOutcome::MayHaveRun(reason));
     let about = format!("{} {}", course.job.id, reason.code());
     course.router.fleet.log.event(LogEvent::StreamCut, &about);
 }
@@ -171,7 +171,7 @@
     course.on(Event::CallerGone);
     course
         .router
-        .count(Outcome::MayHaveRun(MayHaveRun::CallerGone));
+        .count(AttemptOutcome::MayHaveRun(MayHaveRun::CallerGone));
     course
         .router
         .fleet
--- a/crates/peppercrank-daemon/src/router/job.rs
+++ b/crates/peppercrank-daemon/src/router/job.rs
@@ -18,10 +18,10 @@
 use peppercrank_core::names::OrganisationName;
 use peppercrank_core::names::PoolName;
 use peppercrank_core::objects::Parameters;
-use peppercrank_core::objects::Policy;
 use peppercrank_core::objects::Pool;
-use peppercrank_core::objects::Serves;
-use peppercrank_core::time::Moment;
+use peppercrank_core::objects::PoolPolicy;
+use peppercrank_core::objects::PoolWorkload;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 use peppercrank_lease::shard::ClaimKey;
 
@@ -70,7 +70,7 @@
     /// The pool.
     pub pool: PoolName,
     /// The pool's policy.
-    pub policy: Policy,
+    pub policy: PoolPolicy,
     /// The chat, for an engine.
     pub talk: Option<Talk>,
     /// How the answer comes.
@@ -84,7 +84,7 @@
     /// The priority.
     pub priority: u8,
     /// When its time is over.
-    pub deadline: Moment,
+    pub deadline: Instant,
     /// Whether it may run twice.
     pub repeatable: bool,
     /// The caller's own key.
@@ -143,8 +143,8 @@
         } else {
             Shape::Whole
         };
-        let cost = Cost::of_chat(chat.prompt, output);
-        let rest = Cost::of_chat(chat.fresh(), output);
+        let cost = Cost::for_chat(chat.prompt, output);
+        let rest = Cost::for_chat(chat.fresh(), output);
         drop(chat);
         Ok(Self {
             id,
@@ -155,7 +155,7 @@
             shape,
             cost,
             held: rest,
-            output: Cost::of_chat(0, output),
+            output: Cost::for_chat(0, output),
             priority: wishes.priority,
             deadline: fleet.clock.now() + wishes.time,
             repeatable: wishes.repeatable.unwrap_or(true),
@@ -186,7 +186,7 @@
         let pool = PoolName::new(pool).map_err(|_e| unknown)?;
         let found = fleet.with_store(|s| s.pool(&pool).cloned());
         let Some(Pool {
-            serves: Serves::Service { cost, repeatable },
+            serves: PoolWorkload::Service { cost, repeatable },
             policy,
         }) = found
         else {
--- a/crates/peppercrank-daemon/src/router/mod.rs
+++ b/crates/peppercrank-daemon/src/router/mod.rs
@@ -122,7 +122,7 @@
     let seed = u64::try_from(fleet.draw() >> 64).unwrap_or_default();
     let claims = Claiming::start(&settings.claims, &fleet.platform, fleet.clock, seed)?;
     let shown = pages::Shown {
-        role: peppercrank_core::status::Role::Router,
+        role: peppercrank_core::status::DaemonRole::Router,
         targets: Box::new(|fleet| fleet.board().targets.values().map(pages::known).collect()),
         edge: edge.counters(),
     };
