--- a/crates/peppercrank-daemon/src/router/request.rs
+++ b/crates/peppercrank-daemon/src/router/request.rs
@@ -9,10 +9,10 @@
 use peppercrank_core::events::Event as LogEvent;
 use peppercrank_core::keys::AttemptId;
 use peppercrank_core::keys::ChatKey;
+use peppercrank_core::refusal::AttemptOutcome;
 use peppercrank_core::refusal::MayHaveRun;
 use peppercrank_core::refusal::NotRun;
-use peppercrank_core::refusal::Outcome;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_lease::claim::Verdict;
 use peppercrank_route::Event;
 use peppercrank_route::Next;
@@ -41,10 +41,10 @@
     /// The request.
     pub job: Job,
     /// When it began.
-    pub begun: Moment,
+    pub begun: Instant,
     trip: Trip,
     /// How the attempt before ended.
-    last: Option<Outcome>,
+    last: Option<AttemptOutcome>,
 }
 
 /// What one attempt came to.
@@ -63,7 +63,7 @@
             verdict => {
                 let outcome = verdict
                     .refusal()
-                    .unwrap_or(Outcome::NotRun(NotRun::ClaimHeld));
+                    .unwrap_or(AttemptOutcome::NotRun(NotRun::ClaimHeld));
                 let refusal = Refusal {
                     outcome,
                     retry_after: None,
@@ -77,7 +77,7 @@
         Ended::Answered(reply) => reply,
         Ended::Refused(reply, outcome) => {
             // Nothing ran, so the caller may send it again and be served.
-            if let (Some(key), Outcome::NotRun(_)) = (claim, outcome) {
+            if let (Some(key), AttemptOutcome::NotRun(_)) = (claim, outcome) {
                 claims.release(key, id);
             }
             reply
@@ -88,7 +88,7 @@
 /// How the attempts of a request ended.
 enum Ended {
     Answered(Reply),
-    Refused(Reply, Outcome),
+    Refused(Reply, AttemptOutcome),
 }
 
 async fn attempts((mut course, mut next): (Course, Next)) -> Ended {
@@ -183,12 +183,12 @@
             () = self.router.fleet.failed(target) => Ok(Tried::MayHaveRun(MayHaveRun::Cut)),
         };
         let Ok(tried) = tried else {
-            self.count(Outcome::MayHaveRun(MayHaveRun::Timeout));
+            self.count(AttemptOutcome::MayHaveRun(MayHaveRun::Timeout));
             return Step::Event(Event::Tick);
         };
         match tried {
             Tried::NotRun { reason, hint } => {
-                self.count(Outcome::NotRun(reason));
+                self.count(AttemptOutcome::NotRun(reason));
                 let ranking = self.router.fleet.ranking(&self.job.pool);
                 let hint = hint.and_then(|hash| ranking.find(hash));
                 Step::Event(Event::NotRun {
@@ -206,17 +206,17 @@
     }
 
     fn note_doubt(&mut self, attempt: AttemptId, reason: MayHaveRun) {
-        self.count(Outcome::MayHaveRun(reason));
+        self.count(AttemptOutcome::MayHaveRun(reason));
         let event = match reason {
             MayHaveRun::WrongAnswer => LogEvent::WrongAnswer,
-            _ => LogEvent::Unknown,
+            _ => LogEvent::OutcomeUnknown,
         };
         let about = format!("{} {attempt} {}", self.job.id, reason.code());
         self.router.fleet.log.event(event, &about);
     }
 
     /// Counts how an attempt ended.
-    fn count(&mut self, outcome: Outcome) {
+    fn count(&mut self, outcome: AttemptOutcome) {
         self.last = Some(outcome);
         let metrics = &self.router.metrics;
         metrics.attempts.get_or_create(&label(outcome)).inc();
@@ -239,8 +239,11 @@
     /// Notes that the answer of the attempt in flight was delivered whole.
     pub(crate) fn served(&mut self, attempt: AttemptId) {
         let metrics = &self.router.metrics;
-        metrics.attempts.get_or_create(&label(Outcome::Done)).inc();
-        self.router.count(Outcome::Done);
+        metrics
+            .attempts
+            .get_or_create(&label(AttemptOutcome::Done))
+            .inc();
+        self.router.count(AttemptOutcome::Done);
         self.on(Event::Done { attempt });
         if self.job.talk.is_none() {
             return;
--- a/crates/peppercrank-daemon/src/router/serve.rs
+++ b/crates/peppercrank-daemon/src/router/serve.rs
@@ -8,8 +8,8 @@
 use http::StatusCode;
 use peppercrank_core::events::Event;
 use peppercrank_core::keys::RequestId;
+use peppercrank_core::refusal::AttemptOutcome;
 use peppercrank_core::refusal::NotRun;
-use peppercrank_core::refusal::Outcome;
 use peppercrank_wire::edge::Call;
 use peppercrank_wire::edge::Reply;
 use peppercrank_wire::edge::refuse_body;
@@ -115,7 +115,7 @@
         reply::reject(status, code, Some(id))
     }
 
-    pub(crate) fn count(&self, outcome: Outcome) {
+    pub(crate) fn count(&self, outcome: AttemptOutcome) {
         self.metrics.requests.get_or_create(&label(outcome)).inc();
     }
 }
--- a/crates/peppercrank-daemon/tests/verify_rankings.rs
+++ b/crates/peppercrank-daemon/tests/verify_rankings.rs
@@ -29,10 +29,10 @@
 fn verify_a_ranking_that_is_as_it_was_stays_the_very_same() {
     let store = Store::new();
     let mut board = Blackboard::default();
-    board.put(target("a", "first", TargetState::Live));
-    board.put(target("b", "second", TargetState::Live));
+    board.upsert(target("a", "first", TargetState::Live));
+    board.upsert(target("b", "second", TargetState::Live));
     let before = rank(&board, &store, &Rankings::new());
-    board.put(target("b", "second", TargetState::Leaving));
+    board.upsert(target("b", "second", TargetState::Leaving));
     let after = rank(&board, &store, &before);
     let same = |pool: &str| {
         let pool: PoolName = pool.parse().expect("a name");
--- a/crates/peppercrank-direct/src/admission.rs
+++ b/crates/peppercrank-direct/src/admission.rs
@@ -13,7 +13,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::ranks::Rank;
 
@@ -82,17 +82,17 @@
 #[derive(Debug, Default)]
 pub struct Admission {
     /// Since when all targets have been beyond the bound of the least urgent rank.
-    since: Option<Moment>,
+    since: Option<Instant>,
     /// Requests by the place of their rank.
     ranks: Vec<Counted>,
     /// When the counts faded last.
-    faded: Moment,
+    faded: Instant,
 }
 
 impl Admission {
     /// `limit` is the longest wait at which a request of this rank is admitted; none while the
     /// pool keeps up.
-    pub fn limit(&mut self, now: Moment, pool: &Pool, rank: Rank) -> Option<Duration> {
+    pub fn limit(&mut self, now: Instant, pool: &Pool, rank: Rank) -> Option<Duration> {
         self.observe(now, pool);
         if !self.is_overloaded() {
             return None;
@@ -112,7 +112,7 @@
     }
 
     /// `count` counts a request that was admitted or refused.
-    pub fn count(&mut self, now: Moment, rank: Rank, admitted: bool) {
+    pub fn count(&mut self, now: Instant, rank: Rank, admitted: bool) {
         self.fade(now);
         let place = usize::from(rank.place);
         if self.ranks.len() <= place {
@@ -128,12 +128,12 @@
     /// How long an overload will last is not known; the longer it has lasted, the longer it is
     /// likely to last. A return into the same overload is lost, and callers return once.
     #[must_use]
-    pub fn come_back(&self, now: Moment, left: Duration) -> Duration {
+    pub fn come_back(&self, now: Instant, left: Duration) -> Duration {
         let lasted = self.since.map_or(Duration::ZERO, |s| now.since(s));
         (lasted / LASTED_PART).min(left / LONGEST_PART).max(SOONEST)
     }
 
-    fn observe(&mut self, now: Moment, pool: &Pool) {
+    fn observe(&mut self, now: Instant, pool: &Pool) {
         if pool.wait <= bound(pool, 1.0) {
             self.since = None;
         } else {
@@ -170,7 +170,7 @@
         }
     }
 
-    fn fade(&mut self, now: Moment) {
+    fn fade(&mut self, now: Instant) {
         let past = now.since(self.faded).as_secs_f64();
         let kept = (-past / COUNTED).exp();
         for counted in &mut self.ranks {
--- a/crates/peppercrank-direct/src/confirm.rs
+++ b/crates/peppercrank-direct/src/confirm.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -75,14 +75,14 @@
     /// The question.
     pub question: Question,
     /// When it was sent.
-    pub at: Moment,
+    pub at: Instant,
 }
 
 /// `Verdict` is what a confirmation is worth.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// What is in force here was the newest at this moment.
-    Newest(Moment),
+    Newest(Instant),
     /// There is a newer version, which the store has.
     Outdated,
     /// It answers another question, or is too old to be worth anything.
@@ -103,7 +103,9 @@
             return Verdict::Nothing;
         };
         match version {
-            Some(version) if version >= told.version => Verdict::Newest(Moment::from_origin(since)),
+            Some(version) if version >= told.version => {
+                Verdict::Newest(Instant::from_origin(since))
+            }
             _ => Verdict::Outdated,
         }
     }
--- a/crates/peppercrank-direct/src/decide.rs
+++ b/crates/peppercrank-direct/src/decide.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::admission::Admission;
 use crate::admission::Pool;
@@ -54,7 +54,7 @@
 /// A request is admitted once: its further attempts count as the most urgent, since work was spent
 /// on it.
 pub fn decide(
-    now: Moment,
+    now: Instant,
     admission: &mut Admission,
     rates: &Rates,
     attempt: &Attempt,
--- a/crates/peppercrank-direct/src/desired.rs
+++ b/crates/peppercrank-direct/src/desired.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use peppercrank_core::hash::hash64;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::ranks::Ranks;
 use crate::regions::Regions;
@@ -292,7 +292,7 @@
 pub struct InForce {
     index: Option<Arc<Index>>,
     /// When it came in force.
-    since: Option<Moment>,
+    since: Option<Instant>,
 }
 
 /// `Applied` is what became of a version that was read.
@@ -308,7 +308,7 @@
 
 impl InForce {
     /// `apply` brings a version in force unless it is older.
-    pub fn apply(&mut self, now: Moment, desired: Desired) -> Applied {
+    pub fn apply(&mut self, now: Instant, desired: Desired) -> Applied {
         let current = self.index.as_ref().map(|i| i.desired.version);
         match current {
             Some(version) if version == desired.version => Applied::Same,
@@ -323,7 +323,7 @@
 
     /// `since` is when the configuration came in force.
     #[must_use]
-    pub const fn since(&self) -> Option<Moment> {
+    pub const fn since(&self) -> Option<Instant> {
         self.since
     }
 
--- a/crates/peppercrank-direct/src/directory.rs
+++ b/crates/peppercrank-direct/src/directory.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use slotmap::SlotMap;
 
 pub use crate::registration::Change;
@@ -51,28 +51,28 @@
     /// Whether the store does not answer.
     away: bool,
     /// Until when missing entries may be back.
-    grace: Option<Moment>,
+    grace: Option<Instant>,
     /// The targets that went lately.
     gone: HashMap<Arc<str>, Departed>,
     /// Entries of gone targets in a store that came back from an older copy; they stand where they are still there then.
     held: HashMap<Arc<str>, Registration>,
     /// Until when such entries are held.
-    held_until: Option<Moment>,
+    held_until: Option<Instant>,
     /// The availability zones whose targets get no new work.
     pub evacuations: Evacuations,
     /// When the whole list was first taken in.
-    listed: Option<Moment>,
+    listed: Option<Instant>,
 }
 
 /// `Departed` is what stays known of a target that went, as its entry may be written again while it lives.
 #[derive(Debug, Clone, Copy)]
 struct Departed {
     start: Start,
-    at: Moment,
+    at: Instant,
     /// Whether it was leaving.
     leaving: bool,
     /// Until when it wants no work from this router.
-    paused: Option<Moment>,
+    paused: Option<Instant>,
 }
 
 /// `Noted` is what a change meant.
@@ -110,7 +110,7 @@
     }
 
     /// `store_back` notes that the store answers; after an outage a grace period begins.
-    pub fn store_back(&mut self, now: Moment) {
+    pub fn store_back(&mut self, now: Instant) {
         if self.away {
             self.away = false;
             self.grace = Some(now + RETURN_GRACE);
@@ -119,7 +119,7 @@
 
     /// `store_restored` notes that the store has come back from an older copy. What is missing there may be written again, and what it
     /// shows of targets that are gone may be as old as the copy.
-    pub fn store_restored(&mut self, now: Moment) {
+    pub fn store_restored(&mut self, now: Instant) {
         self.away = false;
         self.grace = Some(now + RETURN_GRACE);
         self.held_until = Some(now + HELD);
@@ -133,7 +133,7 @@
     }
 
     /// `replace` takes in the whole list: what is there, readable or not.
-    pub fn replace(&mut self, now: Moment, listed: Vec<Change>) -> Vec<Noted> {
+    pub fn replace(&mut self, now: Instant, listed: Vec<Change>) -> Vec<Noted> {
         self.listed.get_or_insert(now);
         let named = listed.iter().map(|c| Arc::clone(c.instance()));
         let named = named.collect::<HashSet<_>>();
@@ -148,7 +148,7 @@
     }
 
     /// `apply` takes in one change.
-    pub fn apply(&mut self, now: Moment, change: Change) -> Noted {
+    pub fn apply(&mut self, now: Instant, change: Change) -> Noted {
         match change {
             Change::Put(entry) => self.put(now, entry),
             Change::Unreadable(instance) => self.mark_unreadable(&instance),
@@ -156,7 +156,7 @@
         }
     }
 
-    fn put(&mut self, now: Moment, entry: Registration) -> Noted {
+    fn put(&mut self, now: Instant, entry: Registration) -> Noted {
         let Some(key) = self.instances.get(&entry.instance).copied() else {
             if self.is_held(now, &entry) {
                 self.held.insert(Arc::clone(&entry.instance), entry);
@@ -185,7 +185,7 @@
     }
 
     /// Whether an entry is of a start that is known to be gone, and may be as old as the store's copy.
-    fn is_held(&self, now: Moment, entry: &Registration) -> bool {
+    fn is_held(&self, now: Instant, entry: &Registration) -> bool {
         let held = self.held_until.is_some_and(|until| now < until);
         let gone = self.gone.get(&entry.instance);
         held && gone.is_some_and(|d| d.start.relation(entry.start) != Relation::Newer)
@@ -219,7 +219,7 @@
     }
 
     /// Puts a new start in the place of one that has ended.
-    fn restart(&mut self, now: Moment, old: TargetKey, entry: Registration) -> Noted {
+    fn restart(&mut self, now: Instant, old: TargetKey, entry: Registration) -> Noted {
         self.forget(old);
         match self.join(now, entry) {
             Noted::Joined(new) | Noted::Left(new) => Noted::Restarted { old, new },
@@ -227,7 +227,7 @@
         }
     }
 
-    fn join(&mut self, now: Moment, entry: Registration) -> Noted {
+    fn join(&mut self, now: Instant, entry: Registration) -> Noted {
         let instance = Arc::clone(&entry.instance);
         let pool = Arc::clone(&entry.pool);
         let departed = self.departed(&entry);
@@ -256,7 +256,7 @@
         Noted::Joined(key)
     }
 
-    fn remove(&mut self, now: Moment, instance: &Arc<str>) -> Noted {
+    fn remove(&mut self, now: Instant, instance: &Arc<str>) -> Noted {
         self.held.remove(instance);
         let Some(key) = self.instances.get(instance).copied() else {
             return Noted::Nothing;
@@ -276,7 +276,7 @@
     }
 
     /// Takes out a target that is gone, and remembers it for a while.
-    fn go(&mut self, now: Moment, key: TargetKey) -> Noted {
+    fn go(&mut self, now: Instant, key: TargetKey) -> Noted {
         if let Some(target) = self.targets.get(key) {
             let instance = Arc::clone(&target.registration.instance);
             let departed = Departed {
@@ -309,12 +309,12 @@
     }
 
     /// `lost` notes that another instance answers at a target's address: it takes no more work.
-    pub fn lost(&mut self, now: Moment, key: TargetKey) -> Noted {
+    pub fn lost(&mut self, now: Instant, key: TargetKey) -> Noted {
         self.leave(now, key)
     }
 
     /// `noticed` takes in what a target said of new work in an answer.
-    pub fn noticed(&mut self, now: Moment, key: TargetKey, notice: Notice) -> Noted {
+    pub fn noticed(&mut self, now: Instant, key: TargetKey, notice: Notice) -> Noted {
         if notice.leaving {
             return self.leave(now, key);
         }
@@ -329,7 +329,7 @@
         }
     }
 
-    fn leave(&mut self, now: Moment, key: TargetKey) -> Noted {
+    fn leave(&mut self, now: Instant, key: TargetKey) -> Noted {
         let Some(target) = self.targets.get_mut(key) else {
             return Noted::Nothing;
         };
@@ -343,7 +343,7 @@
 
     /// `expire` drops the targets that did not return in time, and lets what the store tells of other starts, and of targets that
     /// were gone, stand.
-    pub fn expire(&mut self, now: Moment) -> Vec<Noted> {
+    pub fn expire(&mut self, now: Instant) -> Vec<Noted> {
         let late = |t: &Target| matches!(t.state, State::Missing(until) if now >= until);
         let late = self.targets.iter().filter(|(_, t)| late(t));
         let late = late.map(|(k, _)| k).collect::<Vec<_>>();
@@ -369,13 +369,13 @@
 
     /// `listed` is when the whole list was first taken in.
     #[must_use]
-    pub const fn listed(&self) -> Option<Moment> {
+    pub const fn listed(&self) -> Option<Instant> {
         self.listed
     }
 
     /// `came` is when a target came, or came back as its zone was restored: until then others were the homes of its prompts.
     #[must_use]
-    pub fn came(&self, key: TargetKey) -> Option<Moment> {
+    pub fn came(&self, key: TargetKey) -> Option<Instant> {
         let target = self.targets.get(key)?;
         let restored = self.evacuations.restored(&target.registration.zone);
         Some(restored.map_or(target.since, |at| at.max(target.since)))
@@ -383,9 +383,9 @@
 
     /// `cold_until` is until when a target counts as cold by what the store told, in a pool whose targets warm up for so long.
     #[must_use]
-    pub fn cold_until(&self, key: TargetKey, lasts: Duration) -> Moment {
+    pub fn cold_until(&self, key: TargetKey, lasts: Duration) -> Instant {
         let Some(target) = self.targets.get(key) else {
-            return Moment::ZERO;
+            return Instant::ZERO;
         };
         let came_later = self.listed.is_some_and(|listed| target.since > listed);
         let came = came_later.then_some(target.since);
@@ -408,7 +408,7 @@
 
     /// `withheld` is why the target gets no new work at this moment; none where it may get some, or is gone.
     #[must_use]
-    pub fn withheld(&self, now: Moment, key: TargetKey) -> Option<Withheld> {
+    pub fn withheld(&self, now: Instant, key: TargetKey) -> Option<Withheld> {
         let target = self.targets.get(key)?;
         let evacuated = self.evacuations.contains(&target.registration.zone);
         let evacuated = evacuated.then_some(Withheld::Evacuated);
@@ -418,14 +418,14 @@
 
     /// `usable` tells whether the target may be sent work at this moment.
     #[must_use]
-    pub fn usable(&self, now: Moment, key: TargetKey) -> bool {
+    pub fn usable(&self, now: Instant, key: TargetKey) -> bool {
         self.targets.contains_key(key) && self.withheld(now, key).is_none()
     }
 
     /// `pool` lists the targets of a pool that take work; those whose entries are missing or whose start is
     /// in doubt only if there are no others.
     #[must_use]
-    pub fn pool(&self, now: Moment, name: &str) -> Vec<TargetKey> {
+    pub fn pool(&self, now: Instant, name: &str) -> Vec<TargetKey> {
         let usable = self.members(name).filter(|k| self.usable(now, *k));
         let usable = usable.collect::<Vec<_>>();
         let sure = |k: &&TargetKey| self.targets[**k].is_sure();
@@ -436,7 +436,7 @@
     /// `finishing` lists the targets of a pool that get no new work and finish what they have, with the reason.
     pub fn finishing(
         &self,
-        now: Moment,
+        now: Instant,
         name: &str,
     ) -> impl Iterator<Item = (TargetKey, Withheld)> + use<'_> {
         let withheld = self.members(name);
--- a/crates/peppercrank-direct/src/era.rs
+++ b/crates/peppercrank-direct/src/era.rs
@@ -17,7 +17,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::directory::RETURN_GRACE;
 
@@ -44,7 +44,7 @@
 pub struct Eras {
     newest: Option<Era>,
     /// When the newest was first heard of, where another was known before.
-    since: Option<Moment>,
+    since: Option<Instant>,
 }
 
 impl Eras {
@@ -55,7 +55,7 @@
     }
 
     /// `hear` takes in the era of an answer.
-    pub fn hear(&mut self, now: Moment, era: Era) -> Told {
+    pub fn hear(&mut self, now: Instant, era: Era) -> Told {
         let Some(newest) = self.newest else {
             self.newest = Some(era);
             return Told::Same;
@@ -74,7 +74,7 @@
     /// `vouches` tells whether an answer to a question of this moment can show that nothing is newer: a key may have
     /// been taken away by what the copy lacks, so that a router which trusted it would serve that key past its bound.
     #[must_use]
-    pub fn vouches(&self, asked: Moment) -> bool {
+    pub fn vouches(&self, asked: Instant) -> bool {
         self.since
             .is_none_or(|since| asked >= since + WRITTEN_AGAIN)
     }
--- a/crates/peppercrank-direct/src/evacuations.rs
+++ b/crates/peppercrank-direct/src/evacuations.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use peppercrank_core::hash::hash64;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::directory::HELD;
 
@@ -38,7 +38,7 @@
     /// The store's newest word.
     Store,
     /// It was acknowledged, and is missing in an older copy; questions from then on count again.
-    Missing(Moment),
+    Missing(Instant),
 }
 
 /// `Evacuations` holds the evacuated zones.
@@ -46,16 +46,16 @@
 pub struct Evacuations {
     zones: HashMap<Arc<str>, Evidence>,
     /// When zones were restored lately.
-    restored: HashMap<Arc<str>, Moment>,
+    restored: HashMap<Arc<str>, Instant>,
     /// Whether the list was read once.
     listed: bool,
     /// Until when a copy of the store may lack what was acknowledged.
-    restored_until: Option<Moment>,
+    restored_until: Option<Instant>,
 }
 
 impl Evacuations {
     /// `replace` takes in the whole list, of which the store was `asked` at a moment, and returns what that changes.
-    pub fn replace(&mut self, now: Moment, asked: Moment, listed: &[Arc<str>]) -> Vec<Change> {
+    pub fn replace(&mut self, now: Instant, asked: Instant, listed: &[Arc<str>]) -> Vec<Change> {
         self.listed = true;
         let missing = self.zones.keys().filter(|z| !listed.contains(z));
         let missing = missing.cloned().collect::<Vec<_>>();
@@ -68,7 +68,7 @@
     }
 
     /// `apply` takes in one change, and returns it if it is news.
-    pub fn apply(&mut self, now: Moment, change: Change) -> Option<Change> {
+    pub fn apply(&mut self, now: Instant, change: Change) -> Option<Change> {
         let news = match &change {
             Change::Evacuated(zone) => {
                 let known = self.zones.insert(Arc::clone(zone), Evidence::Store);
@@ -86,7 +86,7 @@
     }
 
     /// Takes in that a zone is not in the list.
-    fn miss(&mut self, now: Moment, asked: Moment, zone: Arc<str>) -> Option<Change> {
+    fn miss(&mut self, now: Instant, asked: Instant, zone: Arc<str>) -> Option<Change> {
         match (self.zones.get_mut(&zone), self.restored_until) {
             (Some(evidence), Some(until)) if asked < until => {
                 *evidence = Evidence::Missing(until);
@@ -97,12 +97,12 @@
     }
 
     /// `store_restored` notes that the store has come back from an older copy.
-    pub fn store_restored(&mut self, now: Moment) {
+    pub fn store_restored(&mut self, now: Instant) {
         self.restored_until = Some(now + HELD);
     }
 
     /// `settle` ends what was still missing when the store answered a question of this moment.
-    pub fn settle(&mut self, now: Moment, asked: Moment) -> Vec<Change> {
+    pub fn settle(&mut self, now: Instant, asked: Instant) -> Vec<Change> {
         let late = |e: &Evidence| matches!(e, Evidence::Missing(until) if asked >= *until);
         let late = self.zones.iter().filter(|(_, evidence)| late(evidence));
         let late = late.map(|(zone, _)| Arc::clone(zone)).collect::<Vec<_>>();
@@ -111,14 +111,14 @@
     }
 
     /// Notes when a zone was restored, and forgets what was long ago.
-    fn restore(&mut self, now: Moment, zone: &Arc<str>) {
+    fn restore(&mut self, now: Instant, zone: &Arc<str>) {
         self.restored.retain(|_, at| now.since(*at) < RESTORED_KEPT);
         self.restored.insert(Arc::clone(zone), now);
     }
 
     /// `restored` is when a zone was restored, if that was lately: its targets may have become cold meanwhile.
     #[must_use]
-    pub fn restored(&self, zone: &str) -> Option<Moment> {
+    pub fn restored(&self, zone: &str) -> Option<Instant> {
         self.restored.get(zone).copied()
     }
 
--- a/crates/peppercrank-direct/src/freshness.rs
+++ b/crates/peppercrank-direct/src/freshness.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 /// Time in which a watch of the store may be silent although there are changes; the platform's
 /// figure is one second.
@@ -48,7 +48,7 @@
     /// The bound on the age; none where keys need not be confirmed.
     limit: Option<Duration>,
     /// When the question was sent that was answered last.
-    asked: Option<Moment>,
+    asked: Option<Instant>,
     /// Who answered it.
     source: Option<Source>,
 }
@@ -66,7 +66,7 @@
     }
 
     /// `confirm` notes that a question sent at `asked` was answered with the newest state.
-    pub fn confirm(&mut self, asked: Moment, source: Source) {
+    pub fn confirm(&mut self, asked: Instant, source: Source) {
         if self.asked < Some(asked) {
             self.asked = Some(asked);
             self.source = Some(source);
@@ -81,7 +81,7 @@
 
     /// `age` is the age of what is known; none before the first answer.
     #[must_use]
-    pub fn age(&self, now: Moment) -> Option<Duration> {
+    pub fn age(&self, now: Instant) -> Option<Duration> {
         self.asked.map(|at| now.since(at))
     }
 
@@ -90,14 +90,14 @@
     /// Callers do not come back after such a refusal, and a router that was cut off gave it for routes that had been
     /// added meanwhile.
     #[must_use]
-    pub fn may_deny(&self, now: Moment) -> bool {
+    pub fn may_deny(&self, now: Instant) -> bool {
         let limit = self.limit.unwrap_or(DENIAL);
         self.age(now).is_some_and(|age| age < limit)
     }
 
     /// `is_fresh` tells whether keys may be trusted.
     #[must_use]
-    pub fn is_fresh(&self, now: Moment) -> bool {
+    pub fn is_fresh(&self, now: Instant) -> bool {
         match (self.limit, self.age(now)) {
             (None, age) => age.is_some(),
             (Some(limit), Some(age)) => age < limit,
--- a/crates/peppercrank-direct/src/in_flight.rs
+++ b/crates/peppercrank-direct/src/in_flight.rs
@@ -3,7 +3,7 @@
 
 //! What one attempt counts for at its target, from its sending to its end, and what is learnt of it.
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::place::Choice;
 use crate::rates::Rates;
@@ -15,7 +15,7 @@
     /// The target, and what is expected of it.
     pub choice: Choice,
     /// When it was sent.
-    pub sent: Moment,
+    pub sent: Instant,
     /// Whether its target had nothing else to read when it was sent.
     alone: bool,
     /// Whether its prompt counts as unread.
@@ -24,7 +24,7 @@
 
 impl InFlight {
     /// `begin` counts an attempt that is sent.
-    pub fn begin(now: Moment, board: &mut Board, choice: Choice) -> Self {
+    pub fn begin(now: Instant, board: &mut Board, choice: Choice) -> Self {
         let mut alone = true;
         if let Some(stats) = board.of(choice.key) {
             alone = stats.reading == 0 && stats.peers_reading == 0;
@@ -41,7 +41,7 @@
     }
 
     /// `first` notes the answer's first part: the prompt is read.
-    pub fn first(&mut self, now: Moment, board: &mut Board, rates: &mut Rates) {
+    pub fn first(&mut self, now: Instant, board: &mut Board, rates: &mut Rates) {
         let took = now.since(self.sent);
         self.read(board);
         if let Some(stats) = board.of(self.choice.key) {
@@ -54,7 +54,7 @@
     }
 
     /// `end` counts the attempt no more, whatever came of it.
-    pub fn end(&mut self, now: Moment, board: &mut Board, rates: &mut Rates) {
+    pub fn end(&mut self, now: Instant, board: &mut Board, rates: &mut Rates) {
         if !self.unread {
             rates.held(now.since(self.sent));
         }
--- a/crates/peppercrank-direct/src/peers.rs
+++ b/crates/peppercrank-direct/src/peers.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use peppercrank_core::hash::hash64;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -185,7 +185,7 @@
     /// The start before, where this router saw it end.
     former: Option<u64>,
     sequence: u64,
-    heard: Moment,
+    heard: Instant,
     work: Vec<Work>,
 }
 
@@ -216,7 +216,7 @@
     /// A new start counts at once, also one whose clock was set back, so that a router that starts again is
     /// heard by its first summary. Where only greater numbers counted, and were drawn at random, half of all routers that
     /// started again were not heard for 2.5 s and more.
-    pub fn take(&mut self, now: Moment, from: SocketAddr, summary: &Summary) -> bool {
+    pub fn take(&mut self, now: Instant, from: SocketAddr, summary: &Summary) -> bool {
         let mut former = None;
         if let Some(peer) = self.latest.get(&from) {
             match summary.incarnation.cmp(&peer.incarnation) {
@@ -244,7 +244,7 @@
     }
 
     /// `expire` forgets peers that were silent for long.
-    pub fn expire(&mut self, now: Moment) {
+    pub fn expire(&mut self, now: Instant) {
         let silent = silent(self.latest.len());
         let gone = self
             .latest
@@ -292,7 +292,7 @@
 
     /// `hears` tells whether the router at this address was heard of late.
     #[must_use]
-    pub fn hears(&self, now: Moment, from: SocketAddr) -> bool {
+    pub fn hears(&self, now: Instant, from: SocketAddr) -> bool {
         let silent = silent(self.latest.len());
         let peer = self.latest.get(&from);
         peer.is_some_and(|p| now.since(p.heard) < silent)
@@ -301,7 +301,7 @@
     /// `lag` is how long ago the others told of their work, on average over those who tell; no time where there is no other
     /// router, whose work this one would not know.
     #[must_use]
-    pub fn lag(&self, now: Moment) -> Duration {
+    pub fn lag(&self, now: Instant) -> Duration {
         let ages = self.latest.values().map(|p| now.since(p.heard));
         let peers = u32::try_from(self.latest.len()).unwrap_or(u32::MAX);
         ages.sum::<Duration>() / peers.max(1)
@@ -309,7 +309,7 @@
 
     /// `alive` is how many other routers were heard of late.
     #[must_use]
-    pub fn alive(&self, now: Moment) -> usize {
+    pub fn alive(&self, now: Instant) -> usize {
         let silent = silent(self.latest.len());
         let alive = |p: &&Peer| now.since(p.heard) < silent;
         self.latest.values().filter(alive).count()
--- a/crates/peppercrank-direct/src/place.rs
+++ b/crates/peppercrank-direct/src/place.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use peppercrank_core::hash::hash64;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::directory::TargetKey;
 use crate::overcount;
@@ -177,7 +177,7 @@
 /// request waits behind other work for no longer than `limit`.
 #[must_use]
 pub fn place(
-    now: Moment,
+    now: Instant,
     rates: &Rates,
     request: &PlacementRequest,
     limit: Option<Duration>,
@@ -398,7 +398,7 @@
 
 /// `least_wait` is the wait at the target that has the least of it, in milliseconds.
 #[must_use]
-pub fn least_wait(now: Moment, rates: &Rates, candidates: &[Candidate]) -> f64 {
+pub fn least_wait(now: Instant, rates: &Rates, candidates: &[Candidate]) -> f64 {
     let sound = candidates.iter().filter(|c| !c.stats.is_ejected(now));
     sound.map(|c| wait(rates, c)).fold(f64::INFINITY, f64::min)
 }
--- a/crates/peppercrank-direct/src/prefixes.rs
+++ b/crates/peppercrank-direct/src/prefixes.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 
 use peppercrank_core::hash::hash64;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::directory::TargetKey;
 
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Holder {
     target: TargetKey,
-    used: Moment,
+    used: Instant,
 }
 
 /// `Prefixes` remembers the parts that targets were sent.
@@ -49,7 +49,7 @@
 
 impl Prefixes {
     /// `note` remembers that a target was sent a part, and tells whether that is news.
-    pub fn note(&mut self, now: Moment, target: TargetKey, part: u64) -> bool {
+    pub fn note(&mut self, now: Instant, target: TargetKey, part: u64) -> bool {
         if self.parts.len() >= MOST && !self.parts.contains_key(&part) {
             self.halve();
         }
@@ -99,7 +99,7 @@
 }
 
 /// Puts a holder in, in place of the one used longest ago if there are many; true if it is new.
-fn put(holders: &mut Vec<Holder>, target: TargetKey, used: Moment) -> bool {
+fn put(holders: &mut Vec<Holder>, target: TargetKey, used: Instant) -> bool {
     if let Some(holder) = holders.iter_mut().find(|h| h.target == target) {
         holder.used = used;
         return false;
--- a/crates/peppercrank-direct/src/quarantine.rs
+++ b/crates/peppercrank-direct/src/quarantine.rs
@@ -14,7 +14,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::content::Fingerprint;
 use crate::peers::TargetId;
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct End {
     target: TargetId,
-    at: Moment,
+    at: Instant,
 }
 
 /// `Change` is what a router learnt of a request.
@@ -85,9 +85,9 @@
     /// Targets that ended under it since it was served last.
     ends: Vec<End>,
     /// When a target served it whole.
-    served: Option<Moment>,
+    served: Option<Instant>,
     /// When it came last, at any router.
-    seen: Moment,
+    seen: Instant,
     /// Datagrams on which it is still to be told.
     tells: u8,
 }
@@ -109,7 +109,7 @@
     }
 
     /// Takes in that a target served it, which refutes the ends before, but for those that are `told` to have come after.
-    fn serve(&mut self, at: Moment, told: &[ToldEnd]) -> bool {
+    fn serve(&mut self, at: Instant, told: &[ToldEnd]) -> bool {
         let before = self.ends.len();
         let is_told = |end: &End| told.iter().any(|t| t.target == end.target);
         self.served = self.served.max(Some(at));
@@ -117,7 +117,7 @@
         self.ends.len() < before
     }
 
-    fn is_over(&self, now: Moment) -> bool {
+    fn is_over(&self, now: Instant) -> bool {
         let kept = if self.ends.is_empty() {
             SERVED_KEPT
         } else {
@@ -126,7 +126,7 @@
         now.since(self.seen) >= kept
     }
 
-    fn report(&self, content: Fingerprint, now: Moment) -> CrashReport {
+    fn report(&self, content: Fingerprint, now: Instant) -> CrashReport {
         let told = |end: &End| ToldEnd {
             target: end.target,
             age: age(now, end.at),
@@ -179,14 +179,14 @@
     }
 
     /// `ended` notes that a target has ended, under the requests whose answers broke off there.
-    pub fn ended(&mut self, now: Moment, target: TargetId) -> Vec<(Fingerprint, Change)> {
+    pub fn ended(&mut self, now: Instant, target: TargetId) -> Vec<(Fingerprint, Change)> {
         let contents = self.broken.remove(&target).unwrap_or_default();
         let count = |content| (content, self.ended_under(now, content, target));
         contents.into_iter().map(count).collect()
     }
 
     /// `ended_under` notes that a target has ended under a request.
-    pub fn ended_under(&mut self, now: Moment, content: Fingerprint, target: TargetId) -> Change {
+    pub fn ended_under(&mut self, now: Instant, content: Fingerprint, target: TargetId) -> Change {
         self.make_room(content);
         let evidence = self.contents.entry(content).or_default();
         evidence.seen = now;
@@ -202,7 +202,7 @@
     }
 
     /// `served` notes that a target served a request whole, so that what ended before did not end by it.
-    pub fn served(&mut self, now: Moment, content: Fingerprint) {
+    pub fn served(&mut self, now: Instant, content: Fingerprint) {
         if let Some(evidence) = self.contents.get_mut(&content) {
             evidence.seen = now;
             if evidence.serve(now, &[]) {
@@ -212,7 +212,7 @@
     }
 
     /// `refuses` tells whether a request that came is kept from targets, and for how long it is if it stays away.
-    pub fn refuses(&mut self, now: Moment, content: Fingerprint) -> Option<Duration> {
+    pub fn refuses(&mut self, now: Instant, content: Fingerprint) -> Option<Duration> {
         let evidence = self.contents.get_mut(&content)?;
         if !evidence.is_quarantined() || evidence.is_over(now) {
             return None;
@@ -230,7 +230,7 @@
 
     /// `hear` takes in a report of another router. `relay` tells whether news is passed on: in a small fleet
     /// the other router tells all itself.
-    pub fn hear(&mut self, now: Moment, report: &CrashReport, relay: bool) -> Change {
+    pub fn hear(&mut self, now: Instant, report: &CrashReport, relay: bool) -> Change {
         if report.ends.is_empty() && !self.contents.contains_key(&report.content) {
             return Change::Known;
         }
@@ -258,7 +258,7 @@
     }
 
     /// What the sender of a report does not know, as it has just started or was cut off; none where it knows all.
-    fn answer(&self, now: Moment, report: &CrashReport) -> Option<CrashReport> {
+    fn answer(&self, now: Instant, report: &CrashReport) -> Option<CrashReport> {
         let evidence = self.contents.get(&report.content)?;
         let known = evidence.report(report.content, now);
         evidence.knows_more(report).then_some(known)
@@ -271,7 +271,7 @@
     }
 
     /// `tell` is the news for the next datagram, of requests under which most targets ended first.
-    pub fn tell(&mut self, now: Moment) -> Vec<CrashReport> {
+    pub fn tell(&mut self, now: Instant) -> Vec<CrashReport> {
         let pending = self.contents.iter_mut().filter(|(_, e)| e.tells > 0);
         let mut pending = pending.collect::<Vec<_>>();
         pending.sort_unstable_by_key(|(_, e)| (usize::MAX - e.ends.len(), now.since(e.seen)));
@@ -285,7 +285,7 @@
 
     /// `remind` is what is quarantined, the latest to come first, for routers that may not have heard it.
     #[must_use]
-    pub fn remind(&self, now: Moment) -> Vec<CrashReport> {
+    pub fn remind(&self, now: Instant) -> Vec<CrashReport> {
         let quarantined = self.contents.iter().filter(|(_, e)| e.is_quarantined());
         let mut quarantined = quarantined.collect::<Vec<_>>();
         quarantined.sort_unstable_by_key(|(_, e)| now.since(e.seen));
@@ -296,7 +296,7 @@
     }
 
     /// `expire` forgets requests that did not come for long.
-    pub fn expire(&mut self, now: Moment) {
+    pub fn expire(&mut self, now: Instant) {
         self.contents.retain(|_, e| !e.is_over(now));
     }
 
--- a/crates/peppercrank-direct/src/quarantine/report.rs
+++ b/crates/peppercrank-direct/src/quarantine/report.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -45,12 +45,12 @@
 }
 
 /// How long ago a moment was, on a datagram.
-pub(super) fn age(now: Moment, at: Moment) -> u16 {
+pub(super) fn age(now: Instant, at: Instant) -> u16 {
     let age = now.since(at).as_millis() / AGE_UNIT.as_millis();
     u16::try_from(age).unwrap_or(u16::MAX)
 }
 
 /// The moment that a datagram tells.
-pub(super) fn ago(now: Moment, age: u16) -> Moment {
-    now.earlier(AGE_UNIT * u32::from(age))
+pub(super) fn ago(now: Instant, age: u16) -> Instant {
+    now.saturating_sub(AGE_UNIT * u32::from(age))
 }
--- a/crates/peppercrank-direct/src/quarantine/spread.rs
+++ b/crates/peppercrank-direct/src/quarantine/spread.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use super::CrashReport;
 use super::Quarantine;
@@ -47,14 +47,14 @@
 pub struct Spread {
     /// Bytes that may be sent now.
     allowance: usize,
-    earned: Moment,
-    reminded: Moment,
+    earned: Instant,
+    reminded: Instant,
 }
 
 impl Spread {
     /// `new` begins with what may be saved up.
     #[must_use]
-    pub const fn new(now: Moment) -> Self {
+    pub const fn new(now: Instant) -> Self {
         Self {
             allowance: SAVED,
             earned: now,
@@ -63,7 +63,7 @@
     }
 
     /// `turn` is what to tell now; none where there is nothing to tell, or no allowance left.
-    pub fn turn(&mut self, now: Moment, quarantine: &mut Quarantine) -> Option<Telling> {
+    pub fn turn(&mut self, now: Instant, quarantine: &mut Quarantine) -> Option<Telling> {
         self.earn(now);
         quarantine.expire(now);
         if self.allowance == 0 {
@@ -87,7 +87,7 @@
         self.allowance = self.allowance.saturating_sub(bytes);
     }
 
-    fn earn(&mut self, now: Moment) {
+    fn earn(&mut self, now: Instant) {
         let earned = now.since(self.earned).as_millis() * BYTES_A_SECOND / 1_000;
         let earned = usize::try_from(earned).unwrap_or(SAVED);
         self.allowance = self.allowance.saturating_add(earned).min(SAVED);
@@ -102,7 +102,7 @@
 
 /// `reply` is what the sender of reports does not know; all that is quarantined where it sends none, as it has just started.
 #[must_use]
-pub fn reply(now: Moment, quarantine: &Quarantine, reports: &[CrashReport]) -> Vec<CrashReport> {
+pub fn reply(now: Instant, quarantine: &Quarantine, reports: &[CrashReport]) -> Vec<CrashReport> {
     if reports.is_empty() {
         return quarantine.remind(now);
     }
--- a/crates/peppercrank-direct/src/reports.rs
+++ b/crates/peppercrank-direct/src/reports.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use postcard::fixint;
 use serde::Deserialize;
 use serde::Serialize;
@@ -64,15 +64,15 @@
 
     /// `of` is what a target told, by what is known of it; none where it told nothing lately.
     #[must_use]
-    pub fn of(target: TargetId, stats: &Stats, now: Moment) -> Option<Self> {
+    pub fn of(target: TargetId, stats: &Stats, now: Instant) -> Option<Self> {
         let (told, load) = stats.report()?;
         Self::new(target, load, now.since(told))
     }
 
     /// `told` is when the target told it, at the earliest, by the clock of the router that got it at this moment.
     #[must_use]
-    pub fn told(&self, now: Moment) -> Moment {
-        now.earlier(self.age())
+    pub fn told(&self, now: Instant) -> Instant {
+        now.saturating_sub(self.age())
     }
 
     /// `target` is whose load it is.
--- a/crates/peppercrank-direct/src/retries.rs
+++ b/crates/peppercrank-direct/src/retries.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::rates::as_f64;
 
@@ -37,8 +37,8 @@
 /// `Counted` is one pool's recent requests and repeats.
 #[derive(Debug, Default)]
 struct Counted {
-    requests: VecDeque<Moment>,
-    repeats: VecDeque<Moment>,
+    requests: VecDeque<Instant>,
+    repeats: VecDeque<Instant>,
 }
 
 /// `RetryBudget` allows repeats within the fleet's bounds.
@@ -46,14 +46,14 @@
 pub struct RetryBudget {
     terms: Terms,
     /// When this process began to count: its predecessor's repeats are not known.
-    began: Moment,
+    began: Instant,
     pools: HashMap<Arc<str>, Counted>,
 }
 
 impl RetryBudget {
     /// `new` begins to count at `now`.
     #[must_use]
-    pub fn new(now: Moment, terms: Terms) -> Self {
+    pub fn new(now: Instant, terms: Terms) -> Self {
         Self {
             terms,
             began: now,
@@ -67,7 +67,7 @@
     }
 
     /// `request` counts a request for a pool.
-    pub fn request(&mut self, now: Moment, pool: &Arc<str>) {
+    pub fn request(&mut self, now: Instant, pool: &Arc<str>) {
         let window = self.terms.window;
         let counted = self.counted(pool);
         prune(&mut counted.requests, now, window);
@@ -77,7 +77,7 @@
     /// `spend` takes one repeat from the budget and tells whether there was one.
     ///
     /// `routers` is how many routers share the extra, this one included.
-    pub fn spend(&mut self, now: Moment, pool: &Arc<str>, routers: usize) -> bool {
+    pub fn spend(&mut self, now: Instant, pool: &Arc<str>, routers: usize) -> bool {
         let fits = self.can_spend(now, pool, routers);
         if fits {
             self.counted(pool).repeats.push_back(now);
@@ -86,12 +86,12 @@
     }
 
     /// `can_spend` tells whether the budget has a repeat.
-    pub fn can_spend(&mut self, now: Moment, pool: &Arc<str>, routers: usize) -> bool {
+    pub fn can_spend(&mut self, now: Instant, pool: &Arc<str>, routers: usize) -> bool {
         self.left(now, pool, routers) >= 1.0
     }
 
     /// `left` is how many repeats the budget has.
-    pub fn left(&mut self, now: Moment, pool: &Arc<str>, routers: usize) -> f64 {
+    pub fn left(&mut self, now: Instant, pool: &Arc<str>, routers: usize) -> f64 {
         let Terms {
             share,
             extra,
@@ -116,7 +116,7 @@
     }
 }
 
-fn prune(times: &mut VecDeque<Moment>, now: Moment, window: Duration) {
+fn prune(times: &mut VecDeque<Instant>, now: Instant, window: Duration) {
     while times.front().is_some_and(|t| now.since(*t) > window) {
         times.pop_front();
     }
--- a/crates/peppercrank-direct/src/silence.rs
+++ b/crates/peppercrank-direct/src/silence.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 /// Part of the longest pause that is on time after which a stream counts as silent: the rest is for
 /// the next target to read the prompt.
@@ -25,14 +25,14 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Silence {
     limit: Duration,
-    heard: Moment,
+    heard: Instant,
 }
 
 /// `Heard` is what is to be thought of a stream's pause.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Heard {
     /// Nothing yet; look again at this moment.
-    Until(Moment),
+    Until(Instant),
     /// It is silent.
     Silent,
 }
@@ -40,25 +40,25 @@
 impl Silence {
     /// `new` begins at a stream's first part, on a route whose answers may pause for this time.
     #[must_use]
-    pub fn new(now: Moment, pause: Option<Duration>) -> Self {
+    pub fn new(now: Instant, pause: Option<Duration>) -> Self {
         let limit = pause.map_or(UNNAMED, |p| p.mul_f64(PART).max(LEAST));
         Self { limit, heard: now }
     }
 
     /// `quiet` is the time since the last part.
     #[must_use]
-    pub const fn quiet(&self, now: Moment) -> Duration {
+    pub const fn quiet(&self, now: Instant) -> Duration {
         now.since(self.heard)
     }
 
     /// `heard` notes a part, or a wait that begins anew.
-    pub const fn heard(&mut self, now: Moment) {
+    pub const fn heard(&mut self, now: Instant) {
         self.heard = now;
     }
 
     /// `at` tells what is to be thought of the pause at this moment.
     #[must_use]
-    pub fn at(&self, now: Moment) -> Heard {
+    pub fn at(&self, now: Instant) -> Heard {
         let until = self.heard + self.limit;
         if now < until {
             Heard::Until(until)
--- a/crates/peppercrank-direct/src/stats.rs
+++ b/crates/peppercrank-direct/src/stats.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use slotmap::SecondaryMap;
 
 use crate::directory::TargetKey;
@@ -75,11 +75,11 @@
     /// Prompt tokens that it has yet to read for peers.
     pub peers_reading: u64,
     /// What the target told of its load last, and when.
-    reported: Option<(Moment, u32)>,
+    reported: Option<(Instant, u32)>,
     /// Requests sent there since.
     sent_since: u32,
     /// When a request was sent there last.
-    last_sent: Moment,
+    last_sent: Instant,
     /// What its load is judged by.
     basis: Basis,
     /// How long its answers take against its pool's; 1 is as long.
@@ -91,7 +91,7 @@
     /// Ejections since the last success.
     ejections: u32,
     /// Until when it gets no work.
-    ejected: Option<Moment>,
+    ejected: Option<Instant>,
     /// Whether a request is on its way that tries an ejected target.
     trial: bool,
 }
@@ -105,7 +105,7 @@
             peers_reading: 0,
             reported: None,
             sent_since: 0,
-            last_sent: Moment::ZERO,
+            last_sent: Instant::ZERO,
             basis: Basis::Counts,
             speed: 1.0,
             failing: 0.0,
@@ -168,12 +168,12 @@
 
     /// `report` is what the target told of its load last, and when.
     #[must_use]
-    pub const fn report(&self) -> Option<(Moment, u32)> {
+    pub const fn report(&self) -> Option<(Instant, u32)> {
         self.reported
     }
 
     /// `relayed` notes a report that another router passed on, unless a newer one is known.
-    pub fn relayed(&mut self, told: Moment, load: u32) {
+    pub fn relayed(&mut self, told: Instant, load: u32) {
         if self.reported.is_some_and(|(at, _)| at >= told) {
             return;
         }
@@ -185,7 +185,7 @@
     }
 
     /// `reported` notes what the target tells of its load.
-    pub const fn reported(&mut self, now: Moment, load: u32) {
+    pub const fn reported(&mut self, now: Instant, load: u32) {
         self.reported = Some((now, load));
         self.sent_since = 0;
     }
@@ -199,10 +199,10 @@
     /// `at` is what is known at a moment, without what the target told too long ago, where peers told of their work `lag` ago
     /// and a request holds its place for `hold` milliseconds.
     #[must_use]
-    pub fn at(mut self, now: Moment, lag: Duration, hold: f64) -> Self {
+    pub fn at(mut self, now: Instant, lag: Duration, hold: f64) -> Self {
         let counts = REPORTED.max(lag.min(REPORTED_LONGEST));
         self.reported = self.reported.filter(|(at, _)| now.since(*at) < counts);
-        let fresher = |at: Moment| lag > PRESENT && now.since(at) < lag;
+        let fresher = |at: Instant| lag > PRESENT && now.since(at) < lag;
         self.basis = match self.reported {
             Some((at, _)) if lag > REPORTED || fresher(at) => {
                 Basis::Report(changed(now.since(at), hold))
@@ -223,7 +223,7 @@
     }
 
     /// `failed` notes a failure that speaks against the target; true if it is now ejected.
-    pub fn failed(&mut self, now: Moment) -> bool {
+    pub fn failed(&mut self, now: Instant) -> bool {
         self.failing += (1.0 - self.failing) * FAIL_WEIGHT;
         self.failures += 1;
         let again = self.trial && self.ejected.is_some();
@@ -244,7 +244,7 @@
     }
 
     /// `sent` notes that a request goes there; to an ejected target it goes as a trial.
-    pub fn sent(&mut self, now: Moment) {
+    pub fn sent(&mut self, now: Instant) {
         self.sent_since = self.sent_since.saturating_add(1);
         self.last_sent = now;
         self.trial |= self.ejected.is_some_and(|until| now >= until);
@@ -259,7 +259,7 @@
     /// `is_ejected` tells whether it gets no work at this moment: one request tries it once its time
     /// is over.
     #[must_use]
-    pub fn is_ejected(&self, now: Moment) -> bool {
+    pub fn is_ejected(&self, now: Instant) -> bool {
         self.ejected.is_some_and(|until| now < until || self.trial)
     }
 }
--- a/crates/peppercrank-direct/src/target.rs
+++ b/crates/peppercrank-direct/src/target.rs
@@ -3,7 +3,7 @@
 
 //! One registered target: whether it takes new work, and why not.
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use slotmap::new_key_type;
 
 use crate::directory::Noted;
@@ -23,7 +23,7 @@
     /// It finishes what it has.
     Leaving,
     /// Its entry was missing after an outage; it is gone unless it returns by then.
-    Missing(Moment),
+    Missing(Instant),
     /// Its entry cannot be read, so that it names no target to use.
     Unreadable,
 }
@@ -40,7 +40,7 @@
     /// Its availability zone is evacuated.
     Evacuated,
     /// It wants none from this router until then.
-    Paused(Moment),
+    Paused(Instant),
 }
 
 impl Withheld {
@@ -59,18 +59,18 @@
     /// Whether it may get work.
     pub state: State,
     /// When it came to be known.
-    pub since: Moment,
+    pub since: Instant,
     /// Until when it is cold by its own word.
-    pub cold_until: Moment,
+    pub cold_until: Instant,
     /// Until when it wants no work from this router.
-    pub(crate) paused: Option<Moment>,
+    pub(crate) paused: Option<Instant>,
     /// What the store tells of another start, and from when on that stands.
-    pub(crate) rival: Option<(Registration, Moment)>,
+    pub(crate) rival: Option<(Registration, Instant)>,
 }
 
 impl Target {
     /// Takes in word of the start that is known.
-    pub(crate) fn renew(&mut self, now: Moment, key: TargetKey, entry: Registration) -> Noted {
+    pub(crate) fn renew(&mut self, now: Instant, key: TargetKey, entry: Registration) -> Noted {
         let left = self.state == State::Leaving;
         let leaving = left || entry.leaving;
         self.cold_until = now + entry.cold;
@@ -88,7 +88,7 @@
     }
 
     /// Takes in word of another start, which stands when it was the store's last word for long enough.
-    pub(crate) fn doubt(&mut self, now: Moment, key: TargetKey, entry: Registration) -> Noted {
+    pub(crate) fn doubt(&mut self, now: Instant, key: TargetKey, entry: Registration) -> Noted {
         let same = |r: &Registration| r.start == entry.start;
         let from = match &self.rival {
             Some((rival, from)) if same(rival) => *from,
@@ -100,13 +100,13 @@
 
     /// `rival` is what the store tells of another start, and from when on that stands.
     #[must_use]
-    pub fn rival(&self) -> Option<(&Registration, Moment)> {
+    pub fn rival(&self) -> Option<(&Registration, Instant)> {
         self.rival.as_ref().map(|(entry, from)| (entry, *from))
     }
 
     /// `withheld` is why its own entry keeps it from new work; none where it may get some.
     #[must_use]
-    pub fn withheld(&self, now: Moment) -> Option<Withheld> {
+    pub fn withheld(&self, now: Instant) -> Option<Withheld> {
         match self.state {
             State::Ready => None,
             State::Missing(until) => (now >= until).then_some(Withheld::Missing),
@@ -117,7 +117,7 @@
 
     /// `pause` is until when it wants no work from this router; none where it wants some.
     #[must_use]
-    pub fn pause(&self, now: Moment) -> Option<Moment> {
+    pub fn pause(&self, now: Instant) -> Option<Instant> {
         self.paused.filter(|until| now < *until)
     }
 
--- a/crates/peppercrank-direct/src/warm_up.rs
+++ b/crates/peppercrank-direct/src/warm_up.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 
 use peppercrank_core::hash::hash64;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use slotmap::SecondaryMap;
 
 use crate::target::TargetKey;
@@ -151,12 +151,12 @@
     /// The version of the members and the number of routers heard by which its share was found, and that share.
     share: Option<(u64, usize, usize)>,
     /// When it was sent requests within the last window.
-    at: VecDeque<Moment>,
+    at: VecDeque<Instant>,
 }
 
 impl Sent {
     /// Forgets what was sent before the last window.
-    fn expire(&mut self, now: Moment) {
+    fn expire(&mut self, now: Instant) {
         while self.at.front().is_some_and(|at| now.since(*at) >= WINDOW) {
             self.at.pop_front();
         }
@@ -169,20 +169,20 @@
     /// The routers that share the targets' rates.
     pub members: Members,
     sent: SecondaryMap<TargetKey, Sent>,
-    unreachable: SecondaryMap<TargetKey, Moment>,
+    unreachable: SecondaryMap<TargetKey, Instant>,
     /// When the store answered a question for targets last.
-    heard: Option<Moment>,
+    heard: Option<Instant>,
 }
 
 impl Gate {
     /// `heard` notes that the store told what changed of the targets.
-    pub const fn heard(&mut self, now: Moment) {
+    pub const fn heard(&mut self, now: Instant) {
         self.heard = Some(now);
     }
 
     /// `is_blind` tells whether targets may have become cold unheard by a router that has not reached the store since `away`.
     #[must_use]
-    pub fn is_blind(&self, now: Moment, away: Option<Moment>) -> bool {
+    pub fn is_blind(&self, now: Instant, away: Option<Instant>) -> bool {
         let Some(heard) = self.heard else {
             return true;
         };
@@ -191,13 +191,13 @@
     }
 
     /// `unreachable` notes that a connection to a target was refused or not answered.
-    pub fn unreachable(&mut self, now: Moment, key: TargetKey) {
+    pub fn unreachable(&mut self, now: Instant, key: TargetKey) {
         self.unreachable.insert(key, now);
     }
 
     /// `was_unreachable` is when that happened last.
     #[must_use]
-    pub fn was_unreachable(&self, key: TargetKey) -> Option<Moment> {
+    pub fn was_unreachable(&self, key: TargetKey) -> Option<Instant> {
         self.unreachable.get(key).copied()
     }
 
@@ -205,7 +205,7 @@
     /// a window, in a fleet in which so many routers are `heard` or registered.
     pub fn opens(
         &mut self,
-        now: Moment,
+        now: Instant,
         (key, name): (TargetKey, u32),
         requests: usize,
         heard: usize,
@@ -231,7 +231,7 @@
     }
 
     /// `sent` notes that a cold target was sent a request.
-    pub fn sent(&mut self, now: Moment, key: TargetKey) {
+    pub fn sent(&mut self, now: Instant, key: TargetKey) {
         if let Some(sent) = self.sent.get_mut(key) {
             sent.expire(now);
             sent.at.push_back(now);
--- a/crates/peppercrank-direct/tests/verify_admission.rs
+++ b/crates/peppercrank-direct/tests/verify_admission.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::admission::Admission;
 use peppercrank_direct::admission::Pool;
 use peppercrank_direct::ranks::Rank;
@@ -28,8 +28,8 @@
     }
 }
 
-fn at(millis: u64) -> Moment {
-    Moment::from_millis(millis)
+fn at(millis: u64) -> Instant {
+    Instant::from_millis(millis)
 }
 
 #[test]
--- a/crates/peppercrank-direct/tests/verify_confirm.rs
+++ b/crates/peppercrank-direct/tests/verify_confirm.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::confirm::Asked;
 use peppercrank_direct::confirm::Confirmation;
 use peppercrank_direct::confirm::Known;
@@ -19,8 +19,8 @@
 
 const QUESTION: Question = Question { nonce: 7 };
 
-const fn at(millis: u64) -> Moment {
-    Moment::from_millis(millis)
+const fn at(millis: u64) -> Instant {
+    Instant::from_millis(millis)
 }
 
 fn told(version: u64, age: u64) -> Confirmation {
--- a/crates/peppercrank-direct/tests/verify_decide.rs
+++ b/crates/peppercrank-direct/tests/verify_decide.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::admission::Admission;
 use peppercrank_direct::decide::Attempt;
 use peppercrank_direct::decide::Decision;
@@ -64,7 +64,7 @@
 }
 
 fn at(millis: u64, admission: &mut Admission, first: bool, targets: &[Candidate]) -> Decision {
-    let now = Moment::from_millis(millis);
+    let now = Instant::from_millis(millis);
     let rates = Rates::default();
     decide(
         now,
--- a/crates/peppercrank-direct/tests/verify_directory.rs
+++ b/crates/peppercrank-direct/tests/verify_directory.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::directory::Change;
 use peppercrank_direct::directory::Directory;
 use peppercrank_direct::directory::Noted;
@@ -40,7 +40,7 @@
 }
 
 /// The instances of the pool that take work.
-fn ready(directory: &Directory, now: Moment) -> Vec<String> {
+fn ready(directory: &Directory, now: Instant) -> Vec<String> {
     let keys = directory.pool(now, "pool").into_iter();
     let mut names = keys
         .map(|k| directory.get(k).expect("a target"))
@@ -50,7 +50,7 @@
     names
 }
 
-const ZERO: Moment = Moment::ZERO;
+const ZERO: Instant = Instant::ZERO;
 
 #[test]
 fn verify_a_mark_holds_whatever_comes_after() {
@@ -128,7 +128,7 @@
 }
 
 /// Lets a target ask for a pause of so many seconds.
-fn ask_pause(directory: &mut Directory, now: Moment, seconds: u64) -> Noted {
+fn ask_pause(directory: &mut Directory, now: Instant, seconds: u64) -> Noted {
     let key = directory.find("one").expect("a key");
     let notice = Notice {
         pause: Some(Duration::from_secs(seconds)),
@@ -146,8 +146,8 @@
         Noted::Paused(_)
     ));
     assert_eq!(ask_pause(&mut directory, ZERO, 3), Noted::Nothing);
-    let before = Moment::from_millis(4_999);
-    let end = Moment::from_millis(5_000);
+    let before = Instant::from_millis(4_999);
+    let end = Instant::from_millis(5_000);
     assert!(ready(&directory, before).is_empty());
     assert_eq!(ready(&directory, end), ["one"]);
     assert!(matches!(
@@ -200,7 +200,7 @@
         directory.apply(ZERO, put(name, false));
     }
     directory.store_lost();
-    let back = Moment::from_millis(5_000);
+    let back = Instant::from_millis(5_000);
     directory.store_back(back);
     directory.replace(back, Vec::new());
     let just = back + RETURN_GRACE.saturating_sub(Duration::from_millis(1));
--- a/crates/peppercrank-direct/tests/verify_era.rs
+++ b/crates/peppercrank-direct/tests/verify_era.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::directory::Change;
 use peppercrank_direct::directory::Directory;
 use peppercrank_direct::directory::HELD;
@@ -22,8 +22,8 @@
 const TICK: Duration = Duration::from_millis(1);
 
 /// A moment so many seconds after the first.
-const fn at(seconds: u64) -> Moment {
-    Moment::from_millis(100_000 + seconds * 1_000)
+const fn at(seconds: u64) -> Instant {
+    Instant::from_millis(100_000 + seconds * 1_000)
 }
 
 /// What a start of a target tells of itself.
@@ -49,7 +49,7 @@
     directory
 }
 
-fn takes_work(directory: &Directory, now: Moment, name: &str) -> bool {
+fn takes_work(directory: &Directory, now: Instant, name: &str) -> bool {
     let key = directory.find(name);
     key.is_some_and(|k| directory.pool(now, "pool").contains(&k))
 }
--- a/crates/peppercrank-direct/tests/verify_evacuations.rs
+++ b/crates/peppercrank-direct/tests/verify_evacuations.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::directory::Change as TargetChange;
 use peppercrank_direct::directory::Directory;
 use peppercrank_direct::directory::HELD;
@@ -16,7 +16,7 @@
 use peppercrank_direct::evacuations::Evacuations;
 use peppercrank_direct::starts::Start;
 
-const ZERO: Moment = Moment::ZERO;
+const ZERO: Instant = Instant::ZERO;
 
 fn zones(names: &[&str]) -> Vec<Arc<str>> {
     names.iter().map(|n| Arc::from(*n)).collect()
--- a/crates/peppercrank-direct/tests/verify_hot_prompts.rs
+++ b/crates/peppercrank-direct/tests/verify_hot_prompts.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::directory::TargetKey;
 use peppercrank_direct::place::Candidate;
 use peppercrank_direct::place::Placed;
@@ -80,8 +80,8 @@
     over: u32,
 }
 
-fn at(millis: u64) -> Moment {
-    Moment::from_millis(millis)
+fn at(millis: u64) -> Instant {
+    Instant::from_millis(millis)
 }
 
 /// The same as a prediction takes it.
--- a/crates/peppercrank-direct/tests/verify_knowledge.rs
+++ b/crates/peppercrank-direct/tests/verify_knowledge.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::desired::Allowed;
 use peppercrank_direct::desired::Applied;
 use peppercrank_direct::desired::CallerBounds;
@@ -47,8 +47,8 @@
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
 
-fn at(millis: u64) -> Moment {
-    Moment::from_millis(millis)
+fn at(millis: u64) -> Instant {
+    Instant::from_millis(millis)
 }
 
 #[test]
@@ -178,10 +178,10 @@
 #[test]
 fn verify_versions_only_grow() {
     let mut force = InForce::default();
-    assert_eq!(force.apply(Moment::ZERO, desired(5)), Applied::InForce);
-    assert_eq!(force.apply(Moment::ZERO, desired(4)), Applied::Older);
-    assert_eq!(force.apply(Moment::ZERO, desired(5)), Applied::Same);
-    let later = Moment::from_millis(7);
+    assert_eq!(force.apply(Instant::ZERO, desired(5)), Applied::InForce);
+    assert_eq!(force.apply(Instant::ZERO, desired(4)), Applied::Older);
+    assert_eq!(force.apply(Instant::ZERO, desired(5)), Applied::Same);
+    let later = Instant::from_millis(7);
     assert_eq!(force.apply(later, desired(900)), Applied::InForce);
     assert_eq!(force.since(), Some(later));
     let version = force.index().map(|i| i.desired().version);
--- a/crates/peppercrank-direct/tests/verify_overcount.rs
+++ b/crates/peppercrank-direct/tests/verify_overcount.rs
@@ -12,7 +12,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::admission::Admission;
 use peppercrank_direct::decide::Attempt;
 use peppercrank_direct::decide::Decision;
@@ -40,8 +40,8 @@
 
 const PROMPT: u64 = 8_000;
 
-fn now() -> Moment {
-    Moment::from_millis(60_000)
+fn now() -> Instant {
+    Instant::from_millis(60_000)
 }
 
 fn candidate(key: TargetKey, n: usize, told: u32, reported: Option<u32>) -> Candidate {
--- a/crates/peppercrank-direct/tests/verify_place.rs
+++ b/crates/peppercrank-direct/tests/verify_place.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::directory::Change;
 use peppercrank_direct::directory::Directory;
 use peppercrank_direct::directory::Registration;
@@ -22,7 +22,7 @@
 use peppercrank_direct::starts::Start;
 use peppercrank_direct::stats::Stats;
 
-const NOW: Moment = Moment::ZERO;
+const NOW: Instant = Instant::ZERO;
 
 /// How long a request holds its place, in milliseconds.
 const HOLD: f64 = 500.0;
@@ -297,7 +297,7 @@
     assert!(stats.failed(NOW));
     assert_ne!(choose(&request(), &candidates).key, candidates[home].key);
     // Once its time is over one request tries it; until that one ends it gets no other.
-    let later = Moment::from_millis(60_000);
+    let later = Instant::from_millis(60_000);
     candidates[1 - home].stats.reading = 10_000_000;
     let at = |candidates: &[Candidate]| match place(
         later,
@@ -323,7 +323,7 @@
     for _ in 0..3 {
         stats.failed(NOW);
     }
-    let later = Moment::from_millis(60_000);
+    let later = Instant::from_millis(60_000);
     let mut candidates = idle(2);
     candidates[0].stats = stats;
     candidates[1].stats.reading = 10_000_000;
@@ -402,7 +402,7 @@
         );
     }
     // Later the target's word is too old to count.
-    let later = Moment::from_millis(5_000);
+    let later = Instant::from_millis(5_000);
     assert_eq!(
         candidates[1].stats.at(later, Duration::ZERO, HOLD).load(),
         40
--- a/crates/peppercrank-direct/tests/verify_quarantine.rs
+++ b/crates/peppercrank-direct/tests/verify_quarantine.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::content::Fingerprint;
 use peppercrank_direct::peers::Datagram;
 use peppercrank_direct::peers::MOST_BYTES;
@@ -24,8 +24,8 @@
 const DEADLY: Fingerprint = Fingerprint(7);
 
 /// A moment so many milliseconds after the first.
-const fn at(millis: u64) -> Moment {
-    Moment::from_millis(1_000_000 + millis)
+const fn at(millis: u64) -> Instant {
+    Instant::from_millis(1_000_000 + millis)
 }
 
 /// Ends so many targets under a request, one after the other.
@@ -36,7 +36,7 @@
 }
 
 /// Tells one router what another has to tell.
-fn tell(from: &mut Quarantine, to: &mut Quarantine, now: Moment, relay: bool) -> Vec<Change> {
+fn tell(from: &mut Quarantine, to: &mut Quarantine, now: Instant, relay: bool) -> Vec<Change> {
     let reports = from.tell(now);
     reports.iter().map(|r| to.hear(now, r, relay)).collect()
 }
@@ -82,7 +82,7 @@
     for target in 1..4 {
         old.ended_under(at(2_000), DEADLY, TargetId(target));
     }
-    let now = Moment::from_millis(100);
+    let now = Instant::from_millis(100);
     let mut new = Quarantine::default();
     for report in old.remind(at(9_000)) {
         assert_eq!(new.hear(now, &report, true), Change::Quarantined);
--- a/crates/peppercrank-direct/tests/verify_reports.rs
+++ b/crates/peppercrank-direct/tests/verify_reports.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::directory::TargetKey;
 use peppercrank_direct::peers::Datagram;
 use peppercrank_direct::peers::Peers;
@@ -38,12 +38,12 @@
 
 const ALL: usize = 120;
 
-fn now() -> Moment {
-    Moment::from_millis(60_000)
+fn now() -> Instant {
+    Instant::from_millis(60_000)
 }
 
-fn ago(millis: u64) -> Moment {
-    Moment::from_millis(60_000 - millis)
+fn ago(millis: u64) -> Instant {
+    Instant::from_millis(60_000 - millis)
 }
 
 fn counted(running: u32) -> Stats {
--- a/crates/peppercrank-direct/tests/verify_retries.rs
+++ b/crates/peppercrank-direct/tests/verify_retries.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::retries::After::Again;
 use peppercrank_direct::retries::After::AgainIfAllowed;
 use peppercrank_direct::retries::After::Fail;
@@ -25,11 +25,11 @@
 /// So many routers spend all that they may; returns the most repeats of any window.
 fn spend_all(routers: usize, restart: bool) -> (usize, usize) {
     let pool: Arc<str> = "pool".into();
-    let new = |at| RetryBudget::new(Moment::from_millis(at), TERMS);
+    let new = |at| RetryBudget::new(Instant::from_millis(at), TERMS);
     let mut budgets = (0..routers).map(|_| new(0)).collect::<Vec<_>>();
     let (mut repeats, mut requests) = (Vec::new(), Vec::new());
     for millis in (0..40_000).step_by(20) {
-        let now = Moment::from_millis(millis);
+        let now = Instant::from_millis(millis);
         if restart && millis % 7_000 == 0 {
             budgets = (0..routers).map(|_| new(millis)).collect();
         }
@@ -140,8 +140,8 @@
 #[test]
 fn verify_asking_for_a_repeat_takes_none() {
     let pool: Arc<str> = "pool".into();
-    let mut budget = RetryBudget::new(Moment::ZERO, TERMS);
-    let now = Moment::from_millis(10_000);
+    let mut budget = RetryBudget::new(Instant::ZERO, TERMS);
+    let now = Instant::from_millis(10_000);
     budget.request(now, &pool);
     let mut spent = 0;
     while budget.can_spend(now, &pool, 4) {
--- a/crates/peppercrank-direct/tests/verify_silence.rs
+++ b/crates/peppercrank-direct/tests/verify_silence.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::silence::Heard;
 use peppercrank_direct::silence::Silence;
 
@@ -15,7 +15,7 @@
 
 #[test]
 fn verify_a_stream_is_silent_after_its_pause() {
-    let start = Moment::ZERO;
+    let start = Instant::ZERO;
     // The pause that is named, one that is too short to tell silence by, and none.
     for (pause, limit) in [(Some(800), 600), (Some(50), 300), (None, 1_000)] {
         let silence = Silence::new(start, pause.map(ms));
@@ -28,7 +28,7 @@
 
 #[test]
 fn verify_each_part_begins_the_pause_anew() {
-    let start = Moment::ZERO;
+    let start = Instant::ZERO;
     let mut silence = Silence::new(start, Some(ms(800)));
     silence.heard(start + ms(500));
     let until = start + ms(1_100);
--- a/crates/peppercrank-direct/tests/verify_spread.rs
+++ b/crates/peppercrank-direct/tests/verify_spread.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::content::Fingerprint;
 use peppercrank_direct::peers::Datagram;
 use peppercrank_direct::peers::TargetId;
@@ -88,7 +88,7 @@
 struct Router {
     quarantine: Quarantine,
     spread: Spread,
-    began: Moment,
+    began: Instant,
     /// Whether it is to tell others at some time.
     telling: bool,
     bytes: usize,
@@ -97,7 +97,7 @@
 #[derive(Debug)]
 struct Target {
     start: TargetId,
-    back: Moment,
+    back: Instant,
     /// Sendings at work: their routers, and whether another may follow.
     at_work: Vec<(usize, bool)>,
 }
@@ -120,19 +120,19 @@
 struct World {
     day: Day,
     rng: ChaCha8Rng,
-    now: Moment,
-    events: BTreeMap<(Moment, u64), Event>,
+    now: Instant,
+    events: BTreeMap<(Instant, u64), Event>,
     number: u64,
     routers: Vec<Router>,
     targets: Vec<Target>,
     starts: u32,
-    third: Option<Moment>,
+    third: Option<Instant>,
     told: Told,
 }
 
 impl World {
     fn new(day: Day) -> Self {
-        let now = Moment::from_millis(1_000_000);
+        let now = Instant::from_millis(1_000_000);
         let router = |_| Router {
             quarantine: Quarantine::default(),
             spread: Spread::new(now),
@@ -163,7 +163,7 @@
         world
     }
 
-    fn start(&mut self, back: Moment) -> Target {
+    fn start(&mut self, back: Instant) -> Target {
         self.starts += 1;
         Target {
             start: TargetId(self.starts),
--- a/crates/peppercrank-direct/tests/verify_warm_up.rs
+++ b/crates/peppercrank-direct/tests/verify_warm_up.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::directory::Change;
 use peppercrank_direct::directory::Directory;
 use peppercrank_direct::directory::Registration;
@@ -26,7 +26,7 @@
 use peppercrank_direct::warm_up::shared_out;
 use slotmap::SlotMap;
 
-const ZERO: Moment = Moment::ZERO;
+const ZERO: Instant = Instant::ZERO;
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -155,8 +155,8 @@
             }
         }
     }
-    let within = |from: Moment, at: Moment| at >= from && at.since(from) < SECOND;
-    let count = |from: Moment| sent.iter().filter(|at| within(from, **at)).count();
+    let within = |from: Instant, at: Instant| at >= from && at.since(from) < SECOND;
+    let count = |from: Instant| sent.iter().filter(|at| within(from, **at)).count();
     let most = sent.iter().map(|from| count(*from)).max();
     (most.unwrap_or(0), sent.len())
 }
@@ -202,7 +202,7 @@
     })
 }
 
-fn cold_until(directory: &Directory) -> Moment {
+fn cold_until(directory: &Directory) -> Instant {
     let key = directory.find("one").expect("a target");
     directory.cold_until(key, WARM_UP.lasts)
 }
--- a/crates/peppercrank-gateway/src/attempt.rs
+++ b/crates/peppercrank-gateway/src/attempt.rs
@@ -10,7 +10,7 @@
 use http::Request;
 use http::StatusCode;
 use http_body_util::BodyExt;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::congestion::is_congested;
 use peppercrank_direct::desired::RouteKind;
 use peppercrank_direct::retries::ExecutionState;
@@ -122,7 +122,7 @@
     gateway: &Gateway,
     job: &Job,
     flight: &mut Flight,
-    until: Moment,
+    until: Instant,
     last_event: Option<&str>,
 ) -> Result<TargetAnswer, AttemptError> {
     let request = request(gateway, job, flight, last_event);
@@ -171,7 +171,7 @@
     job: &Job,
     flight: &mut Flight,
     sent: Result<Answer, SendError>,
-    until: Moment,
+    until: Instant,
 ) -> Result<TargetAnswer, AttemptError> {
     match sent {
         Ok(answer) => match gateway.in_time(until, judge(job, flight, answer)).await {
--- a/crates/peppercrank-gateway/src/choose.rs
+++ b/crates/peppercrank-gateway/src/choose.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::congestion::LinkState;
 use peppercrank_direct::congestion::is_congested;
 use peppercrank_direct::decide::Attempt;
@@ -40,7 +40,7 @@
 const FIRST: Duration = Duration::from_secs(10);
 
 /// Whether a target came lately to a fleet that was there before.
-fn is_fresh(state: &State, now: Moment, since: Moment) -> bool {
+fn is_fresh(state: &State, now: Instant, since: Instant) -> bool {
     let first = state.directory.listed().unwrap_or(now);
     since > first + FIRST && now.since(since) < FRESH
 }
@@ -180,7 +180,7 @@
 /// `Survey` is how one request sees the targets of its pool.
 struct Survey<'a> {
     state: &'a State,
-    now: Moment,
+    now: Instant,
     job: &'a Job,
     settings: &'a GatewaySettings,
     /// How long ago peers told of their work.
--- a/crates/peppercrank-gateway/src/eligible.rs
+++ b/crates/peppercrank-gateway/src/eligible.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::admission::SOONEST;
 use peppercrank_direct::directory::TargetKey;
 use peppercrank_direct::directory::Withheld;
@@ -51,7 +51,7 @@
 /// Returns the reason for which there are none.
 pub fn find(
     state: &mut State,
-    now: Moment,
+    now: Instant,
     job: &Job,
     settings: &GatewaySettings,
 ) -> Result<Eligible, Rejection> {
@@ -79,7 +79,7 @@
 /// must not run.
 fn why_none(
     state: &State,
-    now: Moment,
+    now: Instant,
     job: &Job,
     settings: &GatewaySettings,
     others: bool,
@@ -116,7 +116,7 @@
 /// Keeps a request from cold targets that get what they bear.
 fn keep_from_cold(
     state: &mut State,
-    now: Moment,
+    now: Instant,
     job: &Job,
     settings: &GatewaySettings,
     allowed: Vec<TargetKey>,
--- a/crates/peppercrank-gateway/src/follow.rs
+++ b/crates/peppercrank-gateway/src/follow.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use peppercrank_core::events::Event as LogEvent;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::catch_up::Proof;
 use peppercrank_direct::catch_up::Reading;
 use peppercrank_direct::era::Era;
@@ -182,7 +182,7 @@
                     self.gateway.state().catch_up.forget();
                 }
                 let fields = [("kind", Field::Text(self.kind.word()))];
-                self.gateway.log.write(LogEvent::Relisted, &fields);
+                self.gateway.log.write(LogEvent::EntriesRelisted, &fields);
             }
             Turn::Failed(what) => {
                 self.lost(what);
@@ -238,7 +238,7 @@
     }
 
     /// Takes in the whole list, which shows at least this revision.
-    fn take_list(&mut self, asked: Moment, revision: u64, entries: Vec<Entry>) -> Turn {
+    fn take_list(&mut self, asked: Instant, revision: u64, entries: Vec<Entry>) -> Turn {
         self.back();
         if self.kind == Kind::Configuration {
             let events = entries.into_iter().map(Event::Put).collect();
@@ -331,7 +331,7 @@
     }
 
     /// Notes an answer that holds a configuration, and a call for it that failed.
-    fn note(&self, wait: Duration, asked: Moment, ended: &Ended) {
+    fn note(&self, wait: Duration, asked: Instant, ended: &Ended) {
         let bytes = match ended {
             Ended::Done(body) => body.len(),
             _ => 0,
--- a/crates/peppercrank-gateway/src/gateway.rs
+++ b/crates/peppercrank-gateway/src/gateway.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use peppercrank_core::events::Event;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::attribution::Suspect;
 use peppercrank_direct::content::Fingerprint;
 use peppercrank_direct::desired::Applied;
@@ -179,12 +179,12 @@
 
     /// `now` is the present moment.
     #[must_use]
-    pub fn now(&self) -> Moment {
+    pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
     /// `until` returns at a moment, also where the machine was suspended before it.
-    pub async fn until(&self, at: Moment) {
+    pub async fn until(&self, at: Instant) {
         loop {
             let resumed = self.resumed.notified();
             let left = at.since(self.now());
@@ -197,7 +197,7 @@
     }
 
     /// `in_time` is what a future gives by a moment; none where it takes longer.
-    pub async fn in_time<F: Future>(&self, at: Moment, future: F) -> Option<F::Output> {
+    pub async fn in_time<F: Future>(&self, at: Instant, future: F) -> Option<F::Output> {
         tokio::select! {
             biased;
             output = future => Some(output),
--- a/crates/peppercrank-gateway/src/gossip.rs
+++ b/crates/peppercrank-gateway/src/gossip.rs
@@ -9,7 +9,7 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::directory::TargetKey;
 use peppercrank_direct::peers::Datagram;
 use peppercrank_direct::peers::Summary;
@@ -143,7 +143,7 @@
 }
 
 /// The newest load reports, and a peer; none where there are none.
-fn reports_to_pass(now: Moment, state: &State) -> Option<(Vec<LoadReport>, SocketAddr)> {
+fn reports_to_pass(now: Instant, state: &State) -> Option<(Vec<LoadReport>, SocketAddr)> {
     let report =
         |(name, key): (&TargetId, &TargetKey)| LoadReport::of(*name, &state.board.get(*key), now);
     let mut reports = state.names.iter().filter_map(report).collect::<Vec<_>>();
--- a/crates/peppercrank-gateway/src/intake.rs
+++ b/crates/peppercrank-gateway/src/intake.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use peppercrank_core::events::Event as LogEvent;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::catch_up::Proof;
 use peppercrank_direct::catch_up::Reading;
 use peppercrank_direct::desired::Applied;
@@ -57,7 +57,7 @@
     }
 
     /// `replace` takes in the whole list of targets, routers or evacuations, of which the store was `asked` at a moment.
-    pub fn replace(&mut self, asked: Moment, entries: Vec<Entry>) {
+    pub fn replace(&mut self, asked: Instant, entries: Vec<Entry>) {
         self.lines = 0;
         match self.kind {
             Kind::Configuration => {}
@@ -101,7 +101,7 @@
     }
 
     /// `apply` takes in changes of targets, routers or evacuations, for which the store was `asked` at a moment.
-    pub fn apply(&mut self, asked: Moment, events: Vec<Event>) {
+    pub fn apply(&mut self, asked: Instant, events: Vec<Event>) {
         self.lines = 0;
         match self.kind {
             Kind::Configuration => {}
@@ -152,7 +152,7 @@
     /// answer to a question of `asked` proves that it is the newest that can be read. One that cannot be read must not
     /// take the last good one out of use, which would refuse all callers.
     #[must_use]
-    pub fn configure(&mut self, asked: Moment, reading: Reading, changes: Changes) -> Proof {
+    pub fn configure(&mut self, asked: Instant, reading: Reading, changes: Changes) -> Proof {
         self.lines = 0;
         let versions = changes.events.len();
         let mut newer = false;
--- a/crates/peppercrank-gateway/src/job.rs
+++ b/crates/peppercrank-gateway/src/job.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use http::request::Parts;
 use peppercrank_core::hash::hash64;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::content::Content;
 use peppercrank_direct::content::Fingerprint;
 use peppercrank_direct::desired::Allowed;
@@ -77,9 +77,9 @@
     /// Parts of its prompt.
     pub parts: Vec<Part>,
     /// When it came.
-    pub begun: Moment,
+    pub begun: Instant,
     /// When it must have its final answer.
-    pub deadline: Moment,
+    pub deadline: Instant,
     /// The configuration that it was judged by.
     pub version: u64,
     /// What stands for its content, once that was asked for.
@@ -142,7 +142,7 @@
     /// Returns the reason for which the request is refused.
     pub fn judge(
         gateway: &Gateway,
-        begun: Moment,
+        begun: Instant,
         mut head: Parts,
         body: Bytes,
     ) -> Result<Self, Reason> {
--- a/crates/peppercrank-gateway/src/metrics.rs
+++ b/crates/peppercrank-gateway/src/metrics.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::desired::RouteKind;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -344,7 +344,7 @@
         self.version.set(i64::try_from(version).unwrap_or(i64::MAX));
     }
 
-    fn show_budget(&self, state: &mut State, now: Moment) {
+    fn show_budget(&self, state: &mut State, now: Instant) {
         let routers = state.sharers(now);
         let pools = state.budget.pools().cloned().collect::<Vec<_>>();
         for pool in pools {
--- a/crates/peppercrank-gateway/src/serve.rs
+++ b/crates/peppercrank-gateway/src/serve.rs
@@ -9,7 +9,7 @@
 use http::HeaderMap;
 use http::StatusCode;
 use peppercrank_core::events::Event;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::admission::Admission;
 use peppercrank_direct::admission::SOONEST;
 use peppercrank_direct::attribution::Attribution;
@@ -195,7 +195,7 @@
 
     /// `patience` is how long this attempt may take to its answer's first part.
     #[must_use]
-    pub fn patience(&self, flight: &Flight) -> Moment {
+    pub fn patience(&self, flight: &Flight) -> Instant {
         let more = self.job.kind.repeats() && self.plan.sends() + 1 < self.job.attempts;
         // An attempt that nothing may follow is waited for: its answer may still come.
         if !more || !self.could_repeat() {
--- a/crates/peppercrank-gateway/src/state.rs
+++ b/crates/peppercrank-gateway/src/state.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::admission::Admission;
 use peppercrank_direct::catch_up::CatchUp;
 use peppercrank_direct::confirm::Asked;
@@ -56,9 +56,9 @@
     /// The targets there are.
     pub directory: Directory,
     /// Since when the store does not answer this router.
-    pub away: Option<Moment>,
+    pub away: Option<Instant>,
     /// When peers' work was heard of last.
-    pub heard: Moment,
+    pub heard: Instant,
     /// What is known of each target.
     pub board: Board,
     /// Targets by their names on datagrams.
@@ -120,7 +120,7 @@
     /// The revision of its entry.
     pub revision: u64,
     /// When it was heard of last, or its entry was read.
-    pub heard: Moment,
+    pub heard: Instant,
 }
 
 new_key_type! {
@@ -141,7 +141,7 @@
 impl State {
     /// `new` is the state of a process that knows nothing yet.
     #[must_use]
-    pub fn new(now: Moment, settings: &GatewaySettings) -> Self {
+    pub fn new(now: Instant, settings: &GatewaySettings) -> Self {
         Self {
             config: InForce::default(),
             freshness: Freshness::new(settings.keys.map(|k| k.revoke)),
@@ -169,7 +169,7 @@
     }
 
     /// `store_restored` notes that the store has come back from an older copy, so that no revision counts any more.
-    pub fn store_restored(&mut self, now: Moment) {
+    pub fn store_restored(&mut self, now: Instant) {
         self.directory.store_restored(now);
         self.catch_up.forget();
         for router in self.routers.values_mut() {
@@ -189,7 +189,7 @@
     }
 
     /// `sent` notes that a target was sent these parts, and tells the peers what is news.
-    pub fn sent(&mut self, now: Moment, choice: &Choice, target: TargetId, parts: &[Part]) {
+    pub fn sent(&mut self, now: Instant, choice: &Choice, target: TargetId, parts: &[Part]) {
         for part in parts {
             if self.prefixes.note(now, choice.key, part.chain) {
                 let chain = part.chain;
@@ -207,7 +207,7 @@
 
     /// `cold_until` is until when a target counts as cold, in a pool whose targets warm up for so long.
     #[must_use]
-    pub fn cold_until(&self, key: TargetKey, lasts: Duration) -> Moment {
+    pub fn cold_until(&self, key: TargetKey, lasts: Duration) -> Instant {
         let told = self.directory.cold_until(key, lasts);
         let unreachable = self.gate.was_unreachable(key);
         unreachable.map_or(told, |at| told.max(at + lasts + MARGIN))
@@ -216,7 +216,7 @@
     /// `sharers` is how many routers share the retry budget: those registered, those heard of,
     /// and this one.
     #[must_use]
-    pub fn sharers(&self, now: Moment) -> usize {
+    pub fn sharers(&self, now: Instant) -> usize {
         self.routers.len().max(self.peers.alive(now)) + 1
     }
 }
--- a/crates/peppercrank-gateway/src/targets.rs
+++ b/crates/peppercrank-gateway/src/targets.rs
@@ -42,7 +42,7 @@
             }
             Noted::Left(key) => {
                 let label = label(gateway, key);
-                tell(gateway, LogEvent::Leaving, &label, revision);
+                tell(gateway, LogEvent::TargetLeaving, &label, revision);
                 // Its end is told by the same name, also of one that was leaving when it came.
                 gateway.state().labels.insert(key, label);
             }
--- a/crates/peppercrank-lease/examples/claim_cost.rs
+++ b/crates/peppercrank-lease/examples/claim_cost.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 use peppercrank_core::keys::RequestId;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_lease::claim::Action;
 use peppercrank_lease::claim::Claims;
 use peppercrank_lease::claim::Input;
@@ -213,7 +213,7 @@
     }
 
     fn drive(&mut self, writer: usize, input: Input) {
-        let now = Moment::from_origin(Duration::from_micros(self.now));
+        let now = Instant::from_origin(Duration::from_micros(self.now));
         for action in self.writers[writer].on(now, input) {
             let (call, shard, write) = match action {
                 Action::Get { call, shard } => (call, shard, None),
--- a/crates/peppercrank-lease/src/claim.rs
+++ b/crates/peppercrank-lease/src/claim.rs
@@ -15,10 +15,10 @@
 use std::time::Duration;
 
 use peppercrank_core::keys::RequestId;
+use peppercrank_core::refusal::AttemptOutcome;
 use peppercrank_core::refusal::MayHaveRun;
 use peppercrank_core::refusal::NotRun;
-use peppercrank_core::refusal::Outcome;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::claim::clock::Clock;
 use crate::claim::slot::Op;
@@ -99,7 +99,7 @@
     /// The request may be forwarded; no other with its key may.
     Granted {
         /// No attempt may be forwarded from this moment on: check right before each.
-        until: Moment,
+        until: Instant,
     },
     /// Another request with the same key has the claim and ran, runs or may yet run.
     Begun,
@@ -110,11 +110,11 @@
 impl Verdict {
     /// `refusal` is the outcome to tell the caller, `None` when the request may run.
     #[must_use]
-    pub const fn refusal(self) -> Option<Outcome> {
+    pub const fn refusal(self) -> Option<AttemptOutcome> {
         match self {
             Self::Granted { .. } => None,
-            Self::Begun => Some(Outcome::MayHaveRun(MayHaveRun::AlreadyBegun)),
-            Self::Unavailable => Some(Outcome::NotRun(NotRun::ClaimUnavailable)),
+            Self::Begun => Some(AttemptOutcome::MayHaveRun(MayHaveRun::AlreadyBegun)),
+            Self::Unavailable => Some(AttemptOutcome::NotRun(NotRun::ClaimUnavailable)),
         }
     }
 }
@@ -130,7 +130,7 @@
     /// Calls that failed in a row.
     fails: u32,
     /// When the store, held to be out, is tried next.
-    probe: Option<Moment>,
+    probe: Option<Instant>,
 }
 
 impl Claims {
@@ -153,7 +153,7 @@
     }
 
     /// `on` takes one input and returns what to do, in this order.
-    pub fn on(&mut self, now: Moment, input: Input) -> Vec<Action> {
+    pub fn on(&mut self, now: Instant, input: Input) -> Vec<Action> {
         let mut out = Vec::new();
         match input {
             Input::Claim { key, token, wait } => self.claim(now, key, token, wait, &mut out),
@@ -167,7 +167,7 @@
 
     /// `wake` is the moment of the next [`Input::Tick`] that matters.
     #[must_use]
-    pub fn wake(&self) -> Option<Moment> {
+    pub fn wake(&self) -> Option<Instant> {
         let slots = self.slots.values().filter_map(|s| s.wake(&self.policy));
         let clock = self.clock.wake(&self.policy);
         slots.chain(clock).chain(self.probe).min()
@@ -187,7 +187,7 @@
 
     fn claim(
         &mut self,
-        now: Moment,
+        now: Instant,
         key: ClaimKey,
         token: RequestId,
         wait: Duration,
@@ -212,7 +212,7 @@
         self.pump(now, shard, out);
     }
 
-    fn release(&mut self, now: Moment, key: ClaimKey, token: RequestId, out: &mut Vec<Action>) {
+    fn release(&mut self, now: Instant, key: ClaimKey, token: RequestId, out: &mut Vec<Action>) {
         let until = now + self.policy.life;
         let shard = key.shard(self.policy.shards);
         let slot = self.slots.entry(shard).or_default();
@@ -220,7 +220,7 @@
         self.pump(now, shard, out);
     }
 
-    fn answer(&mut self, now: Moment, call: CallId, answer: Answer<Shard>, out: &mut Vec<Action>) {
+    fn answer(&mut self, now: Instant, call: CallId, answer: Answer<Shard>, out: &mut Vec<Action>) {
         if self.clock.flies(call) {
             self.hear_epoch(now, &answer, out);
             return;
@@ -250,7 +250,7 @@
         }
     }
 
-    fn hear_epoch(&mut self, now: Moment, answer: &Answer<Shard>, out: &mut Vec<Action>) {
+    fn hear_epoch(&mut self, now: Instant, answer: &Answer<Shard>, out: &mut Vec<Action>) {
         if self.clock.land(now, answer) {
             self.fails = 0;
             self.probe = None;
@@ -272,7 +272,7 @@
         }
     }
 
-    fn pump_all(&mut self, now: Moment, out: &mut Vec<Action>) {
+    fn pump_all(&mut self, now: Instant, out: &mut Vec<Action>) {
         let shards: Vec<u16> = self.slots.keys().copied().collect();
         for shard in shards {
             if let Some(slot) = self.slots.get_mut(&shard) {
@@ -282,7 +282,7 @@
         }
     }
 
-    fn tick(&mut self, now: Moment, out: &mut Vec<Action>) {
+    fn tick(&mut self, now: Instant, out: &mut Vec<Action>) {
         if self.clock.overdue(now, &self.policy) {
             self.hear_epoch(now, &Answer::Failed { after: None }, out);
         }
@@ -303,7 +303,7 @@
     }
 
     /// Counts a failed call and returns when the next is due.
-    fn fail(&mut self, now: Moment, after: Option<Duration>, out: &mut Vec<Action>) -> Moment {
+    fn fail(&mut self, now: Instant, after: Option<Duration>, out: &mut Vec<Action>) -> Instant {
         self.fails = self.fails.saturating_add(1);
         let delay = self.policy.delay(self.seed, self.calls, self.fails);
         let again = now + after.unwrap_or(delay).max(delay);
@@ -320,7 +320,7 @@
     }
 
     /// Leaves a shard alone until `again`.
-    fn hold(&mut self, shard: u16, again: Moment, out: &mut Vec<Action>) {
+    fn hold(&mut self, shard: u16, again: Instant, out: &mut Vec<Action>) {
         if let Some(slot) = self.slots.get_mut(&shard) {
             slot.again = Some(again);
             // Who cannot wait for the next try gets the final answer now.
@@ -329,7 +329,7 @@
     }
 
     /// Reads any shard to learn whether the store, held to be out, is back.
-    fn try_again(&mut self, now: Moment, out: &mut Vec<Action>) {
+    fn try_again(&mut self, now: Instant, out: &mut Vec<Action>) {
         if self.probe.is_none_or(|at| now < at) {
             return;
         }
@@ -342,7 +342,7 @@
         }
     }
 
-    fn pump(&mut self, now: Moment, shard: u16, out: &mut Vec<Action>) {
+    fn pump(&mut self, now: Instant, shard: u16, out: &mut Vec<Action>) {
         if self.slots.get(&shard).is_none_or(Slot::is_idle) {
             return;
         }
--- a/crates/peppercrank-lease/src/claim/clock.rs
+++ b/crates/peppercrank-lease/src/claim/clock.rs
@@ -3,7 +3,7 @@
 
 //! The epoch that claims are dropped by, as one router knows it.
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::claim::Action;
 use crate::claim::Policy;
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Flight {
     call: CallId,
-    sent: Moment,
+    sent: Instant,
     /// The number that is written; `None` for a read.
     write: Option<u32>,
 }
@@ -28,9 +28,9 @@
     number: u32,
     version: Base,
     /// When this number was first seen.
-    since: Moment,
+    since: Instant,
     /// When the call that last showed it was sent.
-    sent: Moment,
+    sent: Instant,
 }
 
 /// The epoch as one router knows it.
@@ -38,12 +38,12 @@
 pub(super) struct Clock {
     seen: Option<Seen>,
     flight: Option<Flight>,
-    pub(super) again: Option<Moment>,
+    pub(super) again: Option<Instant>,
 }
 
 impl Clock {
     /// The number, if it was read less than a period ago: the true one is at most one above.
-    pub(super) fn fresh(&self, now: Moment, policy: &Policy) -> Option<u32> {
+    pub(super) fn fresh(&self, now: Instant, policy: &Policy) -> Option<u32> {
         let fresh = self.seen.filter(|s| now.since(s.sent) < policy.period);
         fresh.map(|s| s.number)
     }
@@ -52,17 +52,17 @@
         self.flight.is_some_and(|f| f.call == call)
     }
 
-    pub(super) fn overdue(&self, now: Moment, policy: &Policy) -> bool {
+    pub(super) fn overdue(&self, now: Instant, policy: &Policy) -> bool {
         self.flight
             .is_some_and(|f| now.since(f.sent) >= policy.call)
     }
 
-    pub(super) fn wake(&self, policy: &Policy) -> Option<Moment> {
+    pub(super) fn wake(&self, policy: &Policy) -> Option<Instant> {
         self.flight.map(|f| f.sent + policy.call).or(self.again)
     }
 
     /// The next call: a read when what is known is too old, a write when an epoch is over.
-    pub(super) fn next(&mut self, now: Moment, call: CallId, policy: &Policy) -> Option<Action> {
+    pub(super) fn next(&mut self, now: Instant, call: CallId, policy: &Policy) -> Option<Action> {
         if self.flight.is_some() || self.again.is_some_and(|at| now < at) {
             return None;
         }
@@ -78,7 +78,7 @@
         Some(self.fly(now, call, Some((number, seen.version))))
     }
 
-    fn fly(&mut self, now: Moment, call: CallId, write: Option<(u32, Base)>) -> Action {
+    fn fly(&mut self, now: Instant, call: CallId, write: Option<(u32, Base)>) -> Action {
         self.flight = Some(Flight {
             call,
             sent: now,
@@ -97,7 +97,7 @@
     }
 
     /// Takes the answer to the call in flight, and tells whether the store gave one.
-    pub(super) fn land(&mut self, now: Moment, answer: &Answer<Shard>) -> bool {
+    pub(super) fn land(&mut self, now: Instant, answer: &Answer<Shard>) -> bool {
         let Some(flight) = self.flight.take() else {
             return true;
         };
--- a/crates/peppercrank-lease/src/claim/slot.rs
+++ b/crates/peppercrank-lease/src/claim/slot.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use peppercrank_core::keys::RequestId;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::claim::Action;
 use crate::claim::Policy;
@@ -34,16 +34,16 @@
     /// Whether a request waits for it; else its claim, if any, is to be removed.
     claims: bool,
     /// When it is given up.
-    until: Moment,
+    until: Instant,
     /// When a write first carried it.
-    first: Option<Moment>,
+    first: Option<Instant>,
     /// Whether a write that carried it may have taken effect unseen.
     lost: bool,
     part: Part,
 }
 
 impl Op {
-    pub(super) fn claim(key: ClaimKey, token: RequestId, until: Moment) -> Self {
+    pub(super) fn claim(key: ClaimKey, token: RequestId, until: Instant) -> Self {
         Self {
             key,
             token,
@@ -56,7 +56,7 @@
     }
 
     /// Gives up a claim that waits; what the store may hold of it is kept on to be removed.
-    fn refuse(&mut self, now: Moment, out: &mut Vec<Action>) {
+    fn refuse(&mut self, now: Instant, out: &mut Vec<Action>) {
         if !self.claims {
             return;
         }
@@ -85,7 +85,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Flight {
     call: CallId,
-    sent: Moment,
+    sent: Instant,
     /// What is written; `None` for a read.
     write: Option<View>,
 }
@@ -103,7 +103,7 @@
 pub(super) struct Slot {
     pub(super) ops: Vec<Op>,
     /// No call starts before.
-    pub(super) again: Option<Moment>,
+    pub(super) again: Option<Instant>,
     view: Option<View>,
     flight: Option<Flight>,
     /// The version that the last write with an unknown fate rests on.
@@ -123,12 +123,12 @@
         self.flight.as_ref().is_some_and(|f| f.call == call)
     }
 
-    pub(super) fn overdue(&self, now: Moment, policy: &Policy) -> bool {
+    pub(super) fn overdue(&self, now: Instant, policy: &Policy) -> bool {
         let flight = self.flight.as_ref();
         flight.is_some_and(|f| now.since(f.sent) >= policy.call)
     }
 
-    pub(super) fn wake(&self, policy: &Policy) -> Option<Moment> {
+    pub(super) fn wake(&self, policy: &Policy) -> Option<Instant> {
         let flight = self.flight.as_ref().map(|f| f.sent + policy.call);
         let again = self.again.filter(|_| flight.is_none());
         let ops = self.ops.iter().map(|o| o.until);
@@ -142,7 +142,7 @@
     }
 
     /// Turns a waiting claim into a release, or adds a release of a claim made before.
-    pub(super) fn release(&mut self, key: ClaimKey, token: RequestId, until: Moment) {
+    pub(super) fn release(&mut self, key: ClaimKey, token: RequestId, until: Instant) {
         let found = self
             .ops
             .iter()
@@ -162,7 +162,7 @@
     }
 
     /// Gives up what cannot wait past `now`.
-    pub(super) fn expire(&mut self, now: Moment, out: &mut Vec<Action>) {
+    pub(super) fn expire(&mut self, now: Instant, out: &mut Vec<Action>) {
         for op in &mut self.ops {
             if now >= op.until {
                 op.refuse(op.until, out);
@@ -172,14 +172,14 @@
     }
 
     /// Gives up every claim that waits.
-    pub(super) fn refuse_all(&mut self, now: Moment, out: &mut Vec<Action>) {
+    pub(super) fn refuse_all(&mut self, now: Instant, out: &mut Vec<Action>) {
         for op in &mut self.ops {
             op.refuse(now, out);
         }
         self.ops.retain(|o| now < o.until);
     }
 
-    pub(super) fn get(&mut self, now: Moment, call: CallId, shard: u16) -> Action {
+    pub(super) fn get(&mut self, now: Instant, call: CallId, shard: u16) -> Action {
         self.flight = Some(Flight {
             call,
             sent: now,
@@ -191,7 +191,7 @@
     /// The next call, if there is anything to call for.
     pub(super) fn next(
         &mut self,
-        now: Moment,
+        now: Instant,
         call: CallId,
         shard: u16,
         epoch: u32,
@@ -232,7 +232,7 @@
     /// Settles what the object as read decides, and enters the rest into `body`.
     fn settle(
         &mut self,
-        now: Moment,
+        now: Instant,
         version: Base,
         body: &mut Shard,
         policy: &Policy,
@@ -347,7 +347,7 @@
 }
 
 impl Found {
-    fn at(self, until: Moment) -> Verdict {
+    fn at(self, until: Instant) -> Verdict {
         match self {
             Self::Own => Verdict::Granted { until },
             Self::Other => Verdict::Begun,
--- a/crates/peppercrank-lease/src/gate.rs
+++ b/crates/peppercrank-lease/src/gate.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use peppercrank_core::names::ModelName;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -170,10 +170,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Past {
     /// To be read at this moment, or when an order comes.
-    Unread(Moment),
+    Unread(Instant),
     Reading {
         call: CallId,
-        sent: Moment,
+        sent: Instant,
     },
     Read,
 }
@@ -189,14 +189,14 @@
     flying: Vec<Order>,
     done: VecDeque<(OrderId, Outcome)>,
     /// Until when an order of unknown fate may be taken up, and its fencing number.
-    quiet: (Moment, Version),
+    quiet: (Instant, Version),
     calls: u64,
 }
 
 impl Gate {
     /// `new` makes the gate of an agent that starts at `now`; an [`Input::Tick`] lets it read.
     #[must_use]
-    pub fn new(policy: Policy, now: Moment) -> Self {
+    pub fn new(policy: Policy, now: Instant) -> Self {
         Self {
             policy,
             past: Past::Unread(now),
@@ -212,7 +212,7 @@
 
     /// `wake` is the moment of the next [`Input::Tick`] that matters.
     #[must_use]
-    pub fn wake(&self) -> Option<Moment> {
+    pub fn wake(&self) -> Option<Instant> {
         match self.past {
             Past::Reading { sent, .. } => Some(sent + self.policy.read),
             Past::Unread(at) => Some(at),
@@ -222,7 +222,7 @@
     }
 
     /// `on` takes one input and returns what to do, in this order.
-    pub fn on(&mut self, now: Moment, input: Input) -> Vec<Action> {
+    pub fn on(&mut self, now: Instant, input: Input) -> Vec<Action> {
         let mut out = Vec::new();
         match input {
             Input::Order(order) => self.order(now, order, &mut out),
@@ -234,7 +234,7 @@
         out
     }
 
-    fn order(&mut self, now: Moment, order: Order, out: &mut Vec<Action>) {
+    fn order(&mut self, now: Instant, order: Order, out: &mut Vec<Action>) {
         if let Some(done) = self.done.iter().find(|d| d.0 == order.id) {
             out.push(tell(order.id, done.1));
             return;
@@ -258,7 +258,7 @@
         }
     }
 
-    fn read(&mut self, now: Moment, out: &mut Vec<Action>) {
+    fn read(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.calls += 1;
         let call = CallId(self.calls);
         self.past = Past::Reading { call, sent: now };
@@ -293,7 +293,7 @@
         Outcome::Stale { least }
     }
 
-    fn lease(&mut self, now: Moment, call: CallId, answer: &Answer<Lease>, out: &mut Vec<Action>) {
+    fn lease(&mut self, now: Instant, call: CallId, answer: &Answer<Lease>, out: &mut Vec<Action>) {
         match self.past {
             Past::Reading { call: own, .. } if own == call => {}
             _ => return,
@@ -314,14 +314,14 @@
         }
     }
 
-    fn unread(&mut self, now: Moment, out: &mut Vec<Action>) {
+    fn unread(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.past = Past::Unread(now + self.policy.read);
         for order in self.queue.drain(..) {
             out.push(tell(order.id, Outcome::Unread));
         }
     }
 
-    fn time_out(&mut self, now: Moment, out: &mut Vec<Action>) {
+    fn time_out(&mut self, now: Instant, out: &mut Vec<Action>) {
         match self.past {
             Past::Reading { sent, .. } if now.since(sent) >= self.policy.read => {
                 self.unread(now, out);
@@ -331,7 +331,7 @@
         }
     }
 
-    fn engine(&mut self, now: Moment, id: OrderId, reply: Reply, out: &mut Vec<Action>) {
+    fn engine(&mut self, now: Instant, id: OrderId, reply: Reply, out: &mut Vec<Action>) {
         let Some(at) = self.flying.iter().position(|o| o.id == id) else {
             return;
         };
@@ -349,7 +349,7 @@
     }
 
     /// Passes what may go to the engine now.
-    fn pass(&mut self, now: Moment, out: &mut Vec<Action>) {
+    fn pass(&mut self, now: Instant, out: &mut Vec<Action>) {
         while self.past == Past::Read && self.may_pass(now) {
             let Some(order) = self.queue.pop_front() else {
                 return;
@@ -360,7 +360,7 @@
     }
 
     /// Tells whether the first order waiting may go: nothing older may be taken up after it.
-    fn may_pass(&self, now: Moment) -> bool {
+    fn may_pass(&self, now: Instant) -> bool {
         let Some(next) = self.queue.front() else {
             return false;
         };
--- a/crates/peppercrank-lease/src/lease.rs
+++ b/crates/peppercrank-lease/src/lease.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use peppercrank_core::names::VmName;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::store::Answer;
 use crate::store::Base;
@@ -78,14 +78,14 @@
     version: Base,
     lease: Option<Lease>,
     /// When this version was first seen.
-    since: Moment,
+    since: Instant,
 }
 
 /// The call in flight.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Flight {
     call: CallId,
-    sent: Moment,
+    sent: Instant,
     /// What is written; `None` for a read.
     write: Option<Lease>,
 }
@@ -94,7 +94,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Hold {
     fence: Version,
-    until: Moment,
+    until: Instant,
 }
 
 /// `Contender` seeks, holds and gives back one lease.
@@ -111,9 +111,9 @@
     flight: Option<Flight>,
     /// The number and the moment of the last write.
     beat: u64,
-    sent: Moment,
+    sent: Instant,
     calls: u64,
-    again: Moment,
+    again: Instant,
 }
 
 impl Contender {
@@ -134,9 +134,9 @@
             hold: None,
             flight: None,
             beat: 0,
-            sent: Moment::ZERO,
+            sent: Instant::ZERO,
             calls: 0,
-            again: Moment::ZERO,
+            again: Instant::ZERO,
         })
     }
 
@@ -145,14 +145,14 @@
     /// Ask before *each* act, with the clock read anew: a process that was paused past its lease
     /// learns it here.
     #[must_use]
-    pub fn fence(&self, now: Moment) -> Option<Version> {
+    pub fn fence(&self, now: Instant) -> Option<Version> {
         let hold = self.hold.filter(|h| now < h.until);
         hold.map(|h| h.fence)
     }
 
     /// `wake` is the moment of the next [`Input::Tick`] that matters.
     #[must_use]
-    pub fn wake(&self) -> Option<Moment> {
+    pub fn wake(&self) -> Option<Instant> {
         let call = self.flight.as_ref().map(|f| f.sent + self.policy.call);
         let next = call.or_else(|| self.is_busy().then_some(self.again));
         let lapse = self.hold.map(|h| h.until);
@@ -160,7 +160,7 @@
     }
 
     /// `on` takes one input and returns what to do, in this order.
-    pub fn on(&mut self, now: Moment, input: Input) -> Vec<Action> {
+    pub fn on(&mut self, now: Instant, input: Input) -> Vec<Action> {
         let mut out = Vec::new();
         self.lapse(now, &mut out);
         match input {
@@ -186,7 +186,7 @@
         out
     }
 
-    fn lapse(&mut self, now: Moment, out: &mut Vec<Action>) {
+    fn lapse(&mut self, now: Instant, out: &mut Vec<Action>) {
         if self.hold.is_some_and(|h| now >= h.until) {
             self.lose(out);
         }
@@ -198,21 +198,21 @@
         }
     }
 
-    fn time_out(&mut self, now: Moment) {
+    fn time_out(&mut self, now: Instant) {
         let call = self.policy.call;
         if self.flight.take_if(|f| now.since(f.sent) >= call).is_some() {
             self.fail(now, None);
         }
     }
 
-    fn fail(&mut self, now: Moment, after: Option<Duration>) {
+    fn fail(&mut self, now: Instant, after: Option<Duration>) {
         self.stale = true;
         self.again = now + after.unwrap_or_default().max(self.policy.retry);
     }
 
     fn answer(
         &mut self,
-        now: Moment,
+        now: Instant,
         flight: Flight,
         answer: Answer<Lease>,
         out: &mut Vec<Action>,
@@ -248,7 +248,7 @@
     }
 
     /// Takes in the object as it stands.
-    fn see(&mut self, now: Moment, version: Base, lease: Option<Lease>, out: &mut Vec<Action>) {
+    fn see(&mut self, now: Instant, version: Base, lease: Option<Lease>, out: &mut Vec<Action>) {
         self.stale = false;
         let mine = lease.as_ref().is_some_and(|l| l.session == self.session);
         let last = lease
@@ -274,7 +274,7 @@
         }
     }
 
-    fn hold(&mut self, now: Moment, fence: Version, out: &mut Vec<Action>) {
+    fn hold(&mut self, now: Instant, fence: Version, out: &mut Vec<Action>) {
         let lasts = self.policy.duration.saturating_sub(self.policy.margin);
         let until = self.sent + lasts;
         self.again = (self.sent + self.policy.duration / RENEWALS).max(now);
@@ -288,13 +288,13 @@
     }
 
     /// When another's lease is looked at next.
-    fn next_look(&self, now: Moment) -> Moment {
+    fn next_look(&self, now: Instant) -> Instant {
         let poll = now + self.policy.poll;
         self.free_at().map_or(now, |at| poll.min(at.max(now)))
     }
 
     /// When the lease as seen may be taken; `None` for at once.
-    fn free_at(&self) -> Option<Moment> {
+    fn free_at(&self) -> Option<Instant> {
         let seen = self.seen.as_ref()?;
         let lease = seen.lease.as_ref()?;
         if lease.released || lease.session == self.session {
@@ -318,7 +318,7 @@
         self.stale || stands
     }
 
-    fn call(&mut self, now: Moment, out: &mut Vec<Action>) {
+    fn call(&mut self, now: Instant, out: &mut Vec<Action>) {
         if self.flight.is_some() || now < self.again || !self.is_busy() {
             return;
         }
--- a/crates/peppercrank-lease/tests/verify_chaos.rs
+++ b/crates/peppercrank-lease/tests/verify_chaos.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use peppercrank_core::keys::RequestId;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_lease::claim::Action;
 use peppercrank_lease::claim::Claims;
 use peppercrank_lease::claim::Input;
@@ -44,14 +44,14 @@
 
 struct World {
     rng: ChaCha8Rng,
-    now: Moment,
+    now: Instant,
     wait: Duration,
     routers: Vec<(Claims, u64)>,
     objects: BTreeMap<u16, Store<Shard>>,
     calls: Vec<Call>,
     keys: BTreeMap<RequestId, ClaimKey>,
     /// When the last run of each key began.
-    runs: BTreeMap<ClaimKey, Moment>,
+    runs: BTreeMap<ClaimKey, Instant>,
     ran: u32,
     again: u32,
 }
@@ -148,7 +148,7 @@
     for (seed, wait_ms) in (0..20).zip([30, 500].into_iter().cycle()) {
         let mut world = World {
             rng: ChaCha8Rng::seed_from_u64(seed),
-            now: Moment::ZERO,
+            now: Instant::ZERO,
             wait: Duration::from_millis(wait_ms),
             routers: (0..4).map(|n| (claims(n), 0)).collect(),
             objects: BTreeMap::new(),
--- a/crates/peppercrank-lease/tests/verify_claim.rs
+++ b/crates/peppercrank-lease/tests/verify_claim.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use peppercrank_core::keys::RequestId;
+use peppercrank_core::refusal::AttemptOutcome;
 use peppercrank_core::refusal::MayHaveRun;
 use peppercrank_core::refusal::NotRun;
-use peppercrank_core::refusal::Outcome;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_lease::claim::Action;
 use peppercrank_lease::claim::Claims;
 use peppercrank_lease::claim::Input;
@@ -77,7 +77,7 @@
     }
 
     /// Feeds an input and serves the calls that follow; the first ones by `fates`.
-    fn on(&mut self, store: &mut World, now: Moment, input: Input, fates: &[Fate]) {
+    fn on(&mut self, store: &mut World, now: Instant, input: Input, fates: &[Fate]) {
         let mut fates = fates.iter().copied();
         let mut actions = self.claims.on(now, input);
         while let Some(action) = actions.pop() {
@@ -155,8 +155,8 @@
     call
 }
 
-fn at(ms: u64) -> Moment {
-    Moment::from_millis(ms)
+fn at(ms: u64) -> Instant {
+    Instant::from_millis(ms)
 }
 
 #[test]
@@ -167,7 +167,10 @@
     b.on(&mut store, at(0), claim(1, 20), &[]);
     assert!(a.is_granted(10));
     let told = b.verdict(20).and_then(Verdict::refusal);
-    assert_eq!(told, Some(Outcome::MayHaveRun(MayHaveRun::AlreadyBegun)));
+    assert_eq!(
+        told,
+        Some(AttemptOutcome::MayHaveRun(MayHaveRun::AlreadyBegun))
+    );
     assert_eq!((store.shard.reads, store.shard.writes), (2, 1));
 }
 
@@ -236,7 +239,10 @@
     assert_eq!(told.len(), 1);
     assert!(told[0].0 <= 2_000 && told[0].2 == Verdict::Unavailable);
     let refusal = told[0].2.refusal();
-    assert_eq!(refusal, Some(Outcome::NotRun(NotRun::ClaimUnavailable)));
+    assert_eq!(
+        refusal,
+        Some(AttemptOutcome::NotRun(NotRun::ClaimUnavailable))
+    );
     // From now on at once, with no call.
     let now = claims.on(at(2_001), claim(2, 11));
     let verdict = Verdict::Unavailable;
--- a/crates/peppercrank-lease/tests/verify_gate.rs
+++ b/crates/peppercrank-lease/tests/verify_gate.rs
@@ -4,7 +4,7 @@
 //! The order gate: old numbers, duplicates, restarts, orders in flight, both kinds of engine.
 
 use peppercrank_core::names::VmName;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_lease::gate::Action;
 use peppercrank_lease::gate::Command;
 use peppercrank_lease::gate::Engine;
@@ -22,7 +22,7 @@
 use peppercrank_lease::store::Version;
 
 /// After the time to settle.
-const CALM: Moment = Moment::from_millis(20_000);
+const CALM: Instant = Instant::from_millis(20_000);
 
 fn order(id: u128, fence: u64, seq: u64) -> Order {
     Order {
@@ -52,12 +52,12 @@
         engine,
         ..Policy::default()
     };
-    let mut gate = Gate::new(policy, Moment::ZERO);
+    let mut gate = Gate::new(policy, Instant::ZERO);
     let call = CallId(1);
-    assert_eq!(gate.on(Moment::ZERO, Input::Tick), [Action::Read { call }]);
+    assert_eq!(gate.on(Instant::ZERO, Input::Tick), [Action::Read { call }]);
     let answer = lease(version);
     assert!(
-        gate.on(Moment::ZERO, Input::Lease { call, answer })
+        gate.on(Instant::ZERO, Input::Lease { call, answer })
             .is_empty()
     );
     gate
@@ -122,7 +122,7 @@
 
 #[test]
 fn verify_an_unread_lease_refuses_at_once_and_is_read_anew() {
-    let mut gate = Gate::new(Policy::default(), Moment::ZERO);
+    let mut gate = Gate::new(Policy::default(), Instant::ZERO);
     let out = gate.on(CALM, Input::Order(order(1, 9, 1)));
     let call = CallId(1);
     assert_eq!(out, [Action::Read { call }]);
@@ -186,7 +186,7 @@
 fn verify_a_fresh_agent_waits_out_what_its_earlier_life_passed() {
     for (engine, waits) in [(Engine::Ignores, true), (Engine::Checks, false)] {
         let mut gate = gate(engine, 3);
-        let out = gate.on(Moment::ZERO, Input::Order(order(1, 10, 1)));
+        let out = gate.on(Instant::ZERO, Input::Order(order(1, 10, 1)));
         assert_eq!(out.is_empty(), waits, "{engine:?}");
     }
 }
--- a/crates/peppercrank-lease/tests/verify_lease.rs
+++ b/crates/peppercrank-lease/tests/verify_lease.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use peppercrank_core::names::VmName;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_lease::lease::Action;
 use peppercrank_lease::lease::Contender;
 use peppercrank_lease::lease::Input;
@@ -35,7 +35,7 @@
 
 /// Feeds an input at `ms` of the contender's own clock and serves the calls that follow.
 fn drive(c: &mut Contender, store: &mut Store<Lease>, ms: u64, input: Input, mode: Mode) {
-    let now = Moment::from_millis(ms);
+    let now = Instant::from_millis(ms);
     let mut actions = c.on(now, input);
     while let Some(action) = actions.pop() {
         let (call, answer) = match action {
@@ -54,7 +54,7 @@
 }
 
 fn fence(c: &Contender, ms: u64) -> Option<Version> {
-    c.fence(Moment::from_millis(ms))
+    c.fence(Instant::from_millis(ms))
 }
 
 #[test]
@@ -150,7 +150,7 @@
     let mut store = Store::default();
     let mut a = contender("vm-a", 1);
     drive(&mut a, &mut store, 0, Input::Seek, Mode::Up);
-    let now = Moment::from_millis(5_000);
+    let now = Instant::from_millis(5_000);
     let sent = a.on(now, Input::Tick);
     let [Action::Put { call, base, body }] = &*sent else {
         panic!("a renewal, not {sent:?}");
@@ -184,12 +184,12 @@
 fn verify_who_loses_the_race_for_a_write_does_not_hold() {
     let mut store = Store::default();
     let mut a = contender("vm-a", 1);
-    let read = a.on(Moment::ZERO, Input::Seek);
+    let read = a.on(Instant::ZERO, Input::Seek);
     let [Action::Get { call }] = read[..] else {
         panic!("a read, not {read:?}");
     };
     let answer = Answer::Absent;
-    let write = a.on(Moment::ZERO, Input::Answer { call, answer });
+    let write = a.on(Instant::ZERO, Input::Answer { call, answer });
     let mut b = contender("vm-b", 2);
     drive(&mut b, &mut store, 0, Input::Seek, Mode::Up);
     let [Action::Put { call, base, body }] = &*write else {
@@ -197,7 +197,7 @@
     };
     let answer = store.put(*base, body.clone());
     a.on(
-        Moment::ZERO,
+        Instant::ZERO,
         Input::Answer {
             call: *call,
             answer,
@@ -210,10 +210,10 @@
 fn verify_a_slow_store_still_lets_a_lease_be_held() {
     let mut store = Store::default();
     let mut a = contender("vm-a", 1);
-    let mut calls = a.on(Moment::ZERO, Input::Seek);
+    let mut calls = a.on(Instant::ZERO, Input::Seek);
     let mut due = 5_000;
     for ms in (0..300_000).step_by(100) {
-        let now = Moment::from_millis(ms);
+        let now = Instant::from_millis(ms);
         let mut next = Vec::new();
         if ms == due {
             for action in calls.drain(..) {
--- a/crates/peppercrank-log/src/story.rs
+++ b/crates/peppercrank-log/src/story.rs
@@ -314,7 +314,7 @@
             let word = if ready { "ready" } else { "not ready" };
             Some((Subject::Readiness, format!("told the balancer: {word}")))
         }
-        Event::Leaving
+        Event::TargetLeaving
         | Event::TargetJoined
         | Event::TargetGone
         | Event::TargetMissing
--- a/crates/peppercrank-member/examples/member_cost.rs
+++ b/crates/peppercrank-member/examples/member_cost.rs
@@ -155,8 +155,8 @@
     let node = &net.nodes[nth];
     let pool = node.description.pool()?;
     let estimate = node.part.estimate(pool, net.now)?;
-    let mean = estimate.mean.load.0 as f64 / estimate.mean.weight as f64;
-    let reports = f64::from(estimate.mean.targets);
+    let mean = estimate.mean.total_load.0 as f64 / estimate.mean.total_weight as f64;
+    let reports = f64::from(estimate.mean.target_count);
     Some((
         mean / (truth(net, pool) * times as f64),
         reports,
--- a/crates/peppercrank-member/src/board.rs
+++ b/crates/peppercrank-member/src/board.rs
@@ -7,7 +7,7 @@
 use peppercrank_core::blackboard::TargetState;
 use peppercrank_core::names::TargetName;
 use peppercrank_core::names::VmName;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::description::Description;
 use crate::input::Action;
@@ -51,8 +51,8 @@
 ///
 /// A pool of which nothing fresh is known keeps no mean: an old one would say too little in a
 /// surge and too much after it.
-pub fn renew_means(board: &mut Blackboard, members: &Members, now: Moment) {
-    board.means = members.means(now);
+pub fn renew_means(board: &mut Blackboard, members: &Members, now: Instant) {
+    board.mean_loads = members.means(now);
 }
 
 const fn live(leaving: bool) -> TargetState {
@@ -73,13 +73,13 @@
 
 /// Whether the target is known on this VM, or not known at all.
 fn is_there(board: &Blackboard, target: &TargetName, vm: &VmName) -> bool {
-    let key = board.names.get(target);
+    let key = board.keys_by_name.get(target);
     let known = key.and_then(|key| board.targets.get(*key));
     known.is_none_or(|t| t.vm == *vm)
 }
 
 fn put(board: &mut Blackboard, member: &Description, state: TargetState) {
     if let Some(target) = member.target(state) {
-        board.put(target);
+        board.upsert(target);
     }
 }
--- a/crates/peppercrank-member/src/budget.rs
+++ b/crates/peppercrank-member/src/budget.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 /// IP and UDP headers (28 bytes) and the authentication tag (32 bytes) of a datagram.
 pub const OVERHEAD: usize = 28 + 32;
@@ -18,7 +18,7 @@
     /// Millionths of a byte left, so that short steps lose nothing.
     micros: u64,
     /// When tokens were last added.
-    at: Moment,
+    at: Instant,
 }
 
 impl Budget {
@@ -27,7 +27,7 @@
 
     /// `new` makes a full bucket of `rate` bytes a second.
     #[must_use]
-    pub fn new(rate: u32, now: Moment) -> Self {
+    pub fn new(rate: u32, now: Instant) -> Self {
         let micros = u64::from(rate) * Self::DEPTH * 1_000_000;
         Self {
             rate,
@@ -37,7 +37,7 @@
     }
 
     /// `left` is how many bytes may be sent now.
-    pub fn left(&mut self, now: Moment) -> usize {
+    pub fn left(&mut self, now: Instant) -> usize {
         self.refill(now);
         usize::try_from(self.micros / 1_000_000).unwrap_or(usize::MAX)
     }
@@ -50,7 +50,7 @@
     }
 
     /// `take` spends `bytes` if they are there, and tells whether they were.
-    pub fn take(&mut self, now: Moment, bytes: usize) -> bool {
+    pub fn take(&mut self, now: Instant, bytes: usize) -> bool {
         self.refill(now);
         let wanted = (bytes as u64).saturating_mul(1_000_000);
         let Some(rest) = self.micros.checked_sub(wanted) else {
@@ -60,7 +60,7 @@
         true
     }
 
-    fn refill(&mut self, now: Moment) {
+    fn refill(&mut self, now: Instant) {
         let passed = now.since(self.at).min(Duration::from_secs(Self::DEPTH));
         let micros = u64::try_from(passed.as_micros()).unwrap_or(u64::MAX);
         let added = micros.saturating_mul(u64::from(self.rate));
--- a/crates/peppercrank-member/src/compose.rs
+++ b/crates/peppercrank-member/src/compose.rs
@@ -8,7 +8,7 @@
 use rand::RngExt;
 
 use peppercrank_core::names::PoolName;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::budget::OVERHEAD;
 use crate::description::MemberId;
@@ -82,7 +82,7 @@
     }
 
     /// Sends a draft with what fits on it, and tells whether the budget allowed it.
-    pub(crate) fn send(&mut self, now: Moment, draft: Draft) -> bool {
+    pub(crate) fn send(&mut self, now: Instant, draft: Draft) -> bool {
         let Some(mut message) = self.bare(&draft) else {
             return false;
         };
@@ -196,7 +196,7 @@
 
     fn add_loads(
         &mut self,
-        now: Moment,
+        now: Instant,
         message: &mut Message,
         room: usize,
         class: Class,
--- a/crates/peppercrank-member/src/facts.rs
+++ b/crates/peppercrank-member/src/facts.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::compose::Class;
 use crate::description::Description;
@@ -21,7 +21,7 @@
 use crate::table::Listing;
 
 impl Members {
-    pub(crate) fn on_seeds(&mut self, now: Moment, seeds: Vec<Seed>) {
+    pub(crate) fn on_seeds(&mut self, now: Instant, seeds: Vec<Seed>) {
         let mut listings = BTreeMap::new();
         for seed in seeds {
             let listing = Listing {
@@ -89,7 +89,7 @@
         }
     }
 
-    pub(crate) fn relay(&mut self, now: Moment, to: MemberId, bytes: Vec<u8>) {
+    pub(crate) fn relay(&mut self, now: Instant, to: MemberId, bytes: Vec<u8>) {
         let key = self.table.key(to).filter(|_| bytes.len() <= MAX_RUMOUR);
         let draft = key.and_then(|key| self.draft(key, Body::Relay(bytes), Class::Bulk));
         let sent = draft.is_some_and(|draft| self.send(now, draft));
--- a/crates/peppercrank-member/src/join.rs
+++ b/crates/peppercrank-member/src/join.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::compose::Class;
 use crate::compose::Draft;
@@ -49,7 +49,7 @@
 
 impl Members {
     /// Asks a peer for the next page.
-    pub(crate) fn run_pull(&mut self, now: Moment) {
+    pub(crate) fn run_pull(&mut self, now: Instant) {
         let Some(after) = self.join.cursor else {
             return;
         };
@@ -72,7 +72,7 @@
 
     pub(crate) fn on_pull(
         &mut self,
-        now: Moment,
+        now: Instant,
         from: MemberId,
         address: SocketAddr,
         after: MemberId,
@@ -99,7 +99,7 @@
         self.send(now, draft);
     }
 
-    pub(crate) fn on_page(&mut self, now: Moment, after: MemberId, next: Option<MemberId>) {
+    pub(crate) fn on_page(&mut self, now: Instant, after: MemberId, next: Option<MemberId>) {
         if self.join.cursor == Some(after) {
             self.join.cursor = next;
             // A peer may be as new as this process: compare with others right away.
@@ -109,7 +109,7 @@
 
     pub(crate) fn ask(
         &mut self,
-        now: Moment,
+        now: Instant,
         from: MemberId,
         address: SocketAddr,
         mut ids: Vec<MemberId>,
@@ -124,7 +124,7 @@
 
     pub(crate) fn on_ask(
         &mut self,
-        now: Moment,
+        now: Instant,
         from: MemberId,
         address: SocketAddr,
         ids: &[MemberId],
@@ -140,7 +140,7 @@
     }
 
     /// Asks a peer for descriptions that did not come by themselves.
-    pub(crate) fn run_ask(&mut self, now: Moment) {
+    pub(crate) fn run_ask(&mut self, now: Instant) {
         self.due.ask = now + self.settings.ask;
         let vague = |m: &Member| m.is_vague();
         let first = self.table.pick_run(&mut self.rng, MAX_ASKED, vague);
@@ -158,7 +158,7 @@
     }
 
     /// Tries a member that is held dead or was never heard.
-    pub(crate) fn run_rejoin(&mut self, now: Moment) {
+    pub(crate) fn run_rejoin(&mut self, now: Instant) {
         let lost = |m: &Member| m.state == State::Dead && m.address().is_some();
         let alone = self.table.live() * 2 < self.iter().filter(|m| m.listing.is_some()).count();
         // Fresh members may have read one another's tables only, and so make islands.
@@ -187,7 +187,7 @@
     }
 
     /// Says that this process goes.
-    pub(crate) fn leave(&mut self, now: Moment) {
+    pub(crate) fn leave(&mut self, now: Instant) {
         let Some(own) = self.table.get_mut(self.me) else {
             return;
         };
--- a/crates/peppercrank-member/src/load.rs
+++ b/crates/peppercrank-member/src/load.rs
@@ -11,9 +11,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use peppercrank_core::blackboard::Mean;
+use peppercrank_core::blackboard::MeanLoad;
 use peppercrank_core::names::PoolName;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 
 use crate::description::MemberId;
@@ -34,7 +34,7 @@
     /// The cost in flight.
     pub cost: Cost,
     /// When it reported, by this process's clock.
-    pub at: Moment,
+    pub at: Instant,
 }
 
 /// `Own` is the load of this process's own target.
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Estimate {
     /// The mean, as the blackboard holds it.
-    pub mean: Mean,
+    pub mean: MeanLoad,
     /// The mean age of the reports.
     pub age: Duration,
 }
@@ -96,7 +96,7 @@
     }
 
     /// `expire` forgets reports that are too old.
-    pub fn expire(&mut self, now: Moment) {
+    pub fn expire(&mut self, now: Instant) {
         let age = self.age;
         self.pools.retain(|_, reports| {
             reports.retain(|r| now.since(r.at) <= age);
@@ -116,7 +116,7 @@
         pool: &PoolName,
         most: usize,
         except: MemberId,
-        now: Moment,
+        now: Instant,
     ) -> Vec<Sample> {
         let Some(reports) = self.pools.get(pool) else {
             return Vec::new();
@@ -140,7 +140,7 @@
         pool: &PoolName,
         own: Option<Own>,
         live: u32,
-        now: Moment,
+        now: Instant,
     ) -> Option<Estimate> {
         let own = own.filter(|o| o.weight > 0);
         let fresh = |r: &&Report| now.since(r.at) <= self.age;
@@ -164,13 +164,13 @@
         let load = sum(cost.0, theirs, own_cost, mine);
         let newest = reports.iter().map(|r| r.at).max();
         let at = own.map_or(newest, |_| Some(now));
-        let mean = Mean {
-            load: Cost(load),
-            weight: sum(weight, theirs, own_weight, mine),
-            targets: count + u32::from(own.is_some()),
-            at: at.unwrap_or(now),
+        let mean = MeanLoad {
+            total_load: Cost(load),
+            total_weight: sum(weight, theirs, own_weight, mine),
+            target_count: count + u32::from(own.is_some()),
+            updated_at: at.unwrap_or(now),
         };
-        let age = ages / mean.targets.max(1);
+        let age = ages / mean.target_count.max(1);
         Some(Estimate { mean, age })
     }
 }
@@ -180,7 +180,7 @@
     a.saturating_add(b.saturating_mul(times_b))
 }
 
-fn to_sample(report: &Report, now: Moment) -> Sample {
+fn to_sample(report: &Report, now: Instant) -> Sample {
     let age = now.since(report.at).as_millis() / AGE_UNIT.as_millis();
     Sample {
         id: report.id,
@@ -192,7 +192,7 @@
 
 /// `made_at` is when a report was made that arrives `now` with this age.
 #[must_use]
-pub fn made_at(age: u8, now: Moment) -> Moment {
+pub fn made_at(age: u8, now: Instant) -> Instant {
     let age = AGE_UNIT * u32::from(age);
-    Moment::from_origin(now.since_origin().saturating_sub(age))
+    Instant::from_origin(now.since_origin().saturating_sub(age))
 }
--- a/crates/peppercrank-member/src/members.rs
+++ b/crates/peppercrank-member/src/members.rs
@@ -12,7 +12,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use peppercrank_core::names::PoolName;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::budget::Budget;
 use crate::counters::Counters;
@@ -60,14 +60,14 @@
 /// When each timer is next due.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Due {
-    pub probe: Moment,
-    pub gossip: Moment,
-    pub exchange: Moment,
-    pub rejoin: Moment,
-    pub pull: Moment,
-    pub ask: Moment,
-    pub compare: Moment,
-    pub sweep: Moment,
+    pub probe: Instant,
+    pub gossip: Instant,
+    pub exchange: Instant,
+    pub rejoin: Instant,
+    pub pull: Instant,
+    pub ask: Instant,
+    pub compare: Instant,
+    pub sweep: Instant,
 }
 
 /// `Members` is one process's part in the membership protocol.
@@ -77,7 +77,7 @@
 /// ```
 /// use peppercrank_core::names::VmName;
 /// use peppercrank_core::names::ZoneName;
-/// use peppercrank_core::time::Moment;
+/// use peppercrank_core::time::Instant;
 /// use peppercrank_member::Description;
 /// use peppercrank_member::Facts;
 /// use peppercrank_member::Input;
@@ -100,10 +100,10 @@
 ///     facts: Facts::default(),
 ///     seed: 1,
 /// };
-/// let mut members = Members::new(local, Settings::default(), Moment::ZERO);
+/// let mut members = Members::new(local, Settings::default(), Instant::ZERO);
 /// // With no peers known there is nothing to do yet.
-/// assert!(members.on(Moment::ZERO, Input::Tick).is_empty());
-/// assert!(members.next_wake() > Moment::ZERO);
+/// assert!(members.on(Instant::ZERO, Input::Tick).is_empty());
+/// assert!(members.next_wake() > Instant::ZERO);
 /// # Ok(())
 /// # }
 /// ```
@@ -129,16 +129,16 @@
     pub(crate) seq: u32,
     pub(crate) join: Join,
     pub(crate) due: Due,
-    pub(crate) heard: Moment,
+    pub(crate) heard: Instant,
     pub(crate) out: Vec<Action>,
     pub(crate) held: Vec<MemberKey>,
-    wake: Moment,
+    wake: Instant,
 }
 
 impl Members {
     /// `new` starts the part; nothing is sent before the first input.
     #[must_use]
-    pub fn new(local: Local, settings: Settings, now: Moment) -> Self {
+    pub fn new(local: Local, settings: Settings, now: Instant) -> Self {
         let mut table = Table::default();
         let id = MemberId::of(&local.description.vm);
         let me = table.enter(id, now, None);
@@ -194,7 +194,7 @@
     }
 
     /// `on` takes one input and returns what to do; timers that are due run too.
-    pub fn on(&mut self, now: Moment, input: Input) -> Vec<Action> {
+    pub fn on(&mut self, now: Instant, input: Input) -> Vec<Action> {
         self.notice_pause(now);
         match input {
             Input::Seeds(seeds) => self.on_seeds(now, seeds),
@@ -213,7 +213,7 @@
 
     /// `next_wake` is when the next [`Input::Tick`] is wanted.
     #[must_use]
-    pub fn next_wake(&self) -> Moment {
+    pub fn next_wake(&self) -> Instant {
         let due = self.due;
         let mut next = due
             .probe
@@ -235,7 +235,7 @@
         }
         let relayed = self.relayed.iter().map(|r| r.ends);
         let suspicions = self.suspicions.values().map(Suspicion::ends);
-        relayed.chain(suspicions).fold(next, Moment::min)
+        relayed.chain(suspicions).fold(next, Instant::min)
     }
 
     pub(crate) fn own(&self) -> Option<&Member> {
@@ -273,7 +273,7 @@
     }
 
     /// A late wake means that this process slept: what it waited for may lie unread.
-    fn notice_pause(&mut self, now: Moment) {
+    fn notice_pause(&mut self, now: Instant) {
         let late = now.since(self.wake);
         if late < self.settings.pause {
             return;
@@ -293,7 +293,7 @@
         self.heard = self.heard + late;
     }
 
-    fn run_timers(&mut self, now: Moment) {
+    fn run_timers(&mut self, now: Instant) {
         self.run_probe(now);
         self.run_relayed(now);
         self.run_suspicions(now);
@@ -322,7 +322,7 @@
         }
     }
 
-    fn sweep(&mut self, now: Moment) {
+    fn sweep(&mut self, now: Instant) {
         self.loads.expire(now);
         self.release_held(now);
         self.forget(now);
--- a/crates/peppercrank-member/src/outward.rs
+++ b/crates/peppercrank-member/src/outward.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::input::Action;
 use crate::input::Change;
@@ -58,7 +58,7 @@
     }
 
     /// Notes that a member came back, and holds it back if it does so too often.
-    pub(crate) fn flap(&mut self, now: Moment, key: MemberKey) {
+    pub(crate) fn flap(&mut self, now: Instant, key: MemberKey) {
         let limit = self.settings.flaps * FLAP;
         let room = self.held.len() < (self.table.live() / HELD_SHARE).max(1);
         let Some(member) = self.table.get_mut(key) else {
@@ -73,7 +73,7 @@
         }
     }
 
-    pub(crate) fn release_held(&mut self, now: Moment) {
+    pub(crate) fn release_held(&mut self, now: Instant) {
         let limit = self.settings.flaps * FLAP / 2;
         for key in std::mem::take(&mut self.held) {
             let Some(member) = self.table.get_mut(key) else {
@@ -89,7 +89,7 @@
         }
     }
 
-    pub(crate) fn forget(&mut self, now: Moment) {
+    pub(crate) fn forget(&mut self, now: Instant) {
         let after = self.settings.forget;
         let gone = |m: &Member| !m.state.is_live() && m.listing.is_none();
         let old = |m: &Member| !m.is_heard() || now.since(m.since) > after;
@@ -114,7 +114,7 @@
 }
 
 /// Brings the penalty for flapping up to date.
-fn decay(member: &mut Member, now: Moment) {
+fn decay(member: &mut Member, now: Instant) {
     let halves = now.since(member.flapped).as_secs() / FLAP_HALF.as_secs();
     if halves == 0 && member.flaps > 0 {
         return;
--- a/crates/peppercrank-member/src/probe.rs
+++ b/crates/peppercrank-member/src/probe.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::compose::Class;
 use crate::compose::Draft;
@@ -31,8 +31,8 @@
     pub id: MemberId,
     pub seq: u32,
     /// When relays are asked; `None` once they were.
-    relay: Option<Moment>,
-    ends: Moment,
+    relay: Option<Instant>,
+    ends: Instant,
     /// How many relays were asked.
     asked: usize,
     /// How many of them said that the member is silent.
@@ -40,7 +40,7 @@
 }
 
 impl Probe {
-    pub fn wake(&self) -> Moment {
+    pub fn wake(&self) -> Instant {
         self.relay.unwrap_or(self.ends)
     }
 
@@ -59,11 +59,11 @@
     pub address: SocketAddr,
     /// The asker's number.
     pub theirs: u32,
-    pub ends: Moment,
+    pub ends: Instant,
 }
 
 impl Members {
-    pub(crate) fn run_probe(&mut self, now: Moment) {
+    pub(crate) fn run_probe(&mut self, now: Instant) {
         let relay = self.probe.as_ref().and_then(|p| p.relay);
         if relay.is_some_and(|at| now >= at) {
             self.ask_relays(now);
@@ -77,7 +77,7 @@
         }
     }
 
-    fn start_probe(&mut self, now: Moment) {
+    fn start_probe(&mut self, now: Instant) {
         // Every other probe at most is out of turn, so that the round goes on.
         self.in_turn = !self.in_turn;
         let doubt = if self.in_turn {
@@ -107,7 +107,7 @@
     }
 
     /// Sends a probe and returns its number, if the budget allowed it.
-    fn send_probe(&mut self, now: Moment, key: MemberKey) -> Option<u32> {
+    fn send_probe(&mut self, now: Instant, key: MemberKey) -> Option<u32> {
         self.seq = self.seq.wrapping_add(1);
         let seq = self.seq;
         let want = self.table.get(key)?.is_vague();
@@ -115,7 +115,7 @@
         self.send(now, draft).then_some(seq)
     }
 
-    fn ask_relays(&mut self, now: Moment) {
+    fn ask_relays(&mut self, now: Instant) {
         let Some(mut probe) = self.probe.take() else {
             return;
         };
@@ -142,7 +142,7 @@
     }
 
     /// The period ended without an answer.
-    fn conclude(&mut self, now: Moment) {
+    fn conclude(&mut self, now: Instant) {
         let Some(probe) = self.probe.take() else {
             return;
         };
@@ -169,7 +169,7 @@
     }
 
     /// Begins a suspicion.
-    pub(crate) fn suspect(&mut self, now: Moment, key: MemberKey, by: Option<MemberId>) {
+    pub(crate) fn suspect(&mut self, now: Instant, key: MemberKey, by: Option<MemberId>) {
         let live = self.table.live();
         let stretch = self.health.score() + 1;
         let copies = self.copies();
@@ -207,7 +207,7 @@
         }
     }
 
-    pub(crate) fn run_suspicions(&mut self, now: Moment) {
+    pub(crate) fn run_suspicions(&mut self, now: Instant) {
         let ended = self.suspicions.iter().filter(|(_, s)| now >= s.ends());
         let keys: Vec<_> = ended.map(|(key, _)| *key).collect();
         if keys.is_empty() {
@@ -229,7 +229,7 @@
     }
 
     /// Asks a suspect itself before it is declared dead: it may have refuted unheard.
-    fn ask_last(&mut self, now: Moment, key: MemberKey) {
+    fn ask_last(&mut self, now: Instant, key: MemberKey) {
         let reachable = self.table.get(key).is_some_and(|m| m.address().is_some());
         if reachable && self.send_probe(now, key).is_none() {
             self.postpone_suspicion(key);
@@ -249,13 +249,13 @@
     }
 
     /// Whether there are several others and none was heard for long.
-    fn is_isolated(&self, now: Moment) -> bool {
+    fn is_isolated(&self, now: Instant) -> bool {
         let silent = now.since(self.heard) > self.settings.isolation;
         silent && self.table.live() > 2
     }
 
     /// Holds a member dead or gone.
-    pub(crate) fn declare(&mut self, now: Moment, key: MemberKey, state: State) {
+    pub(crate) fn declare(&mut self, now: Instant, key: MemberKey, state: State) {
         let copies = self.copies();
         self.suspicions.remove(&key);
         let Some(member) = self.table.get_mut(key) else {
@@ -284,7 +284,7 @@
         None
     }
 
-    pub(crate) fn on_ack(&mut self, now: Moment, from: MemberId, seq: u32) {
+    pub(crate) fn on_ack(&mut self, now: Instant, from: MemberId, seq: u32) {
         if self
             .probe
             .as_ref()
@@ -324,7 +324,7 @@
 
     pub(crate) fn on_probe_for(
         &mut self,
-        now: Moment,
+        now: Instant,
         asker: MemberId,
         address: SocketAddr,
         theirs: u32,
@@ -349,7 +349,7 @@
         });
     }
 
-    pub(crate) fn run_relayed(&mut self, now: Moment) {
+    pub(crate) fn run_relayed(&mut self, now: Instant) {
         while let Some(place) = self.relayed.iter().position(|r| now >= r.ends) {
             let relayed = self.relayed.swap_remove(place);
             let body = Body::Silent {
@@ -360,7 +360,7 @@
         }
     }
 
-    pub(crate) fn run_gossip(&mut self, now: Moment) {
+    pub(crate) fn run_gossip(&mut self, now: Instant) {
         self.due.gossip = now + self.settings.gossip;
         if self.news.is_empty() && self.rumours.is_empty() {
             return;
@@ -375,7 +375,7 @@
     }
 
     /// Sends loads to another of the own pool.
-    pub(crate) fn run_exchange(&mut self, now: Moment) {
+    pub(crate) fn run_exchange(&mut self, now: Instant) {
         let Some(pool) = self.own_pool().cloned() else {
             return;
         };
--- a/crates/peppercrank-member/src/receive.rs
+++ b/crates/peppercrank-member/src/receive.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 
 use crate::compose::Class;
@@ -33,7 +33,7 @@
 use crate::table::MemberKey;
 
 impl Members {
-    pub(crate) fn on_datagram(&mut self, now: Moment, address: SocketAddr, message: Message) {
+    pub(crate) fn on_datagram(&mut self, now: Instant, address: SocketAddr, message: Message) {
         self.counters.received += 1;
         if !is_sane(&message.from) || message.from.id == self.id {
             self.counters.malformed += 1;
@@ -70,7 +70,7 @@
         self.take_in(now, address, message);
     }
 
-    fn take_in(&mut self, now: Moment, address: SocketAddr, message: Message) {
+    fn take_in(&mut self, now: Instant, address: SocketAddr, message: Message) {
         let from = message.from.id;
         let mut asks = Vec::new();
         self.merge(now, message.from, Learnt::Told, None, &mut asks);
@@ -93,7 +93,7 @@
 
     fn take_body(
         &mut self,
-        now: Moment,
+        now: Instant,
         from: MemberId,
         address: SocketAddr,
         body: Body,
@@ -123,7 +123,7 @@
     }
 
     /// Tells a sender that its message was not for this process, and who is here.
-    fn refuse(&mut self, now: Moment, address: SocketAddr, to: MemberId, class: Option<Class>) {
+    fn refuse(&mut self, now: Instant, address: SocketAddr, to: MemberId, class: Option<Class>) {
         let Some(class) = class else {
             return;
         };
@@ -133,7 +133,7 @@
     }
 
     /// Lets a speaker know that it is held suspect or dead, so that it can refute.
-    fn notify(&mut self, now: Moment, id: MemberId, address: SocketAddr) {
+    fn notify(&mut self, now: Instant, id: MemberId, address: SocketAddr) {
         let accused = |s: State| matches!(s, State::Suspect | State::Dead);
         if self.table.find(id).is_some_and(|m| accused(m.state)) {
             let draft = Draft::new(id, address, Body::Gossip, Class::Bulk);
@@ -161,7 +161,14 @@
         self.renew(Some(next));
     }
 
-    fn on_probe(&mut self, now: Moment, from: MemberId, address: SocketAddr, seq: u32, want: bool) {
+    fn on_probe(
+        &mut self,
+        now: Instant,
+        from: MemberId,
+        address: SocketAddr,
+        seq: u32,
+        want: bool,
+    ) {
         let mut draft = Draft::new(from, address, Body::Ack { seq }, Class::Vital);
         if want {
             draft.records.extend(self.own_record());
@@ -169,7 +176,7 @@
         self.send(now, draft);
     }
 
-    fn take_news(&mut self, now: Moment, news: News, asks: &mut Vec<MemberId>) {
+    fn take_news(&mut self, now: Instant, news: News, asks: &mut Vec<MemberId>) {
         match news {
             News::Claim(claim) => self.merge(now, claim, Learnt::Told, None, asks),
             News::Accusation { claim, by } => {
@@ -178,7 +185,7 @@
         }
     }
 
-    fn take_record(&mut self, now: Moment, record: Record, asks: &mut Vec<MemberId>) {
+    fn take_record(&mut self, now: Instant, record: Record, asks: &mut Vec<MemberId>) {
         let claim = Claim {
             id: MemberId::of(&record.description.vm),
             incarnation: record.incarnation,
@@ -196,7 +203,7 @@
     /// Weighs a claim and holds what prevails.
     pub(crate) fn merge(
         &mut self,
-        now: Moment,
+        now: Instant,
         claim: Claim,
         learnt: Learnt,
         by: Option<MemberId>,
@@ -244,7 +251,7 @@
 
     fn adopt(
         &mut self,
-        now: Moment,
+        now: Instant,
         key: MemberKey,
         claim: &Claim,
         state: State,
@@ -307,7 +314,7 @@
         self.publish(key, true);
     }
 
-    fn take_loads(&mut self, now: Moment, samples: &[Sample]) {
+    fn take_loads(&mut self, now: Instant, samples: &[Sample]) {
         for sample in samples.iter().filter(|s| s.id != self.id) {
             let Some(member) = self.table.find(sample.id) else {
                 continue;
--- a/crates/peppercrank-member/src/repair.rs
+++ b/crates/peppercrank-member/src/repair.rs
@@ -7,7 +7,7 @@
 
 use rand::RngExt;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::compose::Class;
 use crate::compose::Draft;
@@ -31,7 +31,7 @@
 
 impl Members {
     /// Compares tables with a random member.
-    pub(crate) fn run_compare(&mut self, now: Moment) {
+    pub(crate) fn run_compare(&mut self, now: Instant) {
         self.due.compare = now + self.settings.compare;
         if !self.join.is_done() {
             return;
@@ -49,7 +49,7 @@
     /// Answers with the buckets that differ, from a random one on.
     pub(crate) fn on_compare(
         &mut self,
-        now: Moment,
+        now: Instant,
         from: MemberId,
         address: SocketAddr,
         theirs: &[[u8; 4]],
@@ -88,7 +88,7 @@
     /// Takes in buckets as another holds them, and sends what that one lacks.
     pub(crate) fn reconcile(
         &mut self,
-        now: Moment,
+        now: Instant,
         from: MemberId,
         address: SocketAddr,
         buckets: &[u8],
@@ -120,7 +120,7 @@
 
     fn reconcile_one(
         &mut self,
-        now: Moment,
+        now: Instant,
         claim: &Claim,
         back: &mut Vec<MemberKey>,
         asks: &mut Vec<MemberId>,
--- a/crates/peppercrank-member/src/suspicion.rs
+++ b/crates/peppercrank-member/src/suspicion.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::description::MemberId;
 use crate::settings::Settings;
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone)]
 pub struct Suspicion {
     /// When it began.
-    start: Moment,
+    start: Instant,
     /// The members whose own probes failed, at most [`ACCUSERS`].
     accusers: Vec<MemberId>,
     /// Accusers needed for the shortest time.
@@ -27,14 +27,14 @@
     shortest: Duration,
     longest: Duration,
     /// When the answer to the last question is overdue, once it was asked.
-    last: Option<Moment>,
+    last: Option<Instant>,
 }
 
 impl Suspicion {
     /// `new` begins a suspicion in a fleet of `members`; `stretch` is for a slow process.
     #[must_use]
     pub fn new(
-        start: Moment,
+        start: Instant,
         by: Option<MemberId>,
         members: usize,
         settings: &Settings,
@@ -80,7 +80,7 @@
     /// Only accusers shorten their time by one another's word. The rest hear the death from
     /// them, or by then most likely the refutation, also where its first copies were lost.
     #[must_use]
-    pub fn ends(&self) -> Moment {
+    pub fn ends(&self) -> Instant {
         if let Some(last) = self.last {
             return last;
         }
@@ -101,7 +101,7 @@
     }
 
     /// `ask` notes that the member was asked a last time and has until `overdue` to answer.
-    pub const fn ask(&mut self, overdue: Moment) {
+    pub const fn ask(&mut self, overdue: Instant) {
         self.last = Some(overdue);
     }
 
--- a/crates/peppercrank-member/src/table.rs
+++ b/crates/peppercrank-member/src/table.rs
@@ -13,7 +13,7 @@
 use slotmap::new_key_type;
 
 use peppercrank_core::hash::hash64;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::description::Description;
 use crate::description::MemberId;
@@ -56,7 +56,7 @@
     /// What is held of it; a member only listed by the platform is `Dead`.
     pub state: State,
     /// Since when.
-    pub since: Moment,
+    pub since: Instant,
     /// How it described itself last.
     pub description: Option<Arc<Description>>,
     /// What the platform's list says.
@@ -72,13 +72,13 @@
     /// Returns from death, in thousandths, halved each minute.
     pub(crate) flaps: u32,
     /// When `flaps` was last brought up to date.
-    pub(crate) flapped: Moment,
+    pub(crate) flapped: Instant,
     /// Whether its return is held back for flapping.
     pub(crate) held: bool,
 }
 
 impl Member {
-    fn unheard(id: MemberId, now: Moment) -> Self {
+    fn unheard(id: MemberId, now: Instant) -> Self {
         Self {
             id,
             incarnation: Incarnation::default(),
@@ -185,7 +185,12 @@
 
 impl Table {
     /// The member's key, made if need be; `ring` tells whether it may be probed.
-    pub fn enter(&mut self, id: MemberId, now: Moment, ring: Option<&mut ChaCha8Rng>) -> MemberKey {
+    pub fn enter(
+        &mut self,
+        id: MemberId,
+        now: Instant,
+        ring: Option<&mut ChaCha8Rng>,
+    ) -> MemberKey {
         if let Some(key) = self.ids.get(&id) {
             return *key;
         }
--- a/crates/peppercrank-member/src/view.rs
+++ b/crates/peppercrank-member/src/view.rs
@@ -5,10 +5,10 @@
 
 use std::collections::BTreeMap;
 
-use peppercrank_core::blackboard::Mean;
+use peppercrank_core::blackboard::MeanLoad;
 use peppercrank_core::names::PoolName;
 use peppercrank_core::names::VmName;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::counters::Counters;
 use crate::description::MemberId;
@@ -51,7 +51,7 @@
 
     /// `heard` is when a peer was last heard, at first the start.
     #[must_use]
-    pub const fn heard(&self) -> Moment {
+    pub const fn heard(&self) -> Instant {
         self.heard
     }
 
@@ -88,7 +88,7 @@
 
     /// `estimate` is the mean load of one pool, with what it rests on.
     #[must_use]
-    pub fn estimate(&self, pool: &PoolName, now: Moment) -> Option<Estimate> {
+    pub fn estimate(&self, pool: &PoolName, now: Instant) -> Option<Estimate> {
         let counts = |m: &&Member| m.state.is_live() && !m.is_leaving();
         let members = self.iter().filter(counts);
         let agents = members.filter_map(|m| m.description.as_ref()?.agent());
@@ -100,7 +100,7 @@
 
     /// `means` are the mean loads of all pools with a fresh report.
     #[must_use]
-    pub fn means(&self, now: Moment) -> BTreeMap<PoolName, Mean> {
+    pub fn means(&self, now: Instant) -> BTreeMap<PoolName, MeanLoad> {
         let mut pools: Vec<_> = self.loads.pools().cloned().collect();
         pools.extend(self.own_pool().cloned());
         let estimates = pools.into_iter().filter_map(|pool| {
--- a/crates/peppercrank-member/tests/verify_members/net.rs
+++ b/crates/peppercrank-member/tests/verify_members/net.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use std::time::Instant;
+use std::time::Instant as StdInstant;
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -20,7 +20,7 @@
 use peppercrank_core::names::TargetName;
 use peppercrank_core::names::VmName;
 use peppercrank_core::names::ZoneName;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 use peppercrank_member::Action;
 use peppercrank_member::Agent;
@@ -50,7 +50,7 @@
 /// `Report` is one membership event that a process gave out.
 #[derive(Debug, Clone)]
 pub struct Report {
-    pub at: Moment,
+    pub at: Instant,
     pub by: usize,
     pub about: usize,
     pub change: Change,
@@ -78,7 +78,7 @@
 
 /// `Net` passes messages between processes.
 pub struct Net {
-    pub now: Moment,
+    pub now: Instant,
     pub nodes: Vec<Node>,
     pub loss: f64,
     pub doubled: f64,
@@ -94,7 +94,7 @@
     /// Time spent in the parts and the codec.
     pub spent: Duration,
     rng: ChaCha8Rng,
-    queue: BinaryHeap<Reverse<(Moment, u64, Due)>>,
+    queue: BinaryHeap<Reverse<(Instant, u64, Due)>>,
     packets: BTreeMap<usize, (SocketAddr, Vec<u8>)>,
     places: BTreeMap<SocketAddr, usize>,
     names: BTreeMap<VmName, usize>,
@@ -138,7 +138,7 @@
 impl Net {
     pub fn new(seed: u64) -> Self {
         Self {
-            now: Moment::from_millis(1_000),
+            now: Instant::from_millis(1_000),
             nodes: Vec::new(),
             loss: 0.0,
             doubled: 0.0,
@@ -295,7 +295,7 @@
         if !self.nodes[nth].up {
             return;
         }
-        let start = Instant::now();
+        let start = StdInstant::now();
         let actions = self.nodes[nth].part.on(self.now, input);
         self.spent += start.elapsed();
         for action in actions {
@@ -322,7 +322,7 @@
     }
 
     fn post(&mut self, from: usize, to: SocketAddr, message: &Message) {
-        let start = Instant::now();
+        let start = StdInstant::now();
         let bytes = postcard::to_stdvec(message).expect("an encodable message");
         self.spent += start.elapsed();
         assert_eq!(
@@ -355,14 +355,14 @@
     /// Delivers one encoded message.
     pub fn deliver(&mut self, place: usize, from: SocketAddr, bytes: &[u8]) {
         self.nodes[place].bytes_in += (bytes.len() + OVERHEAD) as u64;
-        let start = Instant::now();
+        let start = StdInstant::now();
         let message: Message = postcard::from_bytes(bytes).expect("a decodable message");
         self.spent += start.elapsed();
         let message = Box::new(message);
         self.input(place, Input::Datagram { from, message });
     }
 
-    fn push(&mut self, at: Moment, due: Due) {
+    fn push(&mut self, at: Instant, due: Due) {
         self.count += 1;
         self.queue.push(Reverse((at, self.count, due)));
     }
--- a/crates/peppercrank-member/tests/verify_members/verify_loads.rs
+++ b/crates/peppercrank-member/tests/verify_members/verify_loads.rs
@@ -20,7 +20,7 @@
     for by in 4..13 {
         let estimate = net.nodes[by].part.estimate(&pool, net.now);
         let mean = estimate.expect("fresh reports").mean;
-        assert_eq!(mean.targets, 9, "at {by}");
-        assert_eq!(mean.share(10), Cost(8_000), "at {by}");
+        assert_eq!(mean.target_count, 9, "at {by}");
+        assert_eq!(mean.for_weight(10), Cost(8_000), "at {by}");
     }
 }
--- a/crates/peppercrank-member/tests/verify_members/verify_riders.rs
+++ b/crates/peppercrank-member/tests/verify_members/verify_riders.rs
@@ -7,7 +7,7 @@
 
 use peppercrank_core::blackboard::Blackboard;
 use peppercrank_core::blackboard::TargetState;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 use peppercrank_member::Action;
 use peppercrank_member::Change;
@@ -229,18 +229,22 @@
     net.run(5_000);
     let mut board = Blackboard::default();
     board::renew_means(&mut board, &net.nodes[2].part, net.now);
-    let shares: Vec<_> = board.means.values().map(|m| m.share(10)).collect();
+    let shares: Vec<_> = board
+        .mean_loads
+        .values()
+        .map(|m| m.for_weight(10))
+        .collect();
     assert_eq!(shares, [Cost(50), Cost(50)]);
     for nth in [3, 5] {
         net.nodes[nth].up = false;
     }
     net.run(20_000);
     board::renew_means(&mut board, &net.nodes[2].part, net.now);
-    assert_eq!(board.means.len(), 1);
+    assert_eq!(board.mean_loads.len(), 1);
     assert!(
         board
-            .means
+            .mean_loads
             .values()
-            .all(|m| m.at > Moment::from_millis(20_000))
+            .all(|m| m.updated_at > Instant::from_millis(20_000))
     );
 }
--- a/crates/peppercrank-member/tests/verify_rules.rs
+++ b/crates/peppercrank-member/tests/verify_rules.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use peppercrank_core::names::PoolName;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 use peppercrank_member::MemberId;
 use peppercrank_member::budget::Budget;
@@ -79,13 +79,13 @@
 fn verify_budget_bounds_every_window() {
     const RATE: u32 = 4_096;
     let mut rng = ChaCha8Rng::seed_from_u64(41);
-    let mut budget = Budget::new(RATE, Moment::ZERO);
+    let mut budget = Budget::new(RATE, Instant::ZERO);
     let mut sent: Vec<(u64, u64)> = Vec::new();
     let mut now = 0;
     for _ in 0..2_000 {
         now += rng.random_range(0..60);
         let bytes = rng.random_range(60..1_200_u16);
-        if budget.take(Moment::from_millis(now), usize::from(bytes)) {
+        if budget.take(Instant::from_millis(now), usize::from(bytes)) {
             sent.push((now, u64::from(bytes)));
         }
     }
@@ -97,7 +97,7 @@
             assert!(sum <= allowed + 1, "{sum} bytes from {start} to {end} ms");
         }
     }
-    assert!(!budget.take(Moment::from_millis(now), usize::MAX));
+    assert!(!budget.take(Instant::from_millis(now), usize::MAX));
 }
 
 fn report(nth: u8, boot: u64, cost: u64, millis: u64) -> Report {
@@ -106,7 +106,7 @@
         boot,
         weight: 10,
         cost: Cost(cost),
-        at: Moment::from_millis(millis),
+        at: Instant::from_millis(millis),
     }
 }
 
@@ -175,8 +175,8 @@
         for report in reports {
             loads.note(&pool, report);
         }
-        let estimate = loads.estimate(&pool, own, live, Moment::from_millis(20_000));
-        let got = estimate.map(|e| (e.mean.share(10).0, e.mean.targets));
+        let estimate = loads.estimate(&pool, own, live, Instant::from_millis(20_000));
+        let got = estimate.map(|e| (e.mean.for_weight(10).0, e.mean.target_count));
         assert_eq!(got, wanted, "{case}");
     }
 }
@@ -188,9 +188,9 @@
     loads.note(&pool, report(1, 1, 90, 1_000));
     loads.note(&pool, report(2, 1, 30, 1_000));
     loads.drop_member(MemberId([1; 8]));
-    let now = Moment::from_millis(2_000);
+    let now = Instant::from_millis(2_000);
     let estimate = loads.estimate(&pool, None, 1, now);
-    assert_eq!(estimate.map(|e| e.mean.share(10)), Some(Cost(30)));
-    loads.expire(Moment::from_millis(30_000));
+    assert_eq!(estimate.map(|e| e.mean.for_weight(10)), Some(Cost(30)));
+    loads.expire(Instant::from_millis(30_000));
     assert_eq!(loads.pools().count(), 0);
 }
--- a/crates/peppercrank-route/examples/rank_cost.rs
+++ b/crates/peppercrank-route/examples/rank_cost.rs
@@ -7,12 +7,12 @@
 
 use std::hint::black_box;
 use std::time::Duration;
-use std::time::Instant;
+use std::time::Instant as StdInstant;
 
 use peppercrank_core::blackboard::TargetKey;
 use peppercrank_core::keys::ChatKey;
 use peppercrank_core::keys::PrefixKey;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_route::Ask;
 use peppercrank_route::Hints;
 use peppercrank_route::Pointers;
@@ -43,7 +43,7 @@
 fn micros(call: impl Fn(u64)) -> (f64, f64) {
     let mut rounds: Vec<Duration> = (0..ROUNDS)
         .map(|_| {
-            let start = Instant::now();
+            let start = StdInstant::now();
             (0..CALLS).for_each(|n| call(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
             start.elapsed()
         })
@@ -87,7 +87,7 @@
             returning: true,
             redirect: true,
         };
-        pointers.served(Moment::from_millis(n), &ask, false);
+        pointers.served(Instant::from_millis(n), &ask, false);
     }
     let (bytes, len) = (pointers.bytes(), pointers.len());
     println!(
@@ -114,8 +114,8 @@
         black_box(pointers.cached(n));
     });
     let fewer = self::ranking(1_299, 1);
-    let start = Instant::now();
-    let chunk = pointers.moved(Moment::ZERO, &ranking, &fewer, 0, usize::MAX);
+    let start = StdInstant::now();
+    let chunk = pointers.moved(Instant::ZERO, &ranking, &fewer, 0, usize::MAX);
     let elapsed = start.elapsed().as_secs_f64() * 1e3;
     let notes = chunk.notes.len();
     println!("one leaves of 1300: {notes} notes of {len} entries in {elapsed:.1} ms");
--- a/crates/peppercrank-route/src/attempt.rs
+++ b/crates/peppercrank-route/src/attempt.rs
@@ -18,10 +18,10 @@
 
 use peppercrank_core::blackboard::TargetKey;
 use peppercrank_core::keys::AttemptId;
+use peppercrank_core::refusal::AttemptOutcome;
 use peppercrank_core::refusal::MayHaveRun;
 use peppercrank_core::refusal::NotRun;
-use peppercrank_core::refusal::Outcome;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::attempt::choose::attempt_id;
 use crate::classes::After;
@@ -45,7 +45,7 @@
     /// The latest attempt is over and what follows is being chosen.
     Choosing,
     /// It waits to try again.
-    Pausing(Moment),
+    Pausing(Instant),
     /// It is over.
     Over,
 }
@@ -120,7 +120,7 @@
     }
 
     /// `on` takes in one event and says what to do next.
-    pub fn on(&mut self, now: Moment, event: Event, retries: &mut Retries) -> Next {
+    pub fn on(&mut self, now: Instant, event: Event, retries: &mut Retries) -> Next {
         match event {
             Event::Ranked(targets) => self.on_ranked(now, targets, retries),
             Event::NotRun {
@@ -136,7 +136,7 @@
         }
     }
 
-    fn on_ranked(&mut self, now: Moment, targets: Vec<TargetKey>, retries: &mut Retries) -> Next {
+    fn on_ranked(&mut self, now: Instant, targets: Vec<TargetKey>, retries: &mut Retries) -> Next {
         if self.phase != Phase::New {
             return Next::Ignore;
         }
@@ -150,7 +150,7 @@
 
     fn on_not_run(
         &mut self,
-        now: Moment,
+        now: Instant,
         attempt: AttemptId,
         reason: NotRun,
         hint: Option<TargetKey>,
@@ -186,7 +186,7 @@
 
     fn on_doubt(
         &mut self,
-        now: Moment,
+        now: Instant,
         attempt: AttemptId,
         reason: MayHaveRun,
         retries: &mut Retries,
@@ -254,7 +254,7 @@
         Next::Finish { cancel }
     }
 
-    fn on_tick(&mut self, now: Moment, retries: &mut Retries) -> Next {
+    fn on_tick(&mut self, now: Instant, retries: &mut Retries) -> Next {
         if self.is_over() {
             return Next::Ignore;
         }
@@ -280,8 +280,8 @@
         let cancel = self.in_flight();
         self.phase = Phase::Over;
         let (outcome, helps) = match self.doubt {
-            Some(doubt) => (Outcome::MayHaveRun(doubt), false),
-            None => (Outcome::NotRun(reason), is_worth_waiting(reason)),
+            Some(doubt) => (AttemptOutcome::MayHaveRun(doubt), false),
+            None => (AttemptOutcome::NotRun(reason), is_worth_waiting(reason)),
         };
         let retry_after = helps.then(|| retries.retry_after());
         Next::Refuse {
@@ -299,12 +299,12 @@
         }
     }
 
-    fn is_late(&self, now: Moment) -> bool {
+    fn is_late(&self, now: Instant) -> bool {
         now >= self.terms.deadline
     }
 
     /// Opens the breaker of the latest target when it could not be reached, else closes it.
-    fn note_reachable(&self, now: Moment, unreachable: bool, retries: &mut Retries) {
+    fn note_reachable(&self, now: Instant, unreachable: bool, retries: &mut Retries) {
         match self.target() {
             Some(target) if unreachable => retries.failed(now, target),
             Some(_) | None => self.close_breaker(retries),
--- a/crates/peppercrank-route/src/attempt/choose.rs
+++ b/crates/peppercrank-route/src/attempt/choose.rs
@@ -10,7 +10,7 @@
 use peppercrank_core::keys::AttemptId;
 use peppercrank_core::keys::RequestId;
 use peppercrank_core::refusal::NotRun;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::attempt::Phase;
 use crate::attempt::Request;
@@ -19,7 +19,7 @@
 
 impl Request {
     /// Goes where a target with room pointed, which spends nothing: it happens once a request.
-    pub(super) fn redirect(&mut self, now: Moment, retries: &mut Retries) -> Next {
+    pub(super) fn redirect(&mut self, now: Instant, retries: &mut Retries) -> Next {
         let target = self.target();
         let free = self.hint.is_some_and(|hint| !self.sent.contains(&hint));
         let first = !self.jumped;
@@ -36,7 +36,7 @@
     }
 
     /// Tries again after `pause` where tries, time and budget allow, else refuses at once.
-    pub(super) fn again(&mut self, now: Moment, pause: Duration, retries: &mut Retries) -> Next {
+    pub(super) fn again(&mut self, now: Instant, pause: Duration, retries: &mut Retries) -> Next {
         let reason = self.refused.unwrap_or(NotRun::NoTarget);
         let until = now + pause;
         if self.is_late(now) {
@@ -61,7 +61,7 @@
     }
 
     /// Sends to the next target that the breakers admit, else refuses.
-    pub(super) fn send(&mut self, now: Moment, retries: &mut Retries) -> Next {
+    pub(super) fn send(&mut self, now: Instant, retries: &mut Retries) -> Next {
         let known = !self.candidates.is_empty();
         let Some(target) = self.pick(now, retries) else {
             let fallback = if known {
@@ -85,7 +85,7 @@
     }
 
     /// Takes the next target: a hint first, then one with room that pointed elsewhere, then by rank.
-    fn pick(&mut self, now: Moment, retries: &mut Retries) -> Option<TargetKey> {
+    fn pick(&mut self, now: Instant, retries: &mut Retries) -> Option<TargetKey> {
         if let Some(hint) = self.hint.take() {
             // Set even when the hint is of no use: one chance a request.
             self.jumped = true;
@@ -105,7 +105,7 @@
     }
 
     /// Tells whether a target is left that may be tried now.
-    fn has_more(&self, now: Moment, retries: &Retries) -> bool {
+    fn has_more(&self, now: Instant, retries: &Retries) -> bool {
         let open = |t: &TargetKey| retries.breakers.left(now, *t).is_zero();
         let fresh = |t: &TargetKey| !self.sent.contains(t) && open(t);
         self.spare.is_some() || self.hint.iter().chain(&self.candidates).any(fresh)
--- a/crates/peppercrank-route/src/breaker.rs
+++ b/crates/peppercrank-route/src/breaker.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use peppercrank_core::blackboard::TargetKey;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use slotmap::SecondaryMap;
 
 /// The first pause after a failure, before jitter.
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Open {
     /// When the pause began.
-    since: Moment,
+    since: Instant,
     /// How long it lasts.
     pause: Duration,
     /// Failures in a row.
@@ -39,7 +39,7 @@
     /// `admits` tells whether `target` may be tried; after the pause, once a pause.
     ///
     /// The one try is the probe. If its result never comes, the next pause ends it.
-    pub fn admits(&mut self, now: Moment, target: TargetKey) -> bool {
+    pub fn admits(&mut self, now: Instant, target: TargetKey) -> bool {
         let Some(open) = self.open.get_mut(target) else {
             return true;
         };
@@ -54,14 +54,14 @@
 
     /// `left` is the time until `target` may be tried, zero when it may be now.
     #[must_use]
-    pub fn left(&self, now: Moment, target: TargetKey) -> Duration {
+    pub fn left(&self, now: Instant, target: TargetKey) -> Duration {
         self.open.get(target).map_or(Duration::ZERO, |open| {
             open.pause.saturating_sub(now.since(open.since))
         })
     }
 
     /// `failed` opens the breaker; `jitter`, 0 to 1, shortens the pause to half at most.
-    pub fn failed(&mut self, now: Moment, target: TargetKey, jitter: f64) {
+    pub fn failed(&mut self, now: Instant, target: TargetKey, jitter: f64) {
         let failures = self.open.get(target).map_or(0, |open| open.failures);
         let longest = FIRST_PAUSE.saturating_mul(1 << failures.min(16));
         let pause = longest.min(LONGEST_PAUSE).mul_f64(1.0 - jitter / 2.0);
--- a/crates/peppercrank-route/src/entry.rs
+++ b/crates/peppercrank-route/src/entry.rs
@@ -6,7 +6,7 @@
 use peppercrank_core::blackboard::TargetKey;
 use peppercrank_core::keys::ChatKey;
 use peppercrank_core::keys::PrefixKey;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::note::Addressed;
 use crate::note::Context;
@@ -50,7 +50,7 @@
     /// `note` tells `to` of the entry; none when its target does not rank.
     pub(crate) fn note(
         &self,
-        now: Moment,
+        now: Instant,
         to: TargetKey,
         ranking: &Ranking,
         held: bool,
--- a/crates/peppercrank-route/src/event.rs
+++ b/crates/peppercrank-route/src/event.rs
@@ -8,10 +8,10 @@
 use peppercrank_core::blackboard::TargetKey;
 use peppercrank_core::keys::AttemptId;
 use peppercrank_core::keys::RequestId;
+use peppercrank_core::refusal::AttemptOutcome;
 use peppercrank_core::refusal::MayHaveRun;
 use peppercrank_core::refusal::NotRun;
-use peppercrank_core::refusal::Outcome;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 /// `Event` is what happened to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -70,7 +70,7 @@
     /// Do nothing until `until`, then send a tick.
     Wait {
         /// The moment.
-        until: Moment,
+        until: Instant,
     },
     /// Pass the answer of the attempt in flight on to the caller.
     Deliver,
@@ -82,7 +82,7 @@
     /// Refuse the request now; after [`Next::Deliver`], end the stream with this as its error.
     Refuse {
         /// The outcome of the request over all its attempts, never `Done`.
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         /// When the caller may come back, where that helps.
         retry_after: Option<Duration>,
         /// The attempt to cancel, when one is in flight.
@@ -100,7 +100,7 @@
     /// Whether it may run twice.
     pub repeatable: bool,
     /// When its time is over.
-    pub deadline: Moment,
-    /// Tries at most, [`peppercrank_core::objects::Policy::tries`]; 0 counts as 1.
+    pub deadline: Instant,
+    /// Tries at most, [`peppercrank_core::objects::PoolPolicy::tries`]; 0 counts as 1.
     pub tries: u32,
 }
--- a/crates/peppercrank-route/src/handover.rs
+++ b/crates/peppercrank-route/src/handover.rs
@@ -3,7 +3,7 @@
 
 //! What agents tell one another when a ranking changes.
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::entry::Entry;
 use crate::entry::Kind;
@@ -31,7 +31,7 @@
     #[must_use]
     pub fn moved(
         &self,
-        now: Moment,
+        now: Instant,
         old: &Ranking,
         new: &Ranking,
         cursor: usize,
@@ -50,7 +50,7 @@
     /// The note that a change of ranking calls for, for one entry.
     fn handover(
         &self,
-        now: Moment,
+        now: Instant,
         slot: &Slot<Entry>,
         old: &Ranking,
         new: &Ranking,
--- a/crates/peppercrank-route/src/hints.rs
+++ b/crates/peppercrank-route/src/hints.rs
@@ -5,7 +5,7 @@
 
 use peppercrank_core::blackboard::TargetKey;
 use peppercrank_core::keys::ChatKey;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::table::Stamp;
 use crate::table::Table;
@@ -36,7 +36,7 @@
     }
 
     /// `put` notes that `target` served `chat`; a full table forgets an old one.
-    pub fn put(&mut self, now: Moment, chat: ChatKey, target: TargetKey) {
+    pub fn put(&mut self, now: Instant, chat: ChatKey, target: TargetKey) {
         self.write(now, chat, target, None);
     }
 
@@ -46,7 +46,7 @@
     /// A home is told once of each target, and nothing when it served the chat itself.
     pub fn served(
         &mut self,
-        now: Moment,
+        now: Instant,
         chat: ChatKey,
         target: TargetKey,
         home: TargetKey,
@@ -72,7 +72,7 @@
         self.table.remove(chat.0);
     }
 
-    fn write(&mut self, now: Moment, chat: ChatKey, target: TargetKey, told: Option<TargetKey>) {
+    fn write(&mut self, now: Instant, chat: ChatKey, target: TargetKey, told: Option<TargetKey>) {
         let hint = Hint { target, told };
         self.table.put(chat.0, Stamp::of(now), hint);
     }
--- a/crates/peppercrank-route/src/lib.rs
+++ b/crates/peppercrank-route/src/lib.rs
@@ -18,7 +18,7 @@
 //! use peppercrank_core::keys::ChatKey;
 //! use peppercrank_core::keys::RequestId;
 //! use peppercrank_core::refusal::NotRun;
-//! use peppercrank_core::time::Moment;
+//! use peppercrank_core::time::Instant;
 //! use peppercrank_route::Event;
 //! use peppercrank_route::Next;
 //! use peppercrank_route::Ranking;
@@ -33,7 +33,7 @@
 //! let mut routes = Routes::new(0.3, 7, Room { chats: 1_000, prefixes: 64 });
 //! routes.ranking = Ranking::new(keys.map(|(key, name)| (key, TargetHash::of(name), 1)));
 //!
-//! let now = Moment::ZERO;
+//! let now = Instant::ZERO;
 //! let terms = Terms {
 //!     id: RequestId(1),
 //!     repeatable: false,
--- a/crates/peppercrank-route/src/pointer.rs
+++ b/crates/peppercrank-route/src/pointer.rs
@@ -12,7 +12,7 @@
 use peppercrank_core::blackboard::TargetKey;
 use peppercrank_core::keys::ChatKey;
 use peppercrank_core::keys::PrefixKey;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use slotmap::SecondaryMap;
 
 use crate::cache::CacheEvent;
@@ -90,7 +90,7 @@
     /// How often each target was seen to start anew, with its incarnation.
     epochs: SecondaryMap<TargetKey, (u64, u32)>,
     /// Until when returning chats are pointed to their home of before.
-    settling: Option<Moment>,
+    settling: Option<Instant>,
 }
 
 impl Pointers {
@@ -139,13 +139,13 @@
     ///
     /// For [`SETTLE`], a returning chat that is unknown here is pointed to the target that ranked
     /// first before.
-    pub fn joined(&mut self, now: Moment) {
+    pub fn joined(&mut self, now: Instant) {
         self.settling = Some(now + SETTLE);
     }
 
     /// `place` tells where a request should run.
     #[must_use]
-    pub fn place(&self, now: Moment, ask: &Ask, ranking: &Ranking) -> Place {
+    pub fn place(&self, now: Instant, ask: &Ask, ranking: &Ranking) -> Place {
         let elsewhere = self.elsewhere(now, ask, ranking);
         if let Some(target) = elsewhere.filter(|_| ask.redirect) {
             return Place::There(target);
@@ -181,7 +181,7 @@
     /// `served` notes that the own engine ran a request.
     ///
     /// `spilled` tells that another target was asked first; only of such chats is a new home told.
-    pub fn served(&mut self, now: Moment, ask: &Ask, spilled: bool) {
+    pub fn served(&mut self, now: Instant, ask: &Ask, spilled: bool) {
         let kind = if spilled { Kind::Spilled } else { Kind::Chat };
         self.hold(now, ask.chat.0, ask.rank(), kind);
         if let Some(prefix) = ask.prefix {
@@ -190,7 +190,7 @@
     }
 
     /// `learn` takes in a note; of two the fresher one counts.
-    pub fn learn(&mut self, now: Moment, note: &Note, ranking: &Ranking) {
+    pub fn learn(&mut self, now: Instant, note: &Note, ranking: &Ranking) {
         // A target that does not rank here is leaving, dead or not yet known.
         let Some(target) = ranking.find(note.target) else {
             return;
@@ -222,7 +222,7 @@
     /// When a chat is gone that another target was asked first for, the note tells its home.
     pub fn on_event(
         &mut self,
-        now: Moment,
+        now: Instant,
         event: &CacheEvent,
         ranking: &Ranking,
     ) -> (Intake, Option<Addressed>) {
@@ -267,7 +267,7 @@
     }
 
     /// The other target that holds the chat, or held it before this one joined.
-    fn elsewhere(&self, now: Moment, ask: &Ask, ranking: &Ranking) -> Option<TargetKey> {
+    fn elsewhere(&self, now: Instant, ask: &Ask, ranking: &Ranking) -> Option<TargetKey> {
         match self.entry(ask.chat.0) {
             Some(entry) if entry.target == self.own => None,
             Some(entry) if ranking.ranks(entry.target) => Some(entry.target),
@@ -277,7 +277,7 @@
     }
 
     /// The home of a returning chat before this target joined.
-    fn home_before(&self, now: Moment, ask: &Ask, ranking: &Ranking) -> Option<TargetKey> {
+    fn home_before(&self, now: Instant, ask: &Ask, ranking: &Ranking) -> Option<TargetKey> {
         let settling = self.settling.is_some_and(|until| now < until);
         if !settling || !ask.returning {
             return None;
@@ -287,7 +287,7 @@
         first.get(1).copied().filter(|_| is_home)
     }
 
-    fn hold(&mut self, now: Moment, key: u64, rank: RankKey, kind: Kind) {
+    fn hold(&mut self, now: Instant, key: u64, rank: RankKey, kind: Kind) {
         let entry = self.own_entry(rank, kind, self.sequence.next());
         self.entries.put(key, Stamp::of(now), entry);
     }
@@ -343,7 +343,7 @@
     /// Applies an event to the entry of its key.
     fn apply(
         &mut self,
-        now: Moment,
+        now: Instant,
         event: &CacheEvent,
         intake: Intake,
         ranking: &Ranking,
@@ -377,7 +377,7 @@
     }
 
     /// Notes a context that only an event has shown, as after a restart of the agent.
-    fn see(&mut self, now: Moment, event: &CacheEvent) {
+    fn see(&mut self, now: Instant, event: &CacheEvent) {
         if event.change == Change::Evicted {
             return;
         }
--- a/crates/peppercrank-route/src/rank.rs
+++ b/crates/peppercrank-route/src/rank.rs
@@ -84,7 +84,7 @@
     /// Live and suspect targets with a weight above 0 rank.
     #[must_use]
     pub fn of_pool(board: &Blackboard, pool: &PoolName) -> Self {
-        let keys = board.pool(pool).iter();
+        let keys = board.pool_targets(pool).iter();
         let known = keys.filter_map(|key| Some((*key, board.targets.get(*key)?)));
         let able = known.filter(|(_, target)| takes_work(target));
         Self::new(able.map(|(key, t)| (key, TargetHash::of(t.name.as_str()), t.weight)))
--- a/crates/peppercrank-route/src/resume.rs
+++ b/crates/peppercrank-route/src/resume.rs
@@ -10,7 +10,7 @@
 
 use peppercrank_core::keys::AttemptId;
 use peppercrank_core::refusal::MayHaveRun;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 /// Resumes in a row that may bring no event.
 pub const RESUMES: u32 = 3;
@@ -53,7 +53,7 @@
     /// Do nothing until `until`, then send a tick.
     Wait {
         /// The moment.
-        until: Moment,
+        until: Instant,
     },
     /// End the answer with this error, and cancel the stream at the engine.
     Fail(MayHaveRun),
@@ -69,7 +69,7 @@
     /// A connection is open, or being opened.
     Open,
     /// It was cut and waits to be resumed.
-    Pausing(Moment),
+    Pausing(Instant),
     /// It has ended.
     Over,
 }
@@ -78,7 +78,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Stream {
     attempt: AttemptId,
-    deadline: Moment,
+    deadline: Instant,
     phase: Phase,
     /// Events passed on.
     passed: u64,
@@ -89,7 +89,7 @@
 impl Stream {
     /// `new` begins the stream of `attempt`, which has to end before `deadline`.
     #[must_use]
-    pub fn new(attempt: AttemptId, deadline: Moment) -> Self {
+    pub fn new(attempt: AttemptId, deadline: Instant) -> Self {
         Self {
             attempt,
             deadline,
@@ -106,7 +106,7 @@
     }
 
     /// `on` takes in one input and says what to do next.
-    pub fn on(&mut self, now: Moment, input: Input) -> Step {
+    pub fn on(&mut self, now: Instant, input: Input) -> Step {
         if self.phase == Phase::Over {
             return Step::Ignore;
         }
@@ -134,7 +134,7 @@
         Step::Pass
     }
 
-    fn on_cut(&mut self, now: Moment) -> Step {
+    fn on_cut(&mut self, now: Instant) -> Step {
         if self.resumes >= RESUMES {
             return self.end(Step::Fail(MayHaveRun::Cut));
         }
@@ -151,7 +151,7 @@
         Step::Wait { until }
     }
 
-    fn on_tick(&mut self, now: Moment) -> Step {
+    fn on_tick(&mut self, now: Instant) -> Step {
         match self.phase {
             Phase::Pausing(until) if until <= now => self.resume(),
             Phase::Pausing(until) => Step::Wait { until },
--- a/crates/peppercrank-route/src/retry.rs
+++ b/crates/peppercrank-route/src/retry.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use peppercrank_core::blackboard::TargetKey;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -82,7 +82,7 @@
     }
 
     /// `failed` notes that `target` could not be reached.
-    pub fn failed(&mut self, now: Moment, target: TargetKey) {
+    pub fn failed(&mut self, now: Instant, target: TargetKey) {
         let jitter = self.jitter();
         self.breakers.failed(now, target, jitter);
     }
--- a/crates/peppercrank-route/src/routes.rs
+++ b/crates/peppercrank-route/src/routes.rs
@@ -11,7 +11,7 @@
 use peppercrank_core::keys::ChatKey;
 use peppercrank_core::keys::PrefixKey;
 use peppercrank_core::refusal::NotRun;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::attempt::Request;
 use crate::event::Event;
@@ -77,7 +77,7 @@
 }
 
 impl Routes {
-    /// `new` begins with no target; `share` is [`peppercrank_core::objects::Policy::retries`].
+    /// `new` begins with no target; `share` is [`peppercrank_core::objects::PoolPolicy::retries`].
     #[must_use]
     pub fn new(share: f64, seed: u64, room: Room) -> Self {
         Self {
@@ -91,7 +91,7 @@
     /// `begin` ranks a request and says what to do first.
     pub fn begin(
         &mut self,
-        now: Moment,
+        now: Instant,
         chat: ChatKey,
         prefix: Option<PrefixKey>,
         terms: Terms,
@@ -116,7 +116,7 @@
     }
 
     /// `on` takes in one event of a request and says what to do next.
-    pub fn on(&mut self, now: Moment, trip: &mut Trip, event: Event) -> Next {
+    pub fn on(&mut self, now: Instant, trip: &mut Trip, event: Event) -> Next {
         self.count(now, trip, &event);
         trip.request.on(now, event, &mut self.retries)
     }
@@ -124,7 +124,7 @@
     /// `notes` remembers where a request was served, and tells what its home is to be told.
     ///
     /// Call it once, after the request's `Next::Finish` on a whole answer.
-    pub fn notes(&mut self, now: Moment, trip: &Trip) -> Vec<Addressed> {
+    pub fn notes(&mut self, now: Instant, trip: &Trip) -> Vec<Addressed> {
         let (Some(target), Some(home)) = (trip.request.target(), trip.home) else {
             return Vec::new();
         };
@@ -149,7 +149,7 @@
     }
 
     /// Counts the home's answer to a first try for the breadth of the prefix.
-    fn count(&mut self, now: Moment, trip: &mut Trip, event: &Event) {
+    fn count(&mut self, now: Instant, trip: &mut Trip, event: &Event) {
         let first = trip.request.tries() == 1 && !trip.is_spilled();
         let Some(prefix) = trip.prefix.filter(|_| first && !trip.counted) else {
             return;
--- a/crates/peppercrank-route/src/spread.rs
+++ b/crates/peppercrank-route/src/spread.rs
@@ -7,7 +7,7 @@
 //! admission narrows it, so that a set small share of first tries is refused. Nothing is sent.
 
 use peppercrank_core::keys::PrefixKey;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::table::Stamp;
 use crate::table::Table;
@@ -66,14 +66,14 @@
     }
 
     /// `refused` notes that the first target tried for `prefix` was over its cap.
-    pub fn refused(&mut self, now: Moment, prefix: PrefixKey) {
+    pub fn refused(&mut self, now: Instant, prefix: PrefixKey) {
         self.latest = self.latest.max(Stamp::of(now));
         let wide = (self.wide(prefix) + WIDEN).min(WIDEST);
         self.table.put(prefix.0, self.latest, wide);
     }
 
     /// `admitted` notes that the first target tried for `prefix` took it.
-    pub fn admitted(&mut self, now: Moment, prefix: PrefixKey) {
+    pub fn admitted(&mut self, now: Instant, prefix: PrefixKey) {
         self.latest = self.latest.max(Stamp::of(now));
         let wide = self.wide(prefix);
         if wide <= NARROW {
--- a/crates/peppercrank-route/src/table.rs
+++ b/crates/peppercrank-route/src/table.rs
@@ -3,7 +3,7 @@
 
 //! A table of fixed size that forgets the oldest entries.
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 /// Entries that may stand for one key; the oldest of them gives way.
 const WAYS: usize = 8;
@@ -17,7 +17,7 @@
 
 impl Stamp {
     /// `of` is the stamp of a moment.
-    pub(crate) fn of(at: Moment) -> Self {
+    pub(crate) fn of(at: Instant) -> Self {
         let steps = at.since_origin().as_millis() / STEP_MS;
         Self(u32::try_from(steps).unwrap_or(u32::MAX))
     }
--- a/crates/peppercrank-route/tests/verify_attempt.rs
+++ b/crates/peppercrank-route/tests/verify_attempt.rs
@@ -6,10 +6,10 @@
 use peppercrank_core::blackboard::TargetKey;
 use peppercrank_core::keys::AttemptId;
 use peppercrank_core::keys::RequestId;
+use peppercrank_core::refusal::AttemptOutcome;
 use peppercrank_core::refusal::MayHaveRun;
 use peppercrank_core::refusal::NotRun;
-use peppercrank_core::refusal::Outcome;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_route::Event;
 use peppercrank_route::Next;
 use peppercrank_route::Request;
@@ -29,7 +29,7 @@
     Request::new(Terms {
         id: RequestId(7),
         repeatable,
-        deadline: Moment::from_millis(DEADLINE),
+        deadline: Instant::from_millis(DEADLINE),
         tries,
     })
 }
@@ -74,7 +74,7 @@
 ";
 
 /// The event that a word of the script stands for.
-fn event(word: &str, attempt: AttemptId, now: &mut Moment) -> Event {
+fn event(word: &str, attempt: AttemptId, now: &mut Instant) -> Event {
     let (code, hint) = word.split_once('>').unwrap_or((word, ""));
     let hint = hint.parse().ok().map(target);
     match code {
@@ -82,7 +82,7 @@
         "done" => Event::Done { attempt },
         "gone" => Event::CallerGone,
         "late" => {
-            *now = Moment::from_millis(DEADLINE);
+            *now = Instant::from_millis(DEADLINE);
             Event::Tick
         }
         _ => match (NotRun::from_code(code), MayHaveRun::from_code(code)) {
@@ -104,7 +104,7 @@
     ranked: &str,
     script: &str,
 ) -> (String, Next) {
-    let mut now = Moment::ZERO;
+    let mut now = Instant::ZERO;
     let mut words = script.split_whitespace();
     let mut sent = Vec::new();
     let mut current = AttemptId(0);
@@ -140,11 +140,11 @@
 fn end(next: Next) -> &'static str {
     match next {
         Next::Refuse {
-            outcome: Outcome::NotRun(reason),
+            outcome: AttemptOutcome::NotRun(reason),
             ..
         } => reason.code(),
         Next::Refuse {
-            outcome: Outcome::MayHaveRun(reason),
+            outcome: AttemptOutcome::MayHaveRun(reason),
             ..
         } => reason.code(),
         _ => "finish",
--- a/crates/peppercrank-route/tests/verify_attempt_properties.rs
+++ b/crates/peppercrank-route/tests/verify_attempt_properties.rs
@@ -9,10 +9,10 @@
 use peppercrank_core::blackboard::TargetKey;
 use peppercrank_core::keys::AttemptId;
 use peppercrank_core::keys::RequestId;
+use peppercrank_core::refusal::AttemptOutcome;
 use peppercrank_core::refusal::MayHaveRun;
 use peppercrank_core::refusal::NotRun;
-use peppercrank_core::refusal::Outcome;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_route::Event;
 use peppercrank_route::Next;
 use peppercrank_route::Request;
@@ -68,7 +68,7 @@
     }
 
     /// Checks and notes what the request does next.
-    fn next(&mut self, next: Next, now: Moment, terms: &Terms) {
+    fn next(&mut self, next: Next, now: Instant, terms: &Terms) {
         assert!(!self.over || next == Next::Ignore, "nothing follows an end");
         match next {
             Next::Send { attempt, .. } => {
@@ -89,7 +89,7 @@
                 outcome, cancel, ..
             } => {
                 let untold = self.flying.is_some() || !self.ran.is_empty();
-                let says = matches!(outcome, Outcome::MayHaveRun(_));
+                let says = matches!(outcome, AttemptOutcome::MayHaveRun(_));
                 assert_eq!(
                     says, untold,
                     "the refusal does not tell the truth: {outcome:?}"
@@ -135,13 +135,13 @@
     let terms = Terms {
         id: RequestId(u128::from(tries)),
         repeatable,
-        deadline: Moment::from_millis(DEADLINE),
+        deadline: Instant::from_millis(DEADLINE),
         tries: u32::from(tries % 7),
     };
     let mut retries = Retries::new(0.3, u64::from(tries));
     let mut request = Request::new(terms);
     let mut seen = Seen::default();
-    let mut now = Moment::ZERO;
+    let mut now = Instant::ZERO;
     let ranked = (1..=u64::from(tries % 6)).map(target).collect();
     seen.next(
         request.on(now, Event::Ranked(ranked), &mut retries),
@@ -151,7 +151,7 @@
     for (a, b, c) in script {
         // The clock goes on, and now and then back.
         now = if b % 32 == 31 {
-            Moment::ZERO
+            Instant::ZERO
         } else {
             now + Duration::from_millis(u64::from(c % 16))
         };
--- a/crates/peppercrank-route/tests/verify_memory.rs
+++ b/crates/peppercrank-route/tests/verify_memory.rs
@@ -6,7 +6,7 @@
 use peppercrank_core::blackboard::TargetKey;
 use peppercrank_core::keys::ChatKey;
 use peppercrank_core::keys::PrefixKey;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_route::Hints;
 use peppercrank_route::Spread;
 use peppercrank_route::prefix::Part;
@@ -89,7 +89,7 @@
     let (bytes, capacity) = (hints.bytes(), hints.capacity());
     let chats: Vec<ChatKey> = (0..10_000).map(|_| ChatKey(rng.random())).collect();
     for (chat, second) in chats.iter().zip(0..) {
-        hints.put(Moment::from_millis(second * 1_000), *chat, target(second));
+        hints.put(Instant::from_millis(second * 1_000), *chat, target(second));
         assert_eq!(hints.get(*chat), Some(target(second)));
     }
     assert_eq!((hints.bytes(), hints.capacity()), (bytes, capacity));
@@ -115,7 +115,13 @@
         (2, 4, false, true),
     ];
     for (step, (served, home, knew, tell)) in cases.into_iter().enumerate() {
-        let told = hints.served(Moment::ZERO, ChatKey(1), target(served), target(home), knew);
+        let told = hints.served(
+            Instant::ZERO,
+            ChatKey(1),
+            target(served),
+            target(home),
+            knew,
+        );
         assert_eq!(told, tell, "step {step}");
     }
 }
@@ -136,9 +142,9 @@
             let over = (1.0 - breadth / demand).clamp(0.02, 1.0) * f64::from(demand > 1.0);
             let refuse = rng.random_bool(over);
             if refuse {
-                spread.refused(Moment::ZERO, prefix);
+                spread.refused(Instant::ZERO, prefix);
             } else {
-                spread.admitted(Moment::ZERO, prefix);
+                spread.admitted(Instant::ZERO, prefix);
             }
             if n >= 20_000 {
                 refused += u32::from(refuse);
--- a/crates/peppercrank-route/tests/verify_pointer.rs
+++ b/crates/peppercrank-route/tests/verify_pointer.rs
@@ -8,7 +8,7 @@
 use peppercrank_core::blackboard::TargetKey;
 use peppercrank_core::keys::ChatKey;
 use peppercrank_core::keys::PrefixKey;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_route::Ask;
 use peppercrank_route::Note;
 use peppercrank_route::Place;
@@ -27,7 +27,7 @@
 /// Memory of the tables here, in bytes.
 const BYTES: usize = 64 * 1024;
 
-const NOW: Moment = Moment::from_millis(1_000_000);
+const NOW: Instant = Instant::from_millis(1_000_000);
 
 fn target(n: u64) -> TargetKey {
     TargetKey::from(KeyData::from_ffi(1 << 32 | n))
