--- a/crates/peppercrank-route/tests/verify_rank.rs
+++ b/crates/peppercrank-route/tests/verify_rank.rs
@@ -43,7 +43,7 @@
 fn view(targets: impl IntoIterator<Item = usize>) -> (Blackboard, Ranking) {
     let mut board = Blackboard::default();
     for n in targets {
-        board.put(target(n, 1, TargetState::Live));
+        board.upsert(target(n, 1, TargetState::Live));
     }
     let ranking = Ranking::of_pool(&board, &pool());
     (board, ranking)
@@ -76,7 +76,7 @@
     for size in [1_usize, 2, 9, 60, 300] {
         let mut board = Blackboard::default();
         for n in 0..size {
-            board.put(target(n, rng.random_range(1..50), TargetState::Live));
+            board.upsert(target(n, rng.random_range(1..50), TargetState::Live));
         }
         let ranking = Ranking::of_pool(&board, &pool());
         for key in keys(50) {
@@ -104,7 +104,7 @@
     ];
     for (state, weight, ranks) in cases {
         let mut board = Blackboard::default();
-        let key = board.put(target(0, weight, state));
+        let key = board.upsert(target(0, weight, state));
         let ranking = Ranking::of_pool(&board, &pool());
         assert_eq!(ranking.ranks(key), ranks, "{state:?} of weight {weight}");
         let hash = TargetHash::of("engine-0");
@@ -119,7 +119,7 @@
 fn verify_targets_get_keys_by_their_weights() {
     let mut board = Blackboard::default();
     let weights = [1_u32, 2, 3, 4];
-    let targets = weights.map(|w| board.put(target(w as usize, w, TargetState::Live)));
+    let targets = weights.map(|w| board.upsert(target(w as usize, w, TargetState::Live)));
     let ranking = Ranking::of_pool(&board, &pool());
     let keys = keys(20_000);
     for (key, weight) in targets.into_iter().zip(weights) {
@@ -151,8 +151,8 @@
                 continue;
             }
             moved += 1;
-            let lost = !new_board.names.contains_key(&from);
-            let gained = !old_board.names.contains_key(&to);
+            let lost = !new_board.keys_by_name.contains_key(&from);
+            let gained = !old_board.keys_by_name.contains_key(&to);
             assert!(lost || gained, "{key:?} moved between two that stayed");
         }
         assert!((1..=most).contains(&moved), "{moved} of {most} at {count}");
@@ -164,7 +164,7 @@
     let mut board = Blackboard::default();
     for n in 0..200 {
         let weight = 30 + u32::try_from(n % 16).unwrap();
-        board.put(target(n, weight, TargetState::Live));
+        board.upsert(target(n, weight, TargetState::Live));
     }
     let ranking = Ranking::of_pool(&board, &pool());
     let prefix = PrefixKey(99);
--- a/crates/peppercrank-route/tests/verify_resume.rs
+++ b/crates/peppercrank-route/tests/verify_resume.rs
@@ -4,7 +4,7 @@
 //! Streams that are cut, resumed, crossed or given up.
 
 use peppercrank_core::keys::AttemptId;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_route::resume::Input;
 use peppercrank_route::resume::Step;
 use peppercrank_route::resume::Stream;
@@ -33,8 +33,8 @@
 fn verify_a_cut_stream_is_resumed_or_ends_with_an_error() {
     for line in CASES.trim().lines() {
         let (script, expected) = line.split_once('|').unwrap();
-        let mut now = Moment::ZERO;
-        let mut stream = Stream::new(AttemptId(1), Moment::from_millis(1_000));
+        let mut now = Instant::ZERO;
+        let mut stream = Stream::new(AttemptId(1), Instant::from_millis(1_000));
         let mut steps = Vec::new();
         let mut passed = 0;
         for word in script.split_whitespace() {
@@ -50,11 +50,11 @@
                 "gone" => Input::Gone,
                 "caller" => Input::CallerGone,
                 "close" => {
-                    now = Moment::from_millis(990);
+                    now = Instant::from_millis(990);
                     continue;
                 }
                 "late" => {
-                    now = Moment::from_millis(1_000);
+                    now = Instant::from_millis(1_000);
                     Input::Tick
                 }
                 _ => Input::Tick,
@@ -82,7 +82,7 @@
 
 #[test]
 fn verify_what_a_cut_connection_still_brings_ends_nothing() {
-    let at = Moment::from_millis;
+    let at = Instant::from_millis;
     let mut stream = Stream::new(AttemptId(1), at(1_000));
     stream.on(at(0), Input::Cut);
     let wait = stream.on(at(0), Input::Cut);
--- a/crates/peppercrank-route/tests/verify_retry.rs
+++ b/crates/peppercrank-route/tests/verify_retry.rs
@@ -7,9 +7,9 @@
 
 use peppercrank_core::blackboard::TargetKey;
 use peppercrank_core::keys::RequestId;
+use peppercrank_core::refusal::AttemptOutcome;
 use peppercrank_core::refusal::NotRun;
-use peppercrank_core::refusal::Outcome;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_route::Event;
 use peppercrank_route::Next;
 use peppercrank_route::Request;
@@ -32,10 +32,10 @@
     let mut request = Request::new(Terms {
         id: RequestId(id),
         repeatable: true,
-        deadline: Moment::from_millis(60_000),
+        deadline: Instant::from_millis(60_000),
         tries: 4,
     });
-    let mut now = Moment::ZERO;
+    let mut now = Instant::ZERO;
     let ranked = (1..=8).map(target).collect();
     let mut next = request.on(now, Event::Ranked(ranked), retries);
     loop {
@@ -89,7 +89,7 @@
         else {
             panic!("{reason:?}: refused, not {last:?}");
         };
-        assert_eq!(outcome, Outcome::NotRun(NotRun::RetryBudget));
+        assert_eq!(outcome, AttemptOutcome::NotRun(NotRun::RetryBudget));
         assert!(retry_after.is_some_and(|t| t >= Duration::from_secs(1)));
     }
 }
@@ -118,11 +118,11 @@
         let mut request = Request::new(Terms {
             id: RequestId(1),
             repeatable: true,
-            deadline: Moment::from_millis(1_000),
+            deadline: Instant::from_millis(1_000),
             tries,
         });
         let ranked = Event::Ranked((1..=targets).map(target).collect());
-        let next = request.on(Moment::ZERO, ranked, &mut retries);
+        let next = request.on(Instant::ZERO, ranked, &mut retries);
         let Next::Send { last, redirect, .. } = next else {
             panic!("{next:?}");
         };
@@ -132,14 +132,14 @@
 
 #[test]
 fn verify_a_pause_past_the_deadline_is_a_refusal_at_once() {
-    let late = Moment::from_millis(59_999);
+    let late = Instant::from_millis(59_999);
     let mut refused = 0;
     for seed in 0..50 {
         let mut retries = Retries::new(0.2, seed);
         let mut request = Request::new(Terms {
             id: RequestId(1),
             repeatable: true,
-            deadline: Moment::from_millis(60_000),
+            deadline: Instant::from_millis(60_000),
             tries: 4,
         });
         let ranked = Event::Ranked((1..=8).map(target).collect());
@@ -153,9 +153,9 @@
             hint,
         };
         match request.on(late, failed, &mut retries) {
-            Next::Wait { until } => assert!(until < Moment::from_millis(60_000)),
+            Next::Wait { until } => assert!(until < Instant::from_millis(60_000)),
             Next::Refuse { outcome, .. } => {
-                assert_eq!(outcome, Outcome::NotRun(reason));
+                assert_eq!(outcome, AttemptOutcome::NotRun(reason));
                 refused += 1;
             }
             next => panic!("{next:?}"),
@@ -203,7 +203,7 @@
 #[test]
 fn verify_a_breaker_lets_one_probe_through() {
     let mut breakers = Breakers::default();
-    let at = Moment::from_millis;
+    let at = Instant::from_millis;
     assert!(breakers.admits(at(0), target(1)));
     breakers.failed(at(0), target(1), 0.0);
     assert!(breakers.admits(at(0), target(2)), "others are untouched");
@@ -233,15 +233,15 @@
 fn verify_a_breaker_pauses_no_longer_than_its_limit() {
     let mut breakers = Breakers::default();
     for _ in 0..100 {
-        breakers.failed(Moment::ZERO, target(1), 0.0);
+        breakers.failed(Instant::ZERO, target(1), 0.0);
     }
-    assert_eq!(breakers.left(Moment::ZERO, target(1)), LONGEST_PAUSE);
+    assert_eq!(breakers.left(Instant::ZERO, target(1)), LONGEST_PAUSE);
 }
 
 #[test]
 fn verify_a_clock_going_back_prolongs_no_pause() {
     let mut breakers = Breakers::default();
-    breakers.failed(Moment::from_millis(3_600_000), target(1), 0.0);
-    assert!(!breakers.admits(Moment::ZERO, target(1)));
-    assert!(breakers.admits(Moment::ZERO + FIRST_PAUSE, target(1)));
+    breakers.failed(Instant::from_millis(3_600_000), target(1), 0.0);
+    assert!(!breakers.admits(Instant::ZERO, target(1)));
+    assert!(breakers.admits(Instant::ZERO + FIRST_PAUSE, target(1)));
 }
--- a/crates/peppercrank-route/tests/verify_routes.rs
+++ b/crates/peppercrank-route/tests/verify_routes.rs
@@ -11,7 +11,7 @@
 use peppercrank_core::keys::PrefixKey;
 use peppercrank_core::keys::RequestId;
 use peppercrank_core::refusal::NotRun;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_route::Ask;
 use peppercrank_route::Event;
 use peppercrank_route::Next;
@@ -67,7 +67,7 @@
 
     /// Runs one request and returns the targets that it was sent to.
     fn run(&mut self, routes: &mut Routes, chat: u64, prefix: Option<u64>) -> Vec<usize> {
-        let now = Moment::from_millis(1_000);
+        let now = Instant::from_millis(1_000);
         let mut ask = Ask {
             chat: ChatKey(chat),
             prefix: prefix.map(PrefixKey),
@@ -188,14 +188,14 @@
 #[test]
 fn verify_an_answer_counts_once_for_the_spread() {
     let mut routes = Pool::new(9).router(1);
-    let (now, prefix) = (Moment::ZERO, PrefixKey(5));
+    let (now, prefix) = (Instant::ZERO, PrefixKey(5));
     routes.spread.refused(now, prefix);
     routes.spread.refused(now, prefix);
     for n in 0..9 {
         let terms = Terms {
             id: RequestId(n),
             repeatable: true,
-            deadline: Moment::from_millis(9_000),
+            deadline: Instant::from_millis(9_000),
             tries: 4,
         };
         let (mut trip, next) = routes.begin(now, ChatKey(1), Some(prefix), terms);
--- a/crates/peppercrank-route/tests/verify_spread.rs
+++ b/crates/peppercrank-route/tests/verify_spread.rs
@@ -4,14 +4,14 @@
 //! A prefix that was refused once does not stay spread for ever.
 
 use peppercrank_core::keys::PrefixKey;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_route::Spread;
 
 const RARE: PrefixKey = PrefixKey(1);
 const OTHER: PrefixKey = PrefixKey(2);
 
-fn at(seconds: u64) -> Moment {
-    Moment::from_millis(seconds * 1_000)
+fn at(seconds: u64) -> Instant {
+    Instant::from_millis(seconds * 1_000)
 }
 
 #[test]
--- a/crates/peppercrank-spec/src/cold.rs
+++ b/crates/peppercrank-spec/src/cold.rs
@@ -10,7 +10,7 @@
 use std::hash::Hasher;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::target::TargetKey;
 use peppercrank_direct::warm_up::Allowance;
 use peppercrank_direct::warm_up::Gate;
@@ -123,8 +123,8 @@
 }
 
 impl State {
-    fn now(&self) -> Moment {
-        Moment::ZERO + STRIDE * u32::from(self.shape.strides)
+    fn now(&self) -> Instant {
+        Instant::ZERO + STRIDE * u32::from(self.shape.strides)
     }
 
     /// Lets a router know those that are registered now.
--- a/crates/peppercrank-spec/src/configuration.rs
+++ b/crates/peppercrank-spec/src/configuration.rs
@@ -13,7 +13,7 @@
 use peppercrank_config::object::Object;
 use peppercrank_config::object::Version;
 use peppercrank_config::store::Store;
-use peppercrank_core::objects::Kind;
+use peppercrank_core::objects::ObjectKind;
 
 use crate::configuration::replica::Message;
 use crate::configuration::replica::Replica;
@@ -131,11 +131,11 @@
         let objects: Vec<Object> = answer.write.iter().map(|w| w.object()).collect();
         let revision = Version(answer.revision);
         self.take(replica, |store| match answer.since {
-            None => drop(store.merge_list(Kind::Mark, revision, &objects)),
+            None => drop(store.merge_list(ObjectKind::Mark, revision, &objects)),
             Some(since) => {
                 let since = if self.flaw == Flaw::Gap { 0 } else { since };
                 let since = Version(since);
-                store.merge_changes(Kind::Mark, since, revision, &objects);
+                store.merge_changes(ObjectKind::Mark, since, revision, &objects);
             }
         })
     }
--- a/crates/peppercrank-spec/src/configuration/replica.rs
+++ b/crates/peppercrank-spec/src/configuration/replica.rs
@@ -9,8 +9,8 @@
 use peppercrank_config::object::Version;
 use peppercrank_config::store::Store;
 use peppercrank_core::names::ObjectName;
-use peppercrank_core::objects::Kind;
 use peppercrank_core::objects::ObjectKey;
+use peppercrank_core::objects::ObjectKind;
 
 /// A body that passes the checks.
 const GOOD: &str = r#"{"spec":{"target":"t","action":"shutdown"}}"#;
@@ -56,7 +56,7 @@
 
 pub(super) fn key() -> ObjectKey {
     ObjectKey {
-        kind: Kind::Mark,
+        kind: ObjectKind::Mark,
         // A constant of the model; the tests would show a bad one.
         name: ObjectName::new("t").expect("the model's name is well formed"),
     }
@@ -96,7 +96,7 @@
         for write in &self.writes {
             store.merge(&write.object());
         }
-        store.set_complete(Kind::Mark, Version(self.complete));
+        store.set_complete(ObjectKind::Mark, Version(self.complete));
         store
     }
 
@@ -104,7 +104,7 @@
     pub(super) fn keep(&mut self, store: &Store) -> bool {
         let objects = store.objects(&key());
         self.writes = objects.map(|o| Write::of(&o)).collect();
-        self.complete = store.complete(Kind::Mark).0;
+        self.complete = store.complete(ObjectKind::Mark).0;
         let version = store.in_force(&key()).map_or(0, |v| v.0);
         let mut writes = self.writes.iter().copied();
         let now = writes.find(|w| w.version == version);
--- a/crates/peppercrank-spec/src/drain.rs
+++ b/crates/peppercrank-spec/src/drain.rs
@@ -18,7 +18,7 @@
 
 use peppercrank_admit::Action;
 use peppercrank_admit::Ticket;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::drain::agent::Agent;
 use crate::search::Model;
@@ -105,7 +105,7 @@
 #[derive(Debug, Clone)]
 pub struct State {
     /// What the admission was told since the agent started.
-    log: Vec<(Moment, Step)>,
+    log: Vec<(Instant, Step)>,
     shape: Shape,
 }
 
@@ -132,7 +132,7 @@
 /// All that tells states apart.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Shape {
-    now: Moment,
+    now: Instant,
     /// What the admission holds.
     held: u64,
     /// Requests that run.
@@ -273,7 +273,7 @@
 
     fn start(&self) -> State {
         let shape = Shape {
-            now: Moment::ZERO,
+            now: Instant::ZERO,
             held: Agent::new().held(),
             runs: BTreeMap::new(),
             arrived: 0,
--- a/crates/peppercrank-spec/src/drain/agent.rs
+++ b/crates/peppercrank-spec/src/drain/agent.rs
@@ -19,8 +19,8 @@
 use peppercrank_core::objects;
 use peppercrank_core::objects::Mark;
 use peppercrank_core::objects::Parameters;
-use peppercrank_core::objects::Policy;
-use peppercrank_core::time::Moment;
+use peppercrank_core::objects::PoolPolicy;
+use peppercrank_core::time::Instant;
 use peppercrank_core::units::Cost;
 
 use crate::drain::Flaw;
@@ -37,7 +37,7 @@
 impl Agent {
     /// The agent's tower of constants is in range; the tests would show it if not.
     pub(super) fn new() -> Self {
-        let policy = Policy {
+        let policy = PoolPolicy {
             cap: 2.0,
             floor: Cost(1),
             queue: 8,
@@ -51,7 +51,7 @@
             ..Settings::default()
         };
         let mut admission =
-            Admission::new(Moment::ZERO, settings, policy).expect("the model's settings hold");
+            Admission::new(Instant::ZERO, settings, policy).expect("the model's settings hold");
         let parameters = Parameters {
             weight: 1,
             priority: 9,
@@ -61,9 +61,9 @@
             models: Vec::new(),
             services: Vec::new(),
         };
-        admission.on(Moment::ZERO, Input::TargetsHeard(1));
+        admission.on(Instant::ZERO, Input::TargetsHeard(1));
         let known = Input::ParametersChanged(organisation(), Some(parameters));
-        admission.on(Moment::ZERO, known);
+        admission.on(Instant::ZERO, known);
         Self {
             admission,
             tickets: BTreeMap::new(),
@@ -71,7 +71,7 @@
         }
     }
 
-    pub(super) fn arrive(&mut self, now: Moment, request: u8) -> Vec<Action> {
+    pub(super) fn arrive(&mut self, now: Instant, request: u8) -> Vec<Action> {
         let ticket = Ticket(self.arrivals);
         self.arrivals += 1;
         self.tickets.entry(request).or_insert(ticket);
@@ -81,25 +81,25 @@
             organisation: organisation(),
             cost: Cost(1),
             priority: 5,
-            deadline: Moment::from_millis(100_000),
+            deadline: Instant::from_millis(100_000),
             need: Duration::ZERO,
             may_wait: true,
         };
         self.admission.on(now, Input::Arrive(arrival))
     }
 
-    pub(super) fn end(&mut self, now: Moment, request: u8) -> Vec<Action> {
+    pub(super) fn end(&mut self, now: Instant, request: u8) -> Vec<Action> {
         match self.tickets.get(&request) {
             Some(ticket) => self.admission.on(now, Input::End(*ticket)),
             None => Vec::new(),
         }
     }
 
-    pub(super) fn hear(&mut self, now: Moment, flaw: Flaw) -> Vec<Action> {
+    pub(super) fn hear(&mut self, now: Instant, flaw: Flaw) -> Vec<Action> {
         let action = if flaw == Flaw::Removes {
-            objects::Action::Remove
+            objects::MarkAction::Remove
         } else {
-            objects::Action::Shutdown
+            objects::MarkAction::Shutdown
         };
         let mark = Mark {
             target: TargetName::new("t").expect("the model's name is well formed"),
@@ -120,7 +120,7 @@
         actions
     }
 
-    pub(super) fn drive(&mut self, now: Moment, step: Step, flaw: Flaw) -> Vec<Action> {
+    pub(super) fn drive(&mut self, now: Instant, step: Step, flaw: Flaw) -> Vec<Action> {
         match step {
             Step::Arrive(request) | Step::Repeat(request) => self.arrive(now, request),
             Step::End(request) => self.end(now, request),
--- a/crates/peppercrank-spec/src/eras.rs
+++ b/crates/peppercrank-spec/src/eras.rs
@@ -12,7 +12,7 @@
 use std::hash::Hasher;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::directory::Change;
 use peppercrank_direct::directory::Directory;
 use peppercrank_direct::directory::Registration;
@@ -171,8 +171,8 @@
 }
 
 impl State {
-    fn now(&self) -> Moment {
-        Moment::ZERO + STRIDE * u32::from(self.shape.strides)
+    fn now(&self) -> Instant {
+        Instant::ZERO + STRIDE * u32::from(self.shape.strides)
     }
 
     fn read(&mut self, flaw: Flaw) {
--- a/crates/peppercrank-spec/src/evacuations.rs
+++ b/crates/peppercrank-spec/src/evacuations.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::era::Era;
 use peppercrank_direct::era::Eras;
 use peppercrank_direct::era::Told;
@@ -149,8 +149,8 @@
 }
 
 impl State {
-    fn now(&self) -> Moment {
-        Moment::ZERO + STRIDE * u32::from(self.shape.strides)
+    fn now(&self) -> Instant {
+        Instant::ZERO + STRIDE * u32::from(self.shape.strides)
     }
 
     fn read(&mut self, flaw: Flaw) {
--- a/crates/peppercrank-spec/src/once.rs
+++ b/crates/peppercrank-spec/src/once.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use peppercrank_core::keys::RequestId;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_lease::claim::Action;
 use peppercrank_lease::claim::Claims;
 use peppercrank_lease::claim::Input;
@@ -315,7 +315,7 @@
 
     fn start(&self) -> State {
         State {
-            now: Moment::ZERO,
+            now: Instant::ZERO,
             version: 0,
             shard: None,
             epoch: None,
--- a/crates/peppercrank-spec/src/once/state.rs
+++ b/crates/peppercrank-spec/src/once/state.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 use peppercrank_core::keys::RequestId;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_lease::claim::Claims;
 use peppercrank_lease::shard::EPOCH;
 use peppercrank_lease::shard::Shard;
@@ -21,9 +21,9 @@
 pub struct Router {
     pub(super) claims: Claims,
     /// Requests that may be forwarded, and until when.
-    pub(super) grants: Vec<(RequestId, Moment)>,
+    pub(super) grants: Vec<(RequestId, Instant)>,
     /// Requests forwarded whose answer is awaited, and until when their grant lasts.
-    pub(super) open: Vec<(RequestId, Moment)>,
+    pub(super) open: Vec<(RequestId, Instant)>,
 }
 
 /// One call of the store under way.
@@ -50,7 +50,7 @@
 /// One sending of the request by its caller.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Sending {
-    pub(super) at: Moment,
+    pub(super) at: Instant,
     /// How many runs were over or under way.
     pub(super) ran: usize,
 }
@@ -61,16 +61,16 @@
 /// `State` is one state of the model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    pub(super) now: Moment,
+    pub(super) now: Instant,
     pub(super) version: u64,
     pub(super) shard: Held,
     pub(super) epoch: Held,
     /// Since when the epoch has its number; `None` for long ago.
-    pub(super) since: Option<Moment>,
+    pub(super) since: Option<Instant>,
     pub(super) routers: [Router; 2],
     pub(super) calls: Vec<Call>,
     /// Requests on the way to the agent, and since when.
-    pub(super) wire: Vec<(RequestId, Moment)>,
+    pub(super) wire: Vec<(RequestId, Instant)>,
     /// Requests that ran, once for each time.
     pub(super) ran: Vec<RequestId>,
     /// Whether a request ran that must not have.
@@ -120,7 +120,7 @@
     }
 
     /// Ends a router's wait for the agent's answer.
-    pub(super) fn close(&mut self, token: RequestId) -> Option<(usize, Moment)> {
+    pub(super) fn close(&mut self, token: RequestId) -> Option<(usize, Instant)> {
         let routers = self.routers.iter_mut().enumerate();
         for (at, router) in routers {
             let mut open = router.open.iter();
@@ -158,7 +158,7 @@
     pub(super) fn are_near(&self, a: RequestId, b: RequestId) -> bool {
         let policy = Once::policy();
         let reach = policy.retention().saturating_sub(policy.wait);
-        let at = |t| self.sending(t).map_or(Moment::ZERO, |s| s.at);
+        let at = |t| self.sending(t).map_or(Instant::ZERO, |s| s.at);
         let apart = at(a).since(at(b)).max(at(b).since(at(a)));
         apart < reach
     }
--- a/crates/peppercrank-spec/src/orders.rs
+++ b/crates/peppercrank-spec/src/orders.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use peppercrank_core::names::VmName;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_lease::gate;
 use peppercrank_lease::gate::Command;
 use peppercrank_lease::gate::Engine;
@@ -92,11 +92,11 @@
         let mut contender =
             Contender::new(policy, vm, Session(session)).expect("the model's policy is in range");
         // A fresh contender only notes that it seeks and reads.
-        let _read = contender.on(Moment::ZERO, lease::Input::Seek);
+        let _read = contender.on(Instant::ZERO, lease::Input::Seek);
         contender
     }
 
-    fn gate(self, now: Moment) -> Gate {
+    fn gate(self, now: Instant) -> Gate {
         let settle = if self.flaw == Flaw::Unsettled {
             Duration::ZERO
         } else {
@@ -328,11 +328,11 @@
             write: None,
         };
         let mut state = State {
-            now: Moment::ZERO,
+            now: Instant::ZERO,
             version: 0,
             object: None,
             contenders,
-            gate: self.gate(Moment::ZERO),
+            gate: self.gate(Instant::ZERO),
             calls: vec![read(0), read(1)],
             wire: Vec::new(),
             line: Vec::new(),
--- a/crates/peppercrank-spec/src/orders/state.rs
+++ b/crates/peppercrank-spec/src/orders/state.rs
@@ -3,7 +3,7 @@
 
 //! The states of the model.
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_lease::gate::Gate;
 use peppercrank_lease::gate::Order;
 use peppercrank_lease::lease::Contender;
@@ -32,7 +32,7 @@
 /// `State` is one state of the model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    pub(super) now: Moment,
+    pub(super) now: Instant,
     pub(super) version: u64,
     pub(super) object: Option<(Version, Lease)>,
     pub(super) contenders: [Contender; 2],
--- a/crates/peppercrank-spec/src/starts.rs
+++ b/crates/peppercrank-spec/src/starts.rs
@@ -12,7 +12,7 @@
 use std::hash::Hasher;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_direct::directory::Change;
 use peppercrank_direct::directory::Directory;
 use peppercrank_direct::directory::Registration;
@@ -135,8 +135,8 @@
 }
 
 impl State {
-    fn now(&self) -> Moment {
-        Moment::ZERO + STRIDE * u32::from(self.shape.strides)
+    fn now(&self) -> Instant {
+        Instant::ZERO + STRIDE * u32::from(self.shape.strides)
     }
 
     /// Takes over what the router knows.
@@ -197,7 +197,7 @@
     }
 }
 
-fn millis(at: Moment) -> u64 {
+fn millis(at: Instant) -> u64 {
     u64::try_from(at.since_origin().as_millis()).unwrap_or(u64::MAX)
 }
 
--- a/crates/peppercrank-standin/src/engine/batch.rs
+++ b/crates/peppercrank-standin/src/engine/batch.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use serde::Serialize;
 use slotmap::SlotMap;
 
@@ -56,8 +56,8 @@
     streams: SlotMap<StreamKey, Stream>,
     ids: HashMap<String, StreamKey>,
     waiting: BTreeSet<((u8, u64), StreamKey)>,
-    running: BTreeSet<(Moment, StreamKey)>,
-    ended: VecDeque<(Moment, StreamKey)>,
+    running: BTreeSet<(Instant, StreamKey)>,
+    ended: VecDeque<(Instant, StreamKey)>,
     news: BTreeSet<StreamKey>,
     tokens: u64,
     arrivals: u64,
@@ -99,7 +99,7 @@
     ///
     /// Returns [`Error::Model`] when its model is not loaded and [`Error::Duplicate`] when a
     /// stream of its id has not ended; neither ran.
-    pub fn submit(&mut self, now: Moment, chat: Chat) -> Result<StreamKey> {
+    pub fn submit(&mut self, now: Instant, chat: Chat) -> Result<StreamKey> {
         if !self.orders.serves(&chat.body.model) {
             return Err(Error::Model(chat.body.model));
         }
@@ -124,12 +124,12 @@
 
     /// `next_due` is when [`Engine::advance`] has something to do.
     #[must_use]
-    pub fn next_due(&self) -> Option<Moment> {
+    pub fn next_due(&self) -> Option<Instant> {
         self.running.first().map(|(due, _)| *due)
     }
 
     /// `advance` generates what is due by `now`.
-    pub fn advance(&mut self, now: Moment) {
+    pub fn advance(&mut self, now: Instant) {
         while let Some((due, key)) = self.running.first().copied()
             && due <= now
         {
@@ -175,7 +175,7 @@
     /// # Errors
     ///
     /// Returns [`Error::Unknown`] when it ended before or is not known.
-    pub fn cancel(&mut self, now: Moment, id: &str) -> Result<StreamKey> {
+    pub fn cancel(&mut self, now: Instant, id: &str) -> Result<StreamKey> {
         let key = self.find(id).ok_or(Error::Unknown)?;
         let stream = self.streams.get_mut(key).ok_or(Error::Unknown)?;
         match stream.phase {
@@ -189,14 +189,14 @@
     }
 
     /// `load` is the load report that callers see at `now`.
-    pub fn load(&mut self, now: Moment) -> Load {
+    pub fn load(&mut self, now: Instant) -> Load {
         let lag = Duration::from_millis(self.set.load_lag_ms);
         *self.load.seen(now, lag)
     }
 
     /// `cache_page` is the cache events that callers see at `now`, numbered `since` and up.
     #[must_use]
-    pub fn cache_page(&self, now: Moment, since: u64) -> CachePage {
+    pub fn cache_page(&self, now: Instant, since: u64) -> CachePage {
         let late = Duration::from_millis(self.set.events_late_ms);
         CachePage {
             incarnation: self.set.incarnation,
@@ -226,7 +226,7 @@
     }
 
     /// The stream of a chat, not yet running.
-    fn stream(&mut self, now: Moment, chat: Chat) -> Stream {
+    fn stream(&mut self, now: Instant, chat: Chat) -> Stream {
         self.arrivals += 1;
         let attempt = &chat.tags.attempt;
         let request = chat.tags.request.as_deref().unwrap_or(attempt);
@@ -254,7 +254,7 @@
     }
 
     /// Gives free slots to those who wait, the highest priority first.
-    fn fill(&mut self, now: Moment) {
+    fn fill(&mut self, now: Instant) {
         while self.running.len() < self.set.slots.max(1) {
             let Some((_, key)) = self.waiting.pop_first() else {
                 return;
@@ -264,7 +264,7 @@
     }
 
     /// Puts one stream in a slot: reads its prompt, of which the cached part costs no time.
-    fn run(&mut self, now: Moment, key: StreamKey) {
+    fn run(&mut self, now: Instant, key: StreamKey) {
         let stream = &mut self.streams[key];
         self.runs.add(&stream.tags);
         let hits = self.cache.hits(&stream.chain);
@@ -278,7 +278,7 @@
     }
 
     /// Generates one token of a stream.
-    fn step(&mut self, due: Moment, key: StreamKey) {
+    fn step(&mut self, due: Instant, key: StreamKey) {
         self.news.insert(key);
         let stream = &mut self.streams[key];
         stream.usage.made += 1;
@@ -291,7 +291,7 @@
     }
 
     /// Ends a stream that is in no queue any more and gives its slot away.
-    fn end(&mut self, now: Moment, key: StreamKey, phase: Phase) {
+    fn end(&mut self, now: Instant, key: StreamKey, phase: Phase) {
         self.news.insert(key);
         let stream = &mut self.streams[key];
         let ran = stream.phase == Phase::Running;
@@ -314,7 +314,7 @@
     }
 
     /// Caches a stream's blocks and lets them stand for its keys.
-    fn keep_blocks(&mut self, now: Moment, key: StreamKey) {
+    fn keep_blocks(&mut self, now: Instant, key: StreamKey) {
         let stream = &self.streams[key];
         let chain = &stream.chain;
         let gone = self.cache.store(chain);
@@ -332,7 +332,7 @@
     }
 
     /// `forget` forgets streams that have been kept for their time.
-    pub fn forget(&mut self, now: Moment) {
+    pub fn forget(&mut self, now: Instant) {
         while let Some((until, key)) = self.ended.front().copied()
             && until <= now
         {
@@ -346,7 +346,7 @@
         }
     }
 
-    fn report(&mut self, now: Moment) {
+    fn report(&mut self, now: Instant) {
         let load = Load {
             incarnation: self.set.incarnation,
             running: self.running.len(),
--- a/crates/peppercrank-standin/src/engine/journal.rs
+++ b/crates/peppercrank-standin/src/engine/journal.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use serde::Serialize;
 
 /// Events kept for readers; older ones are a gap.
@@ -49,14 +49,14 @@
 #[derive(Debug, Default)]
 pub struct Journal {
     next: u64,
-    kept: VecDeque<(Moment, CacheEvent)>,
+    kept: VecDeque<(Instant, CacheEvent)>,
     anchors: HashMap<String, u64>,
     keys: HashMap<u64, Vec<String>>,
 }
 
 impl Journal {
     /// `anchor` lets `block` stand for `key` and tells of the key if it is new.
-    pub fn anchor(&mut self, now: Moment, key: &str, block: u64) {
+    pub fn anchor(&mut self, now: Instant, key: &str, block: u64) {
         match self.anchors.insert(key.to_owned(), block) {
             Some(old) if old == block => return,
             Some(old) => self.detach(key, old),
@@ -66,7 +66,7 @@
     }
 
     /// `evicted` tells of the keys for which the evicted blocks stood.
-    pub fn evicted(&mut self, now: Moment, blocks: &[u64]) {
+    pub fn evicted(&mut self, now: Instant, blocks: &[u64]) {
         for block in blocks {
             for key in self.keys.remove(block).unwrap_or_default() {
                 self.anchors.remove(&key);
@@ -79,8 +79,8 @@
     ///
     /// Events younger than `late` are not seen yet; every `gap`-th is never seen, 0 for none.
     #[must_use]
-    pub fn page(&self, now: Moment, since: u64, late: Duration, gap: u64) -> CachePage {
-        let due = |entry: &&(Moment, CacheEvent)| entry.1.seq >= since && entry.0 + late <= now;
+    pub fn page(&self, now: Instant, since: u64, late: Duration, gap: u64) -> CachePage {
+        let due = |entry: &&(Instant, CacheEvent)| entry.1.seq >= since && entry.0 + late <= now;
         let told = |event: &&CacheEvent| gap == 0 || !(event.seq + 1).is_multiple_of(gap);
         let visible = self.kept.iter().filter(due).map(|(_, event)| event);
         let last = visible.clone().next_back().map(|event| event.seq + 1);
@@ -101,7 +101,7 @@
         }
     }
 
-    fn push(&mut self, now: Moment, kind: Change, key: String) {
+    fn push(&mut self, now: Instant, kind: Change, key: String) {
         let seq = self.next;
         self.next += 1;
         self.kept.push_back((now, CacheEvent { seq, kind, key }));
--- a/crates/peppercrank-standin/src/engine/stream.rs
+++ b/crates/peppercrank-standin/src/engine/stream.rs
@@ -3,7 +3,7 @@
 
 //! One request to the engine and the stream that answers it.
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 use crate::engine::answer::Answer;
 use crate::engine::answer::Usage;
@@ -62,7 +62,7 @@
     pub(super) prefix: Option<String>,
     pub(super) output: u32,
     pub(super) rank: (u8, u64),
-    pub(super) due: Moment,
+    pub(super) due: Instant,
 }
 
 impl Stream {
--- a/crates/peppercrank-standin/src/lag.rs
+++ b/crates/peppercrank-standin/src/lag.rs
@@ -6,13 +6,13 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 
 /// `Lagged` keeps a value's recent past, so that readers can be shown it as it was.
 #[derive(Debug, Clone)]
 pub struct Lagged<T> {
     first: T,
-    past: VecDeque<(Moment, T)>,
+    past: VecDeque<(Instant, T)>,
 }
 
 impl<T: PartialEq> Lagged<T> {
@@ -25,7 +25,7 @@
     }
 
     /// `set` takes the value as it is from `now` on.
-    pub fn set(&mut self, now: Moment, value: T) {
+    pub fn set(&mut self, now: Instant, value: T) {
         if *self.latest() != value {
             self.past.push_back((now, value));
         }
@@ -37,7 +37,7 @@
     }
 
     /// `seen` is the value as it was `lag` before `now`; what came before it is forgotten.
-    pub fn seen(&mut self, now: Moment, lag: Duration) -> &T {
+    pub fn seen(&mut self, now: Instant, lag: Duration) -> &T {
         while self.past.front().is_some_and(|(at, _)| *at + lag <= now) {
             let Some((_, value)) = self.past.pop_front() else {
                 break;
--- a/crates/peppercrank-standin/src/platform/limits.rs
+++ b/crates/peppercrank-standin/src/platform/limits.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use serde::Serialize;
 
 /// `Call` is one kind of call.
@@ -53,7 +53,7 @@
 pub struct Bucket {
     rate: u32,
     left: f64,
-    filled: Moment,
+    filled: Instant,
 }
 
 impl Bucket {
@@ -63,12 +63,12 @@
         Self {
             rate,
             left: f64::from(rate),
-            filled: Moment::ZERO,
+            filled: Instant::ZERO,
         }
     }
 
     /// `take` takes one call and tells whether it may pass.
-    pub fn take(&mut self, now: Moment) -> bool {
+    pub fn take(&mut self, now: Instant) -> bool {
         if self.rate == 0 {
             return true;
         }
@@ -122,7 +122,7 @@
     }
 
     /// `take` tells whether a call may pass.
-    pub fn take(&mut self, now: Moment, call: Call) -> bool {
+    pub fn take(&mut self, now: Instant, call: Call) -> bool {
         if call.writes() {
             return self.writes.take(now);
         }
--- a/crates/peppercrank-standin/src/platform/serve.rs
+++ b/crates/peppercrank-standin/src/platform/serve.rs
@@ -11,7 +11,7 @@
 use http::HeaderMap;
 use http::Method;
 use http::header;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_wire::edge::Call as Request;
 use peppercrank_wire::edge::Reply;
 use serde::Deserialize;
@@ -120,7 +120,7 @@
 }
 
 impl State {
-    fn plan(&mut self, now: Moment, call: Call) -> Plan {
+    fn plan(&mut self, now: Instant, call: Call) -> Plan {
         self.calls.count(call);
         let mut plan = self.faults.plan(call.code());
         if plan.start == Start::Run && !self.limits.take(now, call) {
--- a/crates/peppercrank-standin/src/web.rs
+++ b/crates/peppercrank-standin/src/web.rs
@@ -11,7 +11,7 @@
 use std::task::Context;
 use std::task::Poll;
 use std::time::Duration;
-use std::time::Instant;
+use std::time::Instant as StdInstant;
 
 use bytes::Bytes;
 use http::HeaderMap;
@@ -23,7 +23,7 @@
 use hyper::body::Body as HttpBody;
 use hyper::body::Frame;
 use hyper::body::SizeHint;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_wire::body;
 use peppercrank_wire::body::Body;
 use peppercrank_wire::edge::Call;
@@ -120,19 +120,19 @@
 
 /// `Clock` turns the process's clock into moments.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Clock(Instant);
+pub(crate) struct Clock(StdInstant);
 
 impl Clock {
     pub(crate) fn new() -> Self {
-        Self(Instant::now())
+        Self(StdInstant::now())
     }
 
-    pub(crate) fn now(self) -> Moment {
-        Moment::from_origin(self.0.elapsed())
+    pub(crate) fn now(self) -> Instant {
+        Instant::from_origin(self.0.elapsed())
     }
 
     /// The clock's reading at a moment.
-    pub(crate) fn instant(self, at: Moment) -> tokio::time::Instant {
+    pub(crate) fn instant(self, at: Instant) -> tokio::time::Instant {
         tokio::time::Instant::from_std(self.0 + at.since_origin())
     }
 }
--- a/crates/peppercrank-standin/tests/verify_parts.rs
+++ b/crates/peppercrank-standin/tests/verify_parts.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use peppercrank_core::settings;
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use peppercrank_standin::engine::EngineSettings;
 use peppercrank_standin::engine::batch::Engine;
 use peppercrank_standin::engine::prompt::ChatBody;
@@ -18,8 +18,8 @@
 use peppercrank_standin::runs::Runs;
 use peppercrank_standin::runs::Tags;
 
-fn at(millis: u64) -> Moment {
-    Moment::from_millis(millis)
+fn at(millis: u64) -> Instant {
+    Instant::from_millis(millis)
 }
 
 fn chat(id: &str, priority: u8, content: &str) -> Chat {
--- a/crates/peppercrank-wire/src/clock.rs
+++ b/crates/peppercrank-wire/src/clock.rs
@@ -10,19 +10,19 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use std::time::Instant;
+use std::time::Instant as StdInstant;
 
-use peppercrank_core::time::Moment;
+use peppercrank_core::time::Instant;
 use rustix::time::ClockId;
 use rustix::time::clock_gettime;
 
-/// `Clock` reads the time since its start as [`Moment`]s.
+/// `Clock` reads the time since its start as [`Instant`]s.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     /// The time since the machine's boot at the start.
     origin: Duration,
     /// The start on the clock of timers.
-    steady: Instant,
+    steady: StdInstant,
     /// Milliseconds of suspensions that are played.
     played: Option<&'static AtomicU64>,
 }
@@ -33,7 +33,7 @@
     pub fn start() -> Self {
         Self {
             origin: since_boot(),
-            steady: Instant::now(),
+            steady: StdInstant::now(),
             played: None,
         }
     }
@@ -50,16 +50,16 @@
 
     /// `now` is the present moment.
     #[must_use]
-    pub fn now(&self) -> Moment {
+    pub fn now(&self) -> Instant {
         let counted = since_boot().saturating_sub(self.origin);
         let played = self.played.map_or(0, |p| p.load(Ordering::Relaxed));
-        Moment::from_origin(counted + Duration::from_millis(played))
+        Instant::from_origin(counted + Duration::from_millis(played))
     }
 
     /// `instant` is when a timer has to fire for a moment, unless the machine is suspended before it.
     #[must_use]
-    pub fn instant(&self, at: Moment) -> Instant {
-        Instant::now() + at.since(self.now())
+    pub fn instant(&self, at: Instant) -> StdInstant {
+        StdInstant::now() + at.since(self.now())
     }
 
     /// `suspended` is how long the machine was suspended since the start.
--- a/crates/peppercrank/examples/embed.rs
+++ b/crates/peppercrank/examples/embed.rs
@@ -19,7 +19,7 @@
 use peppercrank::admit::Settings;
 use peppercrank::admit::Ticket;
 use peppercrank::core::blackboard::Blackboard;
-use peppercrank::core::blackboard::Mean;
+use peppercrank::core::blackboard::MeanLoad;
 use peppercrank::core::blackboard::Target;
 use peppercrank::core::blackboard::TargetKey;
 use peppercrank::core::blackboard::TargetState;
@@ -31,9 +31,9 @@
 use peppercrank::core::objects;
 use peppercrank::core::objects::Mark;
 use peppercrank::core::objects::Parameters;
-use peppercrank::core::objects::Policy;
+use peppercrank::core::objects::PoolPolicy;
 use peppercrank::core::refusal::NotRun;
-use peppercrank::core::time::Moment;
+use peppercrank::core::time::Instant;
 use peppercrank::core::units::Cost;
 use peppercrank::route::Ask;
 use peppercrank::route::Event;
@@ -79,7 +79,7 @@
     /// Requests that the leaving engine took after it was marked.
     pub late: u64,
     /// When the leaving engine had no work left, if it came to that.
-    pub drained: Option<Moment>,
+    pub drained: Option<Instant>,
 }
 
 impl fmt::Display for Tally {
@@ -103,16 +103,16 @@
     pointers: Pointers,
     releases: Releases,
     /// What runs: each request's permit, and when the engine will be done with it.
-    running: Vec<(Moment, Permit)>,
+    running: Vec<(Instant, Permit)>,
     leaving: bool,
 }
 
 impl Agent {
     fn new(own: TargetKey) -> Self {
-        let admission = Admission::new(Moment::ZERO, Settings::default(), policy());
+        let admission = Admission::new(Instant::ZERO, Settings::default(), policy());
         let mut admission = admission.expect("settings in range");
         let changed = Input::ParametersChanged(organisation(), Some(parameters()));
-        admission.on(Moment::ZERO, changed);
+        admission.on(Instant::ZERO, changed);
         Self {
             admission,
             pointers: Pointers::new(own, 1 << 16),
@@ -123,12 +123,12 @@
     }
 
     /// Ends what the engine is done with, and tells whether the target is drained by that.
-    fn advance(&mut self, now: Moment, mean: Mean) -> bool {
+    fn advance(&mut self, now: Instant, mean: MeanLoad) -> bool {
         // Dropping a permit is all that it takes, whatever ended the request.
         self.running.retain(|(end, _)| *end > now);
         let ended = self.releases.drain();
         let inputs = ended.into_iter().map(Input::End);
-        let targets = Input::TargetsHeard(mean.targets);
+        let targets = Input::TargetsHeard(mean.target_count);
         let news = [Input::MeanHeard(mean), targets, Input::Touched];
         let mut drained = false;
         for input in inputs.chain(news) {
@@ -141,7 +141,7 @@
     /// Takes one attempt in; a refusal comes with the target that holds the context.
     fn attempt(
         &mut self,
-        now: Moment,
+        now: Instant,
         attempt: AttemptId,
         ask: &Ask,
         ranking: &Ranking,
@@ -188,7 +188,7 @@
 impl Fleet {
     fn new(engines: u16) -> Self {
         let mut board = Blackboard::default();
-        let keys = (0..engines).map(|number| board.put(target(number)));
+        let keys = (0..engines).map(|number| board.upsert(target(number)));
         let agents = keys.map(|key| (key, Agent::new(key))).collect();
         let room = Room {
             chats: 100,
@@ -207,13 +207,13 @@
     }
 
     /// Lets time pass at each agent; the mean is exact here, where gossip would bring it.
-    fn advance(&mut self, now: Moment) {
+    fn advance(&mut self, now: Instant) {
         let loads = self.agents.values().map(|a| a.admission.status().reserved);
-        let mean = Mean {
-            load: loads.fold(Cost::ZERO, |sum, load| Cost(sum.0 + load.0)),
-            weight: self.agents.len() as u64 * 100,
-            targets: u32::try_from(self.agents.len()).expect("a few"),
-            at: now,
+        let mean = MeanLoad {
+            total_load: loads.fold(Cost::ZERO, |sum, load| Cost(sum.0 + load.0)),
+            total_weight: self.agents.len() as u64 * 100,
+            target_count: u32::try_from(self.agents.len()).expect("a few"),
+            updated_at: now,
         };
         for agent in self.agents.values_mut() {
             if agent.advance(now, mean) {
@@ -223,7 +223,7 @@
     }
 
     /// Takes one request through its attempts.
-    fn request(&mut self, now: Moment, number: u64, chat: ChatKey) {
+    fn request(&mut self, now: Instant, number: u64, chat: ChatKey) {
         let before = self.ran.get(&chat).copied();
         let terms = Terms {
             id: RequestId(number.into()),
@@ -282,7 +282,7 @@
 
     fn send(
         &mut self,
-        now: Moment,
+        now: Instant,
         target: TargetKey,
         attempt: AttemptId,
         ask: &Ask,
@@ -295,7 +295,7 @@
     }
 
     /// Notes which engine ran a request.
-    fn served(&mut self, now: Moment, target: TargetKey, ask: &Ask, spilled: bool) {
+    fn served(&mut self, now: Instant, target: TargetKey, ask: &Ask, spilled: bool) {
         if let Some(agent) = self.agents.get_mut(&target) {
             agent.pointers.served(now, ask, spilled);
             self.tally.late += u64::from(agent.leaving);
@@ -308,12 +308,12 @@
     }
 
     /// Marks the engine as leaving: its agent hears of it, then the router, then pointers move.
-    fn shut_down(&mut self, now: Moment) {
+    fn shut_down(&mut self, now: Instant) {
         let name = LEAVING.parse().expect("a name");
-        let key = self.board.names[&name];
+        let key = self.board.keys_by_name[&name];
         let mark = Mark {
             target: name,
-            action: objects::Action::Shutdown,
+            action: objects::MarkAction::Shutdown,
             grace_ms: 0,
         };
         let agent = self.agents.get_mut(&key).expect("an agent");
@@ -339,14 +339,14 @@
 #[must_use]
 pub fn run() -> Tally {
     let mut fleet = Fleet::new(3);
-    let mut now = Moment::ZERO;
+    let mut now = Instant::ZERO;
     for number in 0..REQUESTS {
         fleet.advance(now);
         if number == REQUESTS / 2 {
             fleet.shut_down(now);
         }
         let chat = format!("chat-{}", number * 7 % CHATS);
-        fleet.request(now, number, ChatKey::of("kalev", &chat));
+        fleet.request(now, number, ChatKey::derive("kalev", &chat));
         now = now + STEP;
     }
     fleet.advance(now + WORK);
@@ -373,8 +373,8 @@
     "kalev".parse().expect("a name")
 }
 
-fn policy() -> Policy {
-    Policy {
+fn policy() -> PoolPolicy {
+    PoolPolicy {
         cap: 1.25,
         floor: Cost(8 * COST.0),
         queue: 16,
--- a/crates/peppercrank/src/lib.rs
+++ b/crates/peppercrank/src/lib.rs
@@ -33,7 +33,7 @@
 //!
 //! let mut board = Blackboard::default();
 //! for number in 1..=9 {
-//!     board.put(Target {
+//!     board.upsert(Target {
 //!         name: format!("engine-{number}").parse()?,
 //!         pool: "engines".parse()?,
 //!         vm: format!("vm-{number}").parse()?,
@@ -44,7 +44,7 @@
 //!     });
 //! }
 //! let pool = "engines".parse()?;
-//! let chat = RankKey::of(ChatKey::of("kalev", "chat-1"), None);
+//! let chat = RankKey::of(ChatKey::derive("kalev", "chat-1"), None);
 //! let home = Ranking::of_pool(&board, &pool).home(chat).expect("a pool with live targets");
 //!
 //! // The home leaves: the second of before is the new home, and no other chat moves.
@@ -70,12 +70,12 @@
 //! use peppercrank::admit::Ticket;
 //! use peppercrank::core::keys::AttemptId;
 //! use peppercrank::core::objects::Parameters;
-//! use peppercrank::core::objects::Policy;
+//! use peppercrank::core::objects::PoolPolicy;
 //! use peppercrank::core::refusal::NotRun;
-//! use peppercrank::core::time::Moment;
+//! use peppercrank::core::time::Instant;
 //! use peppercrank::core::units::Cost;
 //!
-//! let policy = Policy {
+//! let policy = PoolPolicy {
 //!     cap: 1.25,
 //!     floor: Cost(4_000),
 //!     queue: 16,
@@ -93,7 +93,7 @@
 //!     models: Vec::new(),
 //!     services: Vec::new(),
 //! };
-//! let now = Moment::ZERO;
+//! let now = Instant::ZERO;
 //! let mut admission = Admission::new(now, Settings::default(), policy).expect("settings in range");
 //! admission.on(now, Input::ParametersChanged("kalev".parse()?, Some(parameters)));
 //! // An organisation's limit is shared out over all live targets.
@@ -129,7 +129,7 @@
 //! ```
 //! use std::time::Duration;
 //!
-//! use peppercrank::core::time::Moment;
+//! use peppercrank::core::time::Instant;
 //! use peppercrank::member::Action;
 //! use peppercrank::member::Change;
 //! use peppercrank::member::Description;
@@ -156,7 +156,7 @@
 //!     let facts = Facts::default();
 //!     let seed = u64::from(number);
 //!     let local = Local { description: describe(number), boot: 1, facts, seed };
-//!     Members::new(local, Settings::default(), Moment::ZERO)
+//!     Members::new(local, Settings::default(), Instant::ZERO)
 //! });
 //! // The platform's list names the first; the second learns of it from there.
 //! let first = describe(0);
@@ -168,12 +168,12 @@
 //!     leaving: false,
 //! };
 //! let mut todo = Vec::new();
-//! for action in all[1].on(Moment::ZERO, Input::Seeds(vec![listed])) {
+//! for action in all[1].on(Instant::ZERO, Input::Seeds(vec![listed])) {
 //!     todo.push((1, action));
 //! }
 //! let mut heard = Vec::new();
 //! for tick in 0..1_200 {
-//!     let now = Moment::ZERO + Duration::from_millis(100) * tick;
+//!     let now = Instant::ZERO + Duration::from_millis(100) * tick;
 //!     // The first hears and says nothing from the first minute on.
 //!     let silent = tick >= 600;
 //!     for who in 0..2 {
@@ -205,10 +205,10 @@
 //! use peppercrank::config::Version;
 //! use peppercrank::config::publish::key;
 //! use peppercrank::config::store::Merged;
-//! use peppercrank::core::objects::Kind;
+//! use peppercrank::core::objects::ObjectKind;
 //!
 //! let template = |version, weight| Object {
-//!     key: key(Kind::Template, "standard").expect("a name"),
+//!     key: key(ObjectKind::Template, "standard").expect("a name"),
 //!     version: Version(version),
 //!     body: Some(
 //!         format!(
@@ -240,7 +240,7 @@
 //! use std::time::Duration;
 //!
 //! use peppercrank::core::keys::RequestId;
-//! use peppercrank::core::time::Moment;
+//! use peppercrank::core::time::Instant;
 //! use peppercrank::lease::claim::Action;
 //! use peppercrank::lease::claim::Claims;
 //! use peppercrank::lease::claim::Input;
@@ -257,7 +257,7 @@
 //!     let key = ClaimKey::of("kalev", "trolley-7");
 //!     let wait = Duration::from_secs(1);
 //!     let token = RequestId(token);
-//!     let mut todo = claims.on(Moment::ZERO, Input::Claim { key, token, wait });
+//!     let mut todo = claims.on(Instant::ZERO, Input::Claim { key, token, wait });
 //!     while let Some(action) = todo.pop() {
 //!         let (call, answer) = match action {
 //!             Action::Tell { verdict, .. } => return verdict,
@@ -276,7 +276,7 @@
 //!                 }
 //!             }
 //!         };
-//!         todo.extend(claims.on(Moment::ZERO, Input::Answer { call, answer }));
+//!         todo.extend(claims.on(Instant::ZERO, Input::Answer { call, answer }));
 //!     }
 //!     panic!("each claim gets its verdict");
 //! }
