--- a/crates/peppercrank-core/src/blackboard.rs
+++ b/crates/peppercrank-core/src/blackboard.rs
@@ -1,10 +1,10 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The blackboard: what a process knows of the fleet, written by its controllers.
+//! The blackboard: the local view of the fleet that controllers write and the request path reads.
 //!
-//! The membership controller writes targets, the load controller means, the configuration
-//! controller what operators published; the request path reads them all. It is plain data: a
+//! The membership controller writes targets, the load controller writes mean loads, and the
+//! configuration controller writes what operators published. It is plain data without locking: a
 //! daemon wraps it in the lock of its choice.
 
 use std::collections::BTreeMap;
@@ -23,60 +23,62 @@
 use crate::units::Cost;
 
 new_key_type! {
-    /// `TargetKey` is the small key of a target in one process's blackboard.
+    /// Identifies a target within the blackboard of one process.
     pub struct TargetKey;
 }
 
-/// `TargetState` is what a process believes of a target.
+/// State of a target as seen by the local process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum TargetState {
-    /// Its agent answers.
+    /// The agent responds to probes.
     Live,
-    /// Its agent was not heard lately; it still ranks.
+    /// The agent was not heard from recently; the target stays in the ranking.
     Suspect,
-    /// It takes no new work, what runs goes on.
+    /// The target takes no new requests; running requests continue.
     Leaving,
-    /// Its agent is held to have failed.
+    /// The agent is considered failed.
     Dead,
 }
 
-/// `Target` is one target as the members describe it.
+/// A target as described by the membership protocol.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// The target's name.
+    /// The unique name of the target.
     pub name: TargetName,
-    /// The pool that it belongs to.
+    /// The pool that the target belongs to.
     pub pool: PoolName,
-    /// The VM of its agent.
+    /// The VM on which the agent runs.
     pub vm: VmName,
-    /// The availability zone.
+    /// The availability zone of the VM.
     pub zone: ZoneName,
-    /// Where its agent takes requests.
+    /// The address on which the agent accepts requests.
     pub address: SocketAddr,
-    /// Relative capacity; 0 takes no new work.
+    /// Relative capacity; a target with weight 0 takes no new requests.
     pub weight: u32,
-    /// What this process believes of it.
+    /// The state as seen by the local process.
     pub state: TargetState,
 }
 
-/// `Mean` is the mean load of a pool's targets, as known here.
+/// Mean load of the targets in a pool, as known to the local process.
 ///
-/// It holds a sum and its weight rather than their quotient: a mean below one cost unit per unit of
-/// weight would round to nothing.
+/// Total load and total weight are kept apart because their integer quotient would round to zero
+/// for a mean below one cost unit per unit of weight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MeanLoad {
-    /// The load of the targets that it was taken over, added up.
+    /// Sum of the loads of the included targets.
     pub total_load: Cost,
-    /// The weight of these targets, added up.
+    /// Sum of the weights of the included targets.
     pub total_weight: u64,
-    /// How many targets it was taken over.
+    /// Number of included targets.
     pub target_count: u32,
-    /// When it was last renewed.
+    /// Time of the last update.
     pub updated_at: Instant,
 }
 
 impl MeanLoad {
-    /// `share` is the mean load of a target of this weight, rounded down; zero without weight.
+    /// Returns the mean load scaled to a target of this weight, rounded down.
+    ///
+    /// The result is zero if the total weight is zero.
     #[must_use]
     pub fn for_weight(&self, weight: u32) -> Cost {
         if self.total_weight == 0 {
@@ -88,21 +90,23 @@
     }
 }
 
-/// `Blackboard` holds what a process knows of the fleet.
+/// What a process knows about the targets of the fleet, with indexes by name and by pool.
 #[derive(Debug, Default)]
 pub struct Blackboard {
-    /// The targets, by key.
+    /// All known targets.
     pub targets: SlotMap<TargetKey, Target>,
-    /// The keys by name.
+    /// Target keys indexed by target name.
     pub keys_by_name: BTreeMap<TargetName, TargetKey>,
-    /// The keys of each pool's targets, in order of the targets' names.
+    /// Target keys indexed by pool, sorted by target name; pools without targets are absent.
     pub keys_by_pool: BTreeMap<PoolName, Vec<TargetKey>>,
-    /// The mean load of each pool.
+    /// Mean load of each pool.
     pub mean_loads: BTreeMap<PoolName, MeanLoad>,
 }
 
 impl Blackboard {
-    /// `put` writes a target, new or known, and returns its key.
+    /// Inserts a target, or replaces the target of the same name, and returns its key.
+    ///
+    /// A replaced target keeps its key.
     pub fn upsert(&mut self, target: Target) -> TargetKey {
         if let Some(key) = self.keys_by_name.get(&target.name).copied() {
             self.replace(key, target);
@@ -116,7 +120,7 @@
         key
     }
 
-    /// `remove` forgets a target.
+    /// Removes a target and returns it, or `None` if the name is unknown.
     pub fn remove(&mut self, name: &TargetName) -> Option<Target> {
         let key = self.keys_by_name.remove(name)?;
         let target = self.targets.remove(key)?;
@@ -124,7 +128,7 @@
         Some(target)
     }
 
-    /// `pool` lists the keys of a pool's targets.
+    /// Returns the keys of the targets in `pool`, sorted by target name.
     #[must_use]
     pub fn pool_targets(&self, pool: &PoolName) -> &[TargetKey] {
         self.keys_by_pool.get(pool).map_or(&[], Vec::as_slice)
--- a/crates/peppercrank-core/src/errors.rs
+++ b/crates/peppercrank-core/src/errors.rs
@@ -1,64 +1,64 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The crate's error type, its result and small constructors.
+//! The error and result types of this crate, with constructors for its errors.
 
 use std::fmt;
 
-/// `Result` is the result of every fallible function of this crate.
+/// The result of the fallible functions of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` names what was wrong with a shared value.
+/// A value of one of the shared types could not be parsed or is out of range.
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub enum Error {
-    /// A name is empty, too long or has a character outside `[a-z0-9._-]`.
+    /// A name is empty, longer than 63 bytes or contains a character outside `[a-z0-9._-]`.
     Name {
-        /// What the name was meant for, for example `organisation`.
+        /// What the name identifies, for example `organisation`.
         kind: &'static str,
-        /// The text as given, cut to the longest length allowed.
+        /// The rejected text, truncated to the maximum length of a name.
         text: String,
     },
-    /// A settings text does not parse or fails a check.
+    /// Settings are not valid JSON with comments or fail validation.
     Settings {
-        /// The line, counted from 1.
+        /// Line number of the error, starting at 1.
         line: usize,
-        /// The column, counted from 1.
+        /// Column number of the error in characters, starting at 1.
         column: usize,
-        /// What is wrong there.
+        /// Description of the error.
         reason: String,
     },
-    /// A key is not the hexadecimal text it should be.
+    /// A key is not hexadecimal text of the expected length.
     Key {
-        /// The text as given.
+        /// The rejected text, truncated to the maximum length of a name.
         text: String,
     },
-    /// A value lies outside its range.
+    /// A value is outside its range.
     Range {
-        /// The field that holds the value.
+        /// The name of the field.
         field: &'static str,
-        /// The least value allowed, in the field's unit.
+        /// The minimum value, in the unit of the field.
         min: f64,
-        /// The greatest value allowed, in the field's unit.
+        /// The maximum value, in the unit of the field.
         max: f64,
     },
 }
 
-/// `name` makes the error for a malformed name.
+/// Returns the error for a malformed name.
 #[must_use]
 pub fn invalid_name(kind: &'static str, text: &str) -> Error {
     let text = text.chars().take(crate::names::MAX_NAME_LEN).collect();
     Error::Name { kind, text }
 }
 
-/// `key` makes the error for a malformed key.
+/// Returns the error for a malformed key.
 #[must_use]
 pub fn invalid_key(text: &str) -> Error {
     let text = text.chars().take(crate::names::MAX_NAME_LEN).collect();
     Error::Key { text }
 }
 
-/// `range` makes the error for a value outside its range.
+/// Returns the error for a value outside its range.
 #[must_use]
 pub fn out_of_range(field: &'static str, min: f64, max: f64) -> Error {
     Error::Range { field, min, max }
--- a/crates/peppercrank-core/src/events.rs
+++ b/crates/peppercrank-core/src/events.rs
@@ -1,40 +1,40 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Numbered log events; docs/EVENTS.md catalogues them.
+//! Numbered log events, which docs/EVENTS.md lists.
 
-/// `Level` is how serious an event is.
+/// Severity of an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
-    /// For a closer look.
+    /// Details for troubleshooting.
     Debug,
-    /// Ordinary life.
+    /// Normal operation.
     Info,
-    /// Something to watch.
+    /// A condition that operators should watch.
     Warning,
-    /// Something to act on.
+    /// A condition that operators should act on.
     Error,
 }
 
 macro_rules! events {
     ($($(#[$doc:meta])* $name:ident = $number:literal $level:ident $text:literal;)*) => {
-        /// `Event` is one kind of log line; its number never changes its meaning.
+        /// A kind of log line. A number is never reused for another meaning.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum Event {
             $($(#[$doc])* $name = $number,)*
         }
 
         impl Event {
-            /// All events, in the order of their numbers.
+            /// All events in ascending order of their numbers.
             pub const ALL: &[Self] = &[$(Self::$name,)*];
 
-            /// `number` is the event's number.
+            /// Returns the stable number of the event.
             #[must_use]
             pub const fn number(self) -> u16 {
                 self as u16
             }
 
-            /// `level` is how serious the event is.
+            /// Returns the severity of the event.
             #[must_use]
             pub const fn level(self) -> Level {
                 match self {
@@ -42,7 +42,7 @@
                 }
             }
 
-            /// `text` is the event's fixed message.
+            /// Returns the fixed message of the event.
             #[must_use]
             pub const fn text(self) -> &'static str {
                 match self {
@@ -54,100 +54,100 @@
 }
 
 events! {
-    /// A daemon has begun to serve.
+    /// A daemon started to serve.
     Started = 1001 Info "daemon started";
-    /// A daemon was told to stop and takes no new work.
+    /// A daemon was told to stop and takes no new requests.
     Stopping = 1002 Info "daemon stopping";
-    /// A daemon has ended.
+    /// A daemon finished its shutdown.
     Stopped = 1003 Info "daemon stopped";
-    /// Streams were still open when the time for stopping ran out.
+    /// Streams were still open at the end of the graceful shutdown period and were closed.
     StreamsCutAtStop = 1004 Warning "streams cut at the end of the time for stopping";
     /// The readiness of a daemon changed.
     Ready = 1005 Info "readiness changed";
-    /// Settings were read anew.
+    /// Settings were reloaded.
     SettingsRead = 1006 Info "settings read";
-    /// A settings file is invalid; the last good one stays in force.
+    /// A settings file is invalid; the last valid one remains in force.
     SettingsInvalid = 1007 Error "invalid settings held back";
-    /// Log lines found no room, or could not be written.
+    /// Log lines were dropped because the log queue was full or the write failed.
     LogDropped = 1008 Warning "log lines dropped";
     /// The machine was suspended.
     Suspended = 1009 Warning "machine was suspended";
     /// A request was refused.
     Refused = 2001 Info "request refused";
-    /// A request is tried at another target.
+    /// A request is retried at another target.
     Retried = 2002 Info "request retried";
-    /// An attempt ended with an unknown fate.
+    /// An attempt ended without it being known whether the request ran.
     OutcomeUnknown = 2003 Warning "attempt may have run";
-    /// An answer was to another attempt.
+    /// A response belonged to another attempt and was discarded.
     WrongAnswer = 2004 Error "answer of another attempt discarded";
-    /// A caller went away.
+    /// A caller closed its connection, so its request was cancelled.
     CallerGone = 2005 Info "caller gone, work cancelled";
-    /// A stream was cut and resumed.
+    /// An interrupted stream was resumed.
     Resumed = 2006 Warning "stream resumed";
-    /// A stream was cut and ended with an error.
+    /// An interrupted stream ended with an error.
     StreamCut = 2007 Warning "stream ended with an error";
-    /// A request was answered.
+    /// A request completed.
     Answered = 2008 Info "request answered";
-    /// An attempt at a target ended without an answer to pass on.
+    /// An attempt at a target ended without a response to forward.
     AttemptFailed = 2009 Info "attempt failed";
-    /// Requests that are in progress, so that a process that is killed leaves word of them.
+    /// Requests in progress, logged so that a record of them survives if the process is killed.
     InProgress = 2010 Info "requests in progress";
-    /// A request is kept from targets, as too many ended under it.
+    /// A request is no longer sent to targets because too many of them crashed while running it.
     Quarantined = 2011 Warning "request quarantined";
-    /// A member joined, or came back.
+    /// A member joined or recovered.
     MemberAlive = 3001 Info "member alive";
-    /// A member is suspected.
+    /// A member is suspected of having failed.
     MemberSuspect = 3002 Info "member suspected";
-    /// A member is held to have failed.
+    /// A member is considered failed.
     MemberDead = 3003 Warning "member dead";
-    /// A control message was not authentic.
+    /// A control message failed authentication.
     ControlMessageRefused = 3004 Error "control message refused";
-    /// Nothing was heard from peers or platform past the limit.
+    /// Neither the peers nor the platform were heard from within the time limit.
     OutOfTouch = 3005 Error "out of touch";
     /// A newer configuration object is in force.
     ConfigApplied = 4001 Info "configuration in force";
-    /// An object failed the checks; the last good one stays in force.
+    /// A configuration object failed validation; the last valid version remains in force.
     ConfigInvalid = 4002 Error "invalid configuration object held back";
-    /// The platform's API does not answer.
+    /// The API of the platform does not respond.
     PlatformDown = 4003 Warning "platform not answering";
-    /// The platform's API answers again.
+    /// The API of the platform responds again.
     PlatformUp = 4004 Info "platform answering";
-    /// An entry of the platform's store could not be decoded.
+    /// An entry in the store of the platform could not be decoded.
     EntryInvalid = 4005 Error "invalid entry in the store";
-    /// The store's history is gone, so a kind of entries is listed anew.
+    /// The store no longer holds the change history, so all entries of a kind are listed again.
     EntriesRelisted = 4006 Info "entries listed anew";
-    /// Changes of the configuration were read from the store.
+    /// Configuration changes were read from the store.
     ChangesRead = 4007 Info "changes read from the store";
-    /// The store came back from an older copy, so that all is read anew.
+    /// The store was restored from an older copy, so everything is read again.
     StoreRestored = 4008 Warning "store back from an older copy";
     /// A target was marked as leaving.
     TargetLeaving = 5001 Info "target leaving";
-    /// A leaving target has no work left.
+    /// A leaving target has no running requests left.
     TargetDrained = 5002 Info "target drained";
-    /// An order was refused for its fencing number.
+    /// An order was rejected because of its fencing token.
     OrderRefused = 5003 Warning "order refused";
-    /// An order was passed to the engine.
+    /// An order was forwarded to the engine.
     OrderPassed = 5004 Info "order passed";
-    /// Keys were read anew.
+    /// Keys were reloaded.
     KeysRotated = 5005 Info "keys rotated";
     /// A target registered itself.
     TargetJoined = 5006 Info "target joined";
-    /// A target's entry is gone.
+    /// The entry of a target was removed.
     TargetGone = 5007 Info "target gone";
-    /// A target's entry is missing after an outage of the store.
+    /// The entry of a target is missing after an outage of the store.
     TargetMissing = 5008 Warning "target missing after an outage";
-    /// A target failed too often and gets no work for a while.
+    /// A target failed too often and temporarily gets no requests.
     TargetEjected = 5009 Warning "target ejected";
-    /// A target started again under its name, and what was known of it is dropped.
+    /// A target restarted under the same name; what was known about the earlier run is discarded.
     TargetRestarted = 5010 Info "target started again";
-    /// The store tells of another start of a target, which may be an earlier one.
+    /// The store reports a different start of a target, which may be an earlier one.
     TargetInDoubt = 5011 Warning "target's start in doubt";
-    /// A target's entry cannot be read any more, so it gets no new work.
+    /// The entry of a target can no longer be decoded, so the target gets no new requests.
     TargetUnreadable = 5012 Warning "target's entry unreadable";
-    /// An availability zone was evacuated: its targets get no new work.
+    /// An availability zone was evacuated; its targets get no new requests.
     ZoneEvacuated = 5013 Warning "zone evacuated";
-    /// An evacuated availability zone takes work again.
+    /// An evacuated availability zone takes requests again.
     ZoneRestored = 5014 Info "zone restored";
-    /// A target wants no requests from this router for a while.
+    /// A target asked this router to send it no requests for a while.
     TargetPaused = 5015 Info "target paused";
 }
--- a/crates/peppercrank-core/src/keys.rs
+++ b/crates/peppercrank-core/src/keys.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Small `Copy` keys: chats, prefixes, requests and attempts.
+//! Fixed-size identifiers of chats, prompt prefixes, requests and attempts.
 
 use std::fmt;
 use std::str::FromStr;
@@ -35,7 +35,7 @@
             type Err = Error;
 
             fn from_str(text: &str) -> crate::Result<Self> {
-                // `from_str_radix` takes a sign, and a header must not smuggle one in.
+                // `from_str_radix` accepts a leading sign, which is not valid in a header.
                 if text.len() != $width || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
                     return Err(errors::invalid_key(text));
                 }
@@ -49,21 +49,21 @@
 }
 
 keys! {
-    /// `ChatKey` stands for one chat of one organisation.
+    /// Identifies a chat of an organisation.
     ChatKey u64, 16;
-    /// `PrefixKey` stands for one leading block of a prompt, within one model.
+    /// Identifies a leading block of a prompt within a model.
     PrefixKey u64, 16;
-    /// `RequestId` stands for one request of a caller, over all its attempts.
+    /// Identifies a request across all of its attempts.
     RequestId u128, 32;
-    /// `AttemptId` stands for one attempt at one target; no two attempts share one.
+    /// Identifies an attempt at a target; unique to that attempt.
     AttemptId u128, 32;
 }
 
 impl ChatKey {
-    /// `of` derives the key of a chat from its organisation and the caller's chat id.
+    /// Derives the key of a chat from its organisation and the chat id given by the caller.
     #[must_use]
     pub fn derive(organisation: &str, chat: &str) -> Self {
-        // The organisation seeds the hash, so that equal chat ids of two never meet.
+        // Seeding with the organisation separates equal chat ids of different organisations.
         Self(hash64(hash64(0, organisation.as_bytes()), chat.as_bytes()))
     }
 }
--- a/crates/peppercrank-core/src/names.rs
+++ b/crates/peppercrank-core/src/names.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Checked names of the things that operators name.
+//! Validated names of VMs, zones, organisations, targets, pools and other named entities.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,10 +13,10 @@
 use crate::Error;
 use crate::errors;
 
-/// The longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_LEN: usize = 63;
 
-/// Tells whether `text` may serve as a name.
+/// Returns whether `text` is 1 to 63 bytes of `[a-z0-9._-]`.
 fn is_valid_name(text: &str) -> bool {
     let fits = (1..=MAX_NAME_LEN).contains(&text.len());
     fits && text
@@ -32,11 +32,11 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// `new` checks `text` and makes a name of it.
+            /// Creates a name from `text`.
             ///
             /// # Errors
             ///
-            /// Returns [`Error::Name`] when `text` is not 1 to 63 of `[a-z0-9._-]`.
+            /// Returns [`Error::Name`] if `text` is not 1 to 63 bytes of `[a-z0-9._-]`.
             pub fn new(text: &str) -> crate::Result<Self> {
                 if is_valid_name(text) {
                     return Ok(Self(Arc::from(text)));
@@ -44,7 +44,7 @@
                 Err(errors::invalid_name($kind, text))
             }
 
-            /// `as_str` is the name as text.
+            /// Returns the name as a string slice.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -88,20 +88,20 @@
 }
 
 names! {
-    /// `VmName` names one VM, and with it the one process of the fleet that runs there.
+    /// Name of a VM, which also identifies the single fleet process that runs on it.
     VmName "VM";
-    /// `ZoneName` names one availability zone.
+    /// Name of an availability zone.
     ZoneName "availability zone";
-    /// `OrganisationName` names one organisation.
+    /// Name of an organisation.
     OrganisationName "organisation";
-    /// `TargetName` names one target: a model engine or one replica of a plain service.
+    /// Name of a target: a model engine or a replica of a plain service.
     TargetName "target";
-    /// `PoolName` names one pool of targets that can serve the same requests.
+    /// Name of a pool of targets that can serve the same requests.
     PoolName "pool";
-    /// `ModelName` names one model that engines load.
+    /// Name of a model that engines load.
     ModelName "model";
-    /// `TemplateName` names one organisation template.
+    /// Name of an organisation template.
     TemplateName "template";
-    /// `ObjectName` names one object of the platform's API within its kind.
+    /// Name of a configuration object in the API of the platform, unique within its kind.
     ObjectName "object";
 }
--- a/crates/peppercrank-core/src/objects.rs
+++ b/crates/peppercrank-core/src/objects.rs
@@ -1,9 +1,9 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What operators publish: templates, organisations, pools and marks.
+//! Configuration objects that operators publish: templates, organisations, pools and marks.
 //!
-//! The types alone stand here; checks, versions and merging are `peppercrank-config`'s.
+//! This module only defines the types; `peppercrank-config` validates, versions and merges them.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -15,7 +15,7 @@
 use crate::names::TemplateName;
 use crate::units::Cost;
 
-/// `Kind` is the kind of a configuration object.
+/// Kind of a configuration object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ObjectKind {
@@ -33,7 +33,7 @@
     /// All kinds.
     pub const ALL: &[Self] = &[Self::Template, Self::Organisation, Self::Pool, Self::Mark];
 
-    /// `code` is the kind's word in the platform's paths and on the command line.
+    /// Returns the name of the kind in the paths of the platform API and on the command line.
     #[must_use]
     pub const fn code(self) -> &'static str {
         match self {
@@ -44,53 +44,53 @@
         }
     }
 
-    /// `from_code` finds the kind with this code.
+    /// Returns the kind with this code, or `None` if the code is unknown.
     #[must_use]
     pub fn from_code(code: &str) -> Option<Self> {
         Self::ALL.iter().copied().find(|k| k.code() == code)
     }
 }
 
-/// `ObjectKey` names one configuration object.
+/// Identifies a configuration object.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ObjectKey {
-    /// The kind.
+    /// The kind of the object.
     pub kind: ObjectKind,
-    /// The name within the kind.
+    /// The name, unique within the kind.
     pub name: ObjectName,
 }
 
-/// `Parameters` are what an organisation may do, as its template sets them.
+/// Quotas, defaults and permissions of an organisation, as set by its template.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Parameters {
-    /// Share of a contended target, relative to other organisations; 1 to 1,000.
+    /// Share of a contended target relative to other organisations, 1 to 1,000.
     pub weight: u32,
-    /// Priority of its requests unless they ask for less; 0 (last) to 9 (first).
+    /// Priority of requests that do not ask for a lower one, 0 (lowest) to 9 (highest).
     pub priority: u8,
-    /// Most work in flight at once over the whole fleet, in cost units.
+    /// Maximum work in flight across the whole fleet, in cost units.
     pub limit: Cost,
-    /// Expected answer when a request sets no maximum, in tokens.
+    /// Expected output length of a request that sets no maximum, in tokens.
     pub output: u32,
-    /// Time allowed a request that brings no deadline, in milliseconds.
+    /// Deadline of a request that sets none, in milliseconds.
     pub deadline_ms: u64,
-    /// Models it may call; empty for all.
+    /// Models that the organisation may call; empty allows all.
     #[serde(default)]
     pub models: Vec<ModelName>,
-    /// Pools of plain services it may call; empty for all.
+    /// Pools of plain services that the organisation may call; empty allows all.
     #[serde(default)]
     pub services: Vec<PoolName>,
 }
 
-/// `Template` is an organisation template: the parameters of those that name it.
+/// An organisation template, which provides the parameters of the organisations that use it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Template {
-    /// The parameters.
+    /// The parameters of organisations without overrides.
     pub parameters: Parameters,
 }
 
-/// `Overrides` are the parameters that one organisation sets apart from its template.
+/// Parameters that an organisation sets instead of taking them from its template.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Overrides {
@@ -117,86 +117,86 @@
     pub services: Option<Vec<PoolName>>,
 }
 
-/// `Organisation` is one organisation: its template, its own parameters, its API keys.
+/// An organisation with its template, its parameter overrides and its API keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
-    /// The template.
+    /// The template that provides the default parameters.
     pub template: TemplateName,
-    /// What differs from the template.
+    /// Parameters that differ from the template.
     #[serde(default)]
     pub overrides: Overrides,
-    /// SHA-256 digests of its API keys, as lower-case hexadecimal.
+    /// SHA-256 digests of the API keys, in lowercase hexadecimal.
     #[serde(default)]
     pub keys: Vec<String>,
 }
 
-/// `Serves` is what a pool serves.
+/// The requests that a pool serves.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum PoolWorkload {
-    /// Chats of these models.
+    /// Chats with these models.
     Models(Vec<ModelName>),
-    /// Calls of a plain service, each of this cost.
+    /// Calls to a plain service.
     Service {
         /// The cost of one call.
         cost: Cost,
-        /// Whether calls may be repeated unless they say otherwise.
+        /// Whether a call may be repeated if it does not specify this itself.
         ///
-        /// Methods that HTTP defines as idempotent may always be.
+        /// Methods that HTTP defines as idempotent may always be repeated.
         repeatable: bool,
     },
 }
 
-/// `Policy` is how a pool is balanced.
+/// Load balancing policy of a pool.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolPolicy {
-    /// The multiple of the pool's mean load that no target exceeds; above 1, at most 10.
+    /// Maximum load of a target as a multiple of the mean load of the pool; above 1, at most 10.
     pub cap: f64,
-    /// Load that a target may always carry, whatever the mean, in cost units.
+    /// Load that a target may carry regardless of the mean load, in cost units.
     pub floor: Cost,
-    /// Requests that may wait at one target.
+    /// Maximum number of requests queued at one target.
     pub queue: u32,
-    /// Longest wait in that queue, in milliseconds.
+    /// Maximum time that a request waits in the queue, in milliseconds.
     pub wait_ms: u64,
-    /// Leading text of a new chat that ranks it, in bytes.
+    /// Length of the leading text that determines the target ranking of a new chat, in bytes.
     pub prefix: u32,
-    /// Targets that one request tries at most.
+    /// Maximum number of targets tried for one request.
     pub tries: u32,
-    /// Retries as a share of a router's requests, 0 to 1.
+    /// Maximum retries as a fraction of the requests of a router, 0 to 1.
     pub retries: f64,
 }
 
-/// `Pool` is one pool of targets that serve the same requests.
+/// A pool of targets that serve the same requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// What it serves.
+    /// The requests that the pool serves.
     pub serves: PoolWorkload,
-    /// How it is balanced.
+    /// How requests are balanced over the targets.
     pub policy: PoolPolicy,
 }
 
-/// `Action` is what a mark asks of a target.
+/// How a marked target is taken out of service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MarkAction {
-    /// Take the target out: no new work, what runs may be ended after `grace_ms`.
+    /// Removes the target: no new requests; running requests may be ended after `grace_ms`.
     Remove,
-    /// Shut the target down gracefully: no new work, what runs goes on to its end.
+    /// Shuts the target down gracefully: no new requests; running requests are completed.
     Shutdown,
 }
 
-/// `Mark` marks one target as leaving; the object's name is the target's.
+/// Marks a target as leaving; the object has the same name as the target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Mark {
-    /// The target.
+    /// The marked target.
     pub target: TargetName,
-    /// What to do.
+    /// How the target is taken out of service.
     pub action: MarkAction,
-    /// For a removal, the time left to what runs, in milliseconds.
+    /// For a removal, the time that running requests have left to complete, in milliseconds.
     #[serde(default)]
     pub grace_ms: u64,
 }
--- a/crates/peppercrank-core/src/refusal.rs
+++ b/crates/peppercrank-core/src/refusal.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Outcomes of an attempt, and the closed sets of reasons.
+//! Outcomes of an attempt, with the closed sets of reasons for a failure.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -16,10 +16,10 @@
         }
 
         impl $name {
-            /// All reasons, in the order of their definition.
+            /// All reasons in the order of their definition.
             pub const ALL: &[Self] = &[$(Self::$variant,)*];
 
-            /// `code` is the stable code of the reason in answers, headers and metrics.
+            /// Returns the stable code of the reason in responses, headers and metrics.
             #[must_use]
             pub const fn code(self) -> &'static str {
                 match self {
@@ -27,7 +27,7 @@
                 }
             }
 
-            /// `from_code` finds the reason with this code.
+            /// Returns the reason with this code, or `None` if the code is unknown.
             #[must_use]
             pub fn from_code(code: &str) -> Option<Self> {
                 match code {
@@ -40,72 +40,72 @@
 }
 
 reasons! {
-    /// `NotRun` is why a request did not run: the target saw nothing of it.
+    /// Why a request did not run; no part of it reached the target.
     NotRun {
-        /// The target carries its cap.
+        /// The target is at its load cap.
         OverCap "over_cap",
         /// The target is leaving or its agent is stopping.
         Leaving "leaving",
-        /// The organisation is at its limit of work in flight.
+        /// The organisation is at its limit for work in flight.
         OrganisationLimit "organisation_limit",
-        /// The queue is full.
+        /// The queue of the target is full.
         QueueFull "queue_full",
-        /// The request waited as long as it may.
+        /// The request reached the maximum time in the queue.
         QueueTimeout "queue_timeout",
-        /// The request's deadline passed before it ran.
+        /// The deadline of the request passed before it ran.
         Deadline "deadline",
-        /// No connection to the target or its agent could be made.
+        /// The connection to the target or its agent could not be established.
         Connect "connect",
-        /// The agent has heard neither its peers nor the platform past its limit.
+        /// The agent heard from neither its peers nor the platform within its time limit.
         OutOfTouch "out_of_touch",
-        /// The pool has no live target.
+        /// The pool has no available target.
         NoTarget "no_target",
-        /// The retry budget is spent.
+        /// The retry budget is exhausted.
         RetryBudget "retry_budget",
-        /// The claim that keeps it from running twice could not be made.
+        /// The claim that prevents a second run of the request could not be acquired.
         ClaimUnavailable "claim_unavailable",
         /// Another attempt with the same idempotency key holds the claim.
         ClaimHeld "claim_held",
-        /// The caller went away before it ran.
+        /// The caller disconnected before the request ran.
         CallerGone "caller_gone",
-        /// The process has no configuration that is new enough.
+        /// The process has no configuration that is recent enough.
         NotReady "not_ready",
-        /// The message between our processes was not authentic.
+        /// The message between processes of the fleet failed authentication.
         Unauthentic "unauthentic",
-        /// Another target holds the context; the refusal's hint names it.
+        /// Another target holds the cached context; the hint in the refusal names it.
         Elsewhere "elsewhere",
-        /// The attempt was seen before: a duplicate delivery of one message.
+        /// The attempt was already received; this is a duplicate delivery of the message.
         DuplicateAttempt "duplicate_attempt",
     }
 }
 
 reasons! {
-    /// `MayHaveRun` is why it is unknown whether a request ran, or how far.
+    /// Why it is unknown whether, or how far, a request ran.
     MayHaveRun {
-        /// The connection broke after the request was sent.
+        /// The connection failed after the request was sent.
         Cut "cut",
-        /// No answer came in time.
+        /// No response arrived in time.
         Timeout "timeout",
-        /// The answer was to another attempt.
+        /// The response belonged to another attempt.
         WrongAnswer "wrong_answer",
-        /// The answer did not follow the protocol.
+        /// The response violated the protocol.
         BadAnswer "bad_answer",
-        /// The target itself failed while it ran.
+        /// The target failed while the request ran.
         TargetFailed "target_failed",
-        /// An earlier attempt with the same idempotency key has begun.
+        /// An earlier attempt with the same idempotency key already started.
         AlreadyBegun "already_begun",
-        /// The caller went away while it ran.
+        /// The caller disconnected while the request ran.
         CallerGone "caller_gone",
     }
 }
 
-/// `Outcome` is how one attempt ended.
+/// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum AttemptOutcome {
-    /// The target saw nothing of the request.
+    /// No part of the request reached the target.
     NotRun(NotRun),
-    /// The target may have run some or all of it.
+    /// The target may have run part or all of the request.
     MayHaveRun(MayHaveRun),
-    /// The whole answer was delivered.
+    /// The complete response was delivered.
     Done,
 }
--- a/crates/peppercrank-core/src/settings.rs
+++ b/crates/peppercrank-core/src/settings.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Settings texts: JSON with comments, checked, with line and column in each error.
+//! Parser for settings in JSON with comments, which reports the line and column of each error.
 
 use std::collections::BTreeSet;
 
@@ -15,7 +15,7 @@
 
 use crate::Error;
 
-/// Strict JSON but for comments and trailing commas.
+/// Strict JSON except that comments and trailing commas are allowed.
 const SYNTAX: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
@@ -29,14 +29,15 @@
     allow_extended_string_escapes: false,
 };
 
-/// `parse` reads a settings text, JSON with comments, into `T`.
+/// Deserializes `T` from settings in JSON with comments.
 ///
-/// A type that refuses unknown keys and checks ranges as it deserializes gets the line and column
-/// of each fault: the faulty key or value itself, not where the reader stood when it noticed.
+/// If `T` rejects unknown keys and checks ranges while it deserializes, the reported line and
+/// column are those of the invalid key or value, not the position at which the deserializer
+/// detected the error.
 ///
 /// # Errors
 ///
-/// Returns [`Error::Settings`] with the place of the first fault.
+/// Returns [`Error::Settings`] with the position of the first error.
 pub fn parse<T: DeserializeOwned>(text: &str) -> crate::Result<T> {
     let tree = parse_tree(text)?;
     reject_duplicate_keys(text, &tree)?;
@@ -47,7 +48,7 @@
     })
 }
 
-/// The syntax tree of `text`, with the place of each part.
+/// Parses `text` into a syntax tree in which each node has its position.
 fn parse_tree(text: &str) -> crate::Result<Value<'_>> {
     match parse_to_ast(text, &CollectOptions::default(), &SYNTAX) {
         Ok(result) => result
@@ -57,7 +58,7 @@
     }
 }
 
-/// Refuses a key that stands twice in one object: which was meant cannot be known.
+/// Rejects duplicate keys in an object, because it is unclear which value is intended.
 fn reject_duplicate_keys(text: &str, value: &Value<'_>) -> crate::Result<()> {
     match value {
         Value::Object(object) => {
@@ -65,7 +66,7 @@
             for property in &object.properties {
                 let name = property.name.as_str();
                 if !seen.insert(name) {
-                    let reason = format!("the key `{name}` stands twice");
+                    let reason = format!("duplicate key `{name}`");
                     return Err(error_at(text, property.range.start, &reason));
                 }
                 reject_duplicate_keys(text, &property.value)?;
@@ -80,7 +81,7 @@
     }
 }
 
-/// The byte at which the part at `path` begins, or the last known part on the way there.
+/// Returns the byte offset of the node at `path`, or of its deepest ancestor in the tree.
 fn offset_of_path(tree: &Value<'_>, path: &Path) -> usize {
     let mut at = start_offset(tree);
     let mut value = tree;
@@ -107,7 +108,7 @@
     at
 }
 
-/// The byte at which `value` begins.
+/// Returns the byte offset at which `value` starts.
 fn start_offset(value: &Value<'_>) -> usize {
     match value {
         Value::StringLit(v) => v.range.start,
@@ -119,7 +120,7 @@
     }
 }
 
-/// The error for a fault at byte `at` of `text`.
+/// Returns the error for byte offset `at` of `text`.
 fn error_at(text: &str, at: usize, reason: &str) -> Error {
     let before = text.get(..at).unwrap_or(text);
     let line = before.matches('\n').count() + 1;
--- a/crates/peppercrank-core/src/status.rs
+++ b/crates/peppercrank-core/src/status.rs
@@ -1,11 +1,11 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What a daemon tells operators of itself, as JSON on its operators' address.
+//! Status that a daemon reports to operators, as JSON on its operators' address.
 //!
-//! `GET /status` answers a [`Status`]; `GET /objects/{kind}/{name}` answers a [`Held`], which is
-//! how the command line learns that an object is in force everywhere. Both want an operators'
-//! bearer token. Readers skip fields that they do not know, so that newer daemons may add some.
+//! `GET /status` returns a [`Status`]. `GET /objects/{kind}/{name}` returns a [`HeldObject`], with
+//! which the command line checks that an object is in force on all daemons. Both require an
+//! operators' bearer token. Readers ignore unknown fields, so that newer daemons can add some.
 
 use std::net::SocketAddr;
 
@@ -21,121 +21,123 @@
 use crate::objects::ObjectKey;
 use crate::units::Cost;
 
-/// Path of the [`Status`] page.
+/// Path of the [`Status`] resource.
 pub const STATUS_PATH: &str = "/status";
 
-/// Path above the [`Held`] pages: `/objects/{kind}/{name}`.
+/// Parent path of the [`HeldObject`] resources, `/objects/{kind}/{name}`.
 pub const OBJECTS_PATH: &str = "/objects";
 
-/// `Role` is which daemon answers.
+/// Which kind of daemon reports its status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DaemonRole {
-    /// It takes callers' requests.
+    /// Accepts the requests of callers.
     Router,
-    /// It stands beside one target.
+    /// Runs next to a single target.
     Agent,
 }
 
-/// `Status` is one daemon as it sees itself and the fleet.
+/// Status of a daemon and of the targets that it knows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Its VM.
+    /// The VM on which the daemon runs.
     pub vm: VmName,
-    /// Its availability zone.
+    /// The availability zone of the VM.
     pub zone: ZoneName,
-    /// Which daemon it is.
+    /// The kind of daemon.
     pub role: DaemonRole,
-    /// Whether `/readyz` says yes.
+    /// Whether `/readyz` reports that the daemon is ready.
     pub ready: bool,
-    /// Whether it was told to stop.
+    /// Whether the daemon is shutting down.
     #[serde(default)]
     pub stopping: bool,
-    /// The configuration that it holds.
+    /// The configuration in force.
     pub configuration: ConfigurationStatus,
-    /// Where it takes control calls, none when it does not say.
+    /// The address on which the daemon accepts control calls, if it reports one.
     #[serde(default)]
     pub control: Option<SocketAddr>,
-    /// The targets: an agent's own, or all that a router believes in.
+    /// The agent's own target, or all targets known to a router.
     #[serde(default)]
     pub targets: Vec<TargetStatus>,
 }
 
-/// `Configuration` is what configuration a daemon holds.
+/// Status of the configuration that a daemon holds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationStatus {
-    /// Digest over all objects and versions, hexadecimal: equal where the configuration is.
+    /// Digest of all objects and their versions, in hexadecimal; equal for equal configurations.
     pub digest: String,
-    /// The highest version among the objects held.
+    /// The highest version of any object.
     pub version: u64,
-    /// How many objects it holds, tombstones not counted.
+    /// Number of objects, without tombstones.
     pub objects: u64,
-    /// Time since it was last known to be as new as the platform's, none when unknown.
+    /// Time since the configuration was last known to match the platform, in milliseconds.
+    ///
+    /// `None` if unknown.
     #[serde(default)]
     pub age_ms: Option<u64>,
-    /// Objects that failed the checks, so that an older version is in force.
+    /// Object versions that failed validation, for which an older version remains in force.
     #[serde(default)]
     pub invalid: Vec<InvalidObject>,
 }
 
-/// `Invalid` is an object that failed the checks.
+/// An object version that failed validation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InvalidObject {
-    /// The object.
+    /// The invalid object.
     pub key: ObjectKey,
-    /// The version that failed.
+    /// The invalid version.
     pub version: u64,
-    /// Why, for people.
+    /// The human-readable validation error.
     pub reason: String,
 }
 
-/// `TargetStatus` is one target as the daemon sees it.
+/// Status of a target as seen by the daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetStatus {
-    /// The target.
+    /// The name of the target.
     pub name: TargetName,
-    /// Its pool.
+    /// The pool that the target belongs to.
     pub pool: PoolName,
-    /// Its availability zone.
+    /// The availability zone of the target.
     pub zone: ZoneName,
-    /// Its state.
+    /// The state as seen by the daemon.
     pub state: TargetState,
-    /// Its load, told by its own agent only.
+    /// The load; only the target's own agent reports it.
     #[serde(default)]
     pub load: Option<LoadStatus>,
-    /// Its drain, told by its own agent only, none while it is not leaving.
+    /// The drain progress; only the target's own agent reports it, while the target is leaving.
     #[serde(default)]
     pub drain: Option<DrainStatus>,
 }
 
-/// `LoadStatus` is the load of a target as its own agent counts it.
+/// Load of a target as counted by its own agent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadStatus {
-    /// Work reserved in flight.
+    /// Work reserved for requests in flight, in cost units.
     pub cost: Cost,
-    /// The most that it admits now.
+    /// Current load cap, in cost units.
     pub cap: Cost,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub running: u32,
-    /// Requests in its queue.
+    /// Number of requests in the queue.
     pub waiting: u32,
 }
 
-/// `DrainStatus` is how far a leaving target is.
+/// Drain progress of a leaving target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainStatus {
-    /// What its mark asks.
+    /// The action requested by the mark.
     pub action: MarkAction,
-    /// Whether nothing runs any more and its pointers were handed on.
+    /// Whether no requests are running and the cache pointers were handed over.
     pub drained: bool,
 }
 
-/// `Held` is what a daemon holds of one object.
+/// The version of a configuration object that a daemon holds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldObject {
-    /// The version in force, a tombstone's included; 0 when it never heard of one.
+    /// The version in force, which may be that of a tombstone; 0 if the object is unknown.
     pub version: u64,
-    /// Whether that version is a deletion.
+    /// Whether this version is a tombstone.
     #[serde(default)]
     pub deleted: bool,
 }
--- a/crates/peppercrank-core/src/time.rs
+++ b/crates/peppercrank-core/src/time.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Monotonic time as a value that callers pass in.
+//! Monotonic time, which callers pass in as a value.
 
 use std::ops::Add;
 use std::time::Duration;
@@ -9,9 +9,9 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// `Instant` is a point of one process's monotonic clock, as time since that process's origin.
+/// A point on the monotonic clock of one process, stored as the time since the clock's origin.
 ///
-/// Moments of two processes cannot be compared: only durations travel between them.
+/// Instants of different processes are not comparable; processes exchange only durations.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -21,31 +21,31 @@
     /// The origin of the clock.
     pub const ZERO: Self = Self(Duration::ZERO);
 
-    /// `from_origin` is the moment `after` the clock's origin.
+    /// Returns the instant that is `after` later than the origin of the clock.
     #[must_use]
     pub const fn from_origin(after: Duration) -> Self {
         Self(after)
     }
 
-    /// `from_millis` is the moment `millis` milliseconds after the clock's origin.
+    /// Returns the instant `millis` milliseconds after the origin of the clock.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(Duration::from_millis(millis))
     }
 
-    /// `since_origin` is the time from the clock's origin to this moment.
+    /// Returns the time from the origin of the clock to this instant.
     #[must_use]
     pub const fn since_origin(self) -> Duration {
         self.0
     }
 
-    /// `earlier` is the moment so long before, the clock's origin where that lies before it.
+    /// Returns the instant that is `by` earlier, but not before the origin of the clock.
     #[must_use]
     pub const fn saturating_sub(self, by: Duration) -> Self {
         Self(self.0.saturating_sub(by))
     }
 
-    /// `since` is the time from `earlier` to this moment, zero when the clock went back.
+    /// Returns the time from `earlier` to this instant, or zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
--- a/crates/peppercrank-core/src/units.rs
+++ b/crates/peppercrank-core/src/units.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Units of work and load.
+//! Cost units for work and load.
 
 use std::iter::Sum;
 use std::ops::Add;
@@ -12,27 +12,28 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Work of one prompt token that is not cached, in cost units.
+/// Cost of processing one uncached prompt token, in cost units.
 pub const PROMPT_TOKEN_COST: u64 = 1;
 
-/// Work of one generated token, in cost units.
+/// Cost of generating one token, in cost units.
 ///
-/// A generated token takes one decoding step, a prompt token a share of a wide prefill step.
+/// A generated token takes a whole decoding step, whereas a prefill step processes many prompt
+/// tokens at once.
 pub const OUTPUT_TOKEN_COST: u64 = 4;
 
-/// `Cost` is the load unit: work reserved on a target, in uncached prompt tokens' worth.
+/// Work reserved on a target; one unit is the work of one uncached prompt token.
 ///
-/// A call of a plain service costs what its pool's parameters say, 1 unless set.
+/// A call to a plain service has the cost set for its pool.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Cost(pub u64);
 
 impl Cost {
-    /// No work.
+    /// Zero cost.
     pub const ZERO: Self = Self(0);
 
-    /// `of_chat` is the cost of `uncached` prompt tokens and `output` expected tokens.
+    /// Returns the cost of `uncached` prompt tokens and `output` expected output tokens.
     #[must_use]
     pub const fn for_chat(uncached: u64, output: u64) -> Self {
         let prompt = uncached.saturating_mul(PROMPT_TOKEN_COST);
--- a/crates/peppercrank-core/tests/verify_blackboard.rs
+++ b/crates/peppercrank-core/tests/verify_blackboard.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The blackboard keeps its indexes true to its targets.
+//! Tests that the indexes of the blackboard match its targets.
 
 use peppercrank_core::blackboard::Blackboard;
 use peppercrank_core::blackboard::MeanLoad;
--- a/crates/peppercrank-core/tests/verify_events.rs
+++ b/crates/peppercrank-core/tests/verify_events.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The catalogue of events agrees with the code.
+//! Tests that the event catalogue in the documentation matches the code.
 
 use peppercrank_core::events::Event;
 
--- a/crates/peppercrank-core/tests/verify_values.rs
+++ b/crates/peppercrank-core/tests/verify_values.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Names, keys, times, costs, reasons and settings take what is good and refuse the rest.
+//! Tests that names, keys, times, costs, reasons and settings accept valid values and reject others.
 
 use std::time::Duration;
 
--- a/crates/peppercrank-settings/tests/verify_faults.rs
+++ b/crates/peppercrank-settings/tests/verify_faults.rs
@@ -77,7 +77,7 @@
     // Texts that are not JSON.
     ("8080\",", "8080\"", 12, 28, "Expected comma"),
     ("900 },", "900 ", 13, 49, "Expected comma"),
-    (r#""jitter": 0.25"#, r#""jitter": 0.25, "jitter": 1"#, 14, 49, "stands twice"),
+    (r#""jitter": 0.25"#, r#""jitter": 0.25, "jitter": 1"#, 14, 49, "duplicate key"),
     (r#""jitter": 0.25"#, r#""jitter": .25"#, 14, 43, "decimal points on numbers are not allowed"),
 ];
 
