--- a/crates/peppercrank-cli/src/verbs/daemon.rs
+++ b/crates/peppercrank-cli/src/verbs/daemon.rs
@@ -61,7 +61,7 @@
 
 /// Writes the daemon's events to the standard error, where a process's collector reads them.
 fn log(settings: &FleetSettings) -> Log {
-    Log::to(io::stderr(), settings.log.level(), settings.vm.as_str())
+    Log::to_writer(io::stderr(), settings.log.level(), settings.vm.as_str())
 }
 
 /// Stops at the first signal.
--- a/crates/peppercrank-cli/src/verbs/explain.rs
+++ b/crates/peppercrank-cli/src/verbs/explain.rs
@@ -9,8 +9,8 @@
 use std::io::BufReader;
 use std::path::Path;
 
-use peppercrank_log::story::Step;
-use peppercrank_log::story::Story;
+use peppercrank_log::story::RequestTrace;
+use peppercrank_log::story::TraceStep;
 use serde_json::Map;
 use serde_json::Value;
 use serde_json::json;
@@ -23,7 +23,7 @@
 
 /// Reads the logs and tells the story.
 pub(super) fn explain(flags: &flags::Explain) -> Result<Report> {
-    let mut story = Story::new(&flags.id);
+    let mut story = RequestTrace::new(&flags.id);
     if flags.files.is_empty() {
         let read = story.read(io::stdin().lock());
         read.map_err(|e| unreadable(Path::new("standard input"), e))?;
@@ -37,12 +37,12 @@
 }
 
 fn unreadable(path: &Path, e: io::Error) -> Error {
-    Error::Settings(peppercrank_settings::errors::file(path, e))
+    Error::Settings(peppercrank_settings::errors::unreadable_file(path, e))
 }
 
-fn report(id: &str, story: &Story) -> Report {
+fn report(id: &str, story: &RequestTrace) -> Report {
     let steps = story.steps();
-    let cause = story.cause();
+    let cause = story.likely_cause();
     if steps.is_empty() {
         let text = format!("no line of these logs tells of {id}\nlikely cause: {cause}");
         let json = json!({ "id": id, "steps": [], "cause": cause });
@@ -58,13 +58,13 @@
     Report::done(text, json!({ "id": id, "steps": told, "cause": cause }))
 }
 
-fn write_step(text: &mut String, step: &Step) {
+fn write_step(text: &mut String, step: &TraceStep) {
     let fields = fields_text(&step.fields);
     let event = step.event.text();
     // Writing into a string does not fail.
     let _written = writeln!(text, "{} {} {event}: {fields}", step.time, step.process);
-    for belief in &step.beliefs {
-        let _written = writeln!(text, "    since {}: {}", belief.time, belief.what);
+    for belief in &step.process_state {
+        let _written = writeln!(text, "    since {}: {}", belief.time, belief.description);
     }
 }
 
@@ -77,9 +77,9 @@
     shown.collect::<Vec<_>>().join(" ")
 }
 
-fn step_json(step: &Step) -> Value {
-    let beliefs = step.beliefs.iter();
-    let beliefs = beliefs.map(|b| json!({ "since": b.time, "what": b.what }));
+fn step_json(step: &TraceStep) -> Value {
+    let beliefs = step.process_state.iter();
+    let beliefs = beliefs.map(|b| json!({ "since": b.time, "what": b.description }));
     json!({
         "time": step.time,
         "process": step.process,
--- a/crates/peppercrank-cli/src/verbs/local.rs
+++ b/crates/peppercrank-cli/src/verbs/local.rs
@@ -28,9 +28,9 @@
 use peppercrank_settings::Secret;
 use peppercrank_settings::agent::TargetKind;
 use peppercrank_settings::agent::TargetSettings;
+use peppercrank_settings::fleet::ContactLimits;
 use peppercrank_settings::fleet::LogLevel;
-use peppercrank_settings::fleet::Platform;
-use peppercrank_settings::fleet::Touch;
+use peppercrank_settings::fleet::PlatformApiSettings;
 use peppercrank_settings::keys::Key;
 use peppercrank_standin::Running;
 use peppercrank_standin::engine;
@@ -200,7 +200,7 @@
         };
         let fleet = self.fleet(&format!("vm-{name}"));
         let settings = AgentSettings::new(fleet, at(0), target_settings);
-        let started = agent::start(settings, Log::none(), stop.clone()).await;
+        let started = agent::start(settings, Log::disabled(), stop.clone()).await;
         self.agents
             .push(started.map_err(|e| Error::Daemon(e.into()))?);
         self.targets.push(target);
@@ -211,7 +211,7 @@
         let fleet = self.fleet(&format!("vm-router-{number}"));
         let mut settings = RouterSettings::new(fleet, at(port));
         settings.anonymous = Some(named::<OrganisationName>("guest"));
-        let started = router::start(settings, Log::none(), stop.clone()).await;
+        let started = router::start(settings, Log::disabled(), stop.clone()).await;
         self.routers
             .push(started.map_err(|e| Error::Daemon(e.into()))?);
         Ok(())
@@ -225,7 +225,7 @@
             gossip: at(0),
             control: at(0),
             operators: at(0),
-            platform: Platform {
+            platform: PlatformApiSettings {
                 url: BaseUrl::new(&url).expect("an IP address makes an address"),
                 token: None,
                 timeout: Duration::from_secs(2),
@@ -236,7 +236,7 @@
             }],
             keys_file: None,
             tokens: vec![Secret::new(TOKEN).expect("a constant that is long enough")],
-            touch: Touch::default(),
+            touch: ContactLimits::default(),
             log: LogLevel::Info,
         }
     }
--- a/crates/peppercrank-cli/tests/verify_daemons.rs
+++ b/crates/peppercrank-cli/tests/verify_daemons.rs
@@ -99,10 +99,10 @@
             });
             let target = serde_json::from_value(target).expect("a target");
             let settings = AgentSettings::new(fleet(&bench, "vm-1"), any(), target);
-            let out = Log::to(log.clone(), Level::Info, "vm-1");
+            let out = Log::to_writer(log.clone(), Level::Info, "vm-1");
             let agent = agent::start(settings, out, signal.clone()).await;
             let settings = RouterSettings::new(fleet(&bench, "entry-1"), any());
-            let router = router::start(settings, Log::none(), signal).await;
+            let router = router::start(settings, Log::disabled(), signal).await;
             (engine, agent.expect("an agent"), router.expect("a router"))
         });
         let (engine, agent, router) = started;
--- a/crates/peppercrank-cli/tests/verify_orders.rs
+++ b/crates/peppercrank-cli/tests/verify_orders.rs
@@ -68,7 +68,7 @@
             });
             let target = serde_json::from_value(target).expect("a target");
             let settings = AgentSettings::new(fleet(&bench, name), any(), target);
-            let agent = agent::start(settings, Log::none(), signal.clone());
+            let agent = agent::start(settings, Log::disabled(), signal.clone());
             agents.push(runtime.block_on(agent).expect("an agent"));
             engines.push(engine);
         }
--- a/crates/peppercrank-daemon/examples/fleet_cost.rs
+++ b/crates/peppercrank-daemon/examples/fleet_cost.rs
@@ -135,7 +135,7 @@
     let setup = Setup {
         role,
         listen,
-        log: Log::none(),
+        log: Log::disabled(),
         metrics: Arc::new(Metrics::new()),
         stop,
     };
--- a/crates/peppercrank-daemon/examples/path_cost/path.rs
+++ b/crates/peppercrank-daemon/examples/path_cost/path.rs
@@ -164,11 +164,11 @@
         let engine = on_engine.block_on(origin);
         let (stop_agent, signal) = stop();
         let settings = agent_settings(&url, engine.address());
-        let agent = on_agent.block_on(agent::start(settings, Log::none(), signal));
+        let agent = on_agent.block_on(agent::start(settings, Log::disabled(), signal));
         let agent = agent.expect("an agent");
         let (stop_router, signal) = stop();
         let settings = router_settings(&url);
-        let router = on_router.block_on(router::start(settings, Log::none(), signal));
+        let router = on_router.block_on(router::start(settings, Log::disabled(), signal));
         let router = router.expect("a router");
         let vm = |name: &str, address: SocketAddr| json!({"name": name, "zone": "rae", "address": address, "role": name});
         let vms = [
--- a/crates/peppercrank-daemon/src/agent/control.rs
+++ b/crates/peppercrank-daemon/src/agent/control.rs
@@ -123,7 +123,7 @@
     match &wanted.mark {
         Some(mark) => {
             let about = agent.settings.target.name.as_str();
-            agent.fleet.log.event(Event::TargetLeaving, about);
+            agent.fleet.log.write_about(Event::TargetLeaving, about);
             agent.desk.put(Input::Marked(mark.clone()));
         }
         None => agent.desk.put(Input::Unmarked),
--- a/crates/peppercrank-daemon/src/agent/mod.rs
+++ b/crates/peppercrank-daemon/src/agent/mod.rs
@@ -196,7 +196,7 @@
             return;
         };
         let about = agent.settings.target.name.as_str();
-        agent.fleet.log.event(Event::TargetDrained, about);
+        agent.fleet.log.write_about(Event::TargetDrained, about);
         drop(agent);
         // A mark taken back can be set again.
         if drained.wait_for(|drained| !*drained).await.is_err() {
--- a/crates/peppercrank-daemon/src/agent/orders.rs
+++ b/crates/peppercrank-daemon/src/agent/orders.rs
@@ -145,7 +145,7 @@
                 .await
                 .unwrap_or(Reply::Unknown);
             let about = format!("{:032x} fence {} {reply:?}", id.0, order.fence.0);
-            agent.fleet.log.event(Event::OrderPassed, &about);
+            agent.fleet.log.write_about(Event::OrderPassed, &about);
             let _heard = results.send(Input::Engine { id, reply }).await;
         });
     }
@@ -153,7 +153,10 @@
     fn tell(&mut self, id: OrderId, outcome: Outcome) {
         if let Outcome::Stale { least } = outcome {
             let about = format!("{:032x} fence below {}", id.0, least.0);
-            self.agent.fleet.log.event(Event::OrderRefused, &about);
+            self.agent
+                .fleet
+                .log
+                .write_about(Event::OrderRefused, &about);
         }
         let text = serde_json::to_string(&outcome).unwrap_or_default();
         for asker in self.waiting.remove(&id).unwrap_or_default() {
--- a/crates/peppercrank-daemon/src/agent/serve.rs
+++ b/crates/peppercrank-daemon/src/agent/serve.rs
@@ -322,7 +322,7 @@
         let resumed = || {
             agent.metrics.resumed.inc();
             let about = attempt.id.to_string();
-            agent.fleet.log.event(Event::Resumed, &about);
+            agent.fleet.log.write_about(Event::Resumed, &about);
         };
         let ending = relay::streamed(from, feed, &work, &source, resumed).await;
         if matches!(ending, Ending::Whole(_)) {
--- a/crates/peppercrank-daemon/src/fleet/config.rs
+++ b/crates/peppercrank-daemon/src/fleet/config.rs
@@ -34,7 +34,7 @@
                 relay::Action::Applied { key, version } => {
                     applied = true;
                     let about = format!("{} {} {version}", key.kind.code(), key.name);
-                    self.log.event(Event::ConfigApplied, &about);
+                    self.log.write_about(Event::ConfigApplied, &about);
                     let version = i64::try_from(version.0).unwrap_or(i64::MAX);
                     let newest = self.metrics.config.get().max(version);
                     self.metrics.config.set(newest);
@@ -45,12 +45,12 @@
                     fault,
                 } => {
                     let about = format!("{} {} {version}: {fault}", key.kind.code(), key.name);
-                    self.log.event(Event::ConfigInvalid, &about);
+                    self.log.write_about(Event::ConfigInvalid, &about);
                 }
                 // Only the command line's page asks for a survey, and it keeps its own answer.
                 relay::Action::Surveyed { .. } => {}
                 relay::Action::Readiness(state) => {
-                    self.log.event(Event::Ready, &format!("{state:?}"));
+                    self.log.write_about(Event::Ready, &format!("{state:?}"));
                     self.bump();
                 }
             }
--- a/crates/peppercrank-daemon/src/fleet/gossip.rs
+++ b/crates/peppercrank-daemon/src/fleet/gossip.rs
@@ -77,7 +77,7 @@
         } else {
             write(&self.names).insert(id, member.vm.clone());
         }
-        self.log.event(event, member.vm.as_str());
+        self.log.write_about(event, member.vm.as_str());
     }
 
     fn take_piece(&self, from: MemberId, bytes: &[u8]) {
--- a/crates/peppercrank-daemon/src/fleet/rotate.rs
+++ b/crates/peppercrank-daemon/src/fleet/rotate.rs
@@ -79,6 +79,6 @@
         self.client.desk().rotate(&ring);
         self.served.rotate(&ring);
         *write(&self.ring) = ring;
-        self.log.event(Event::KeysRotated, "");
+        self.log.write_about(Event::KeysRotated, "");
     }
 }
--- a/crates/peppercrank-daemon/src/fleet/tasks.rs
+++ b/crates/peppercrank-daemon/src/fleet/tasks.rs
@@ -111,7 +111,7 @@
             *known = count;
             if more > 0 {
                 let about = format!("{} x {more}", reason.code());
-                fleet.log.event(Event::ControlMessageRefused, &about);
+                fleet.log.write_about(Event::ControlMessageRefused, &about);
             }
         }
     }
--- a/crates/peppercrank-daemon/src/fleet/touch.rs
+++ b/crates/peppercrank-daemon/src/fleet/touch.rs
@@ -48,7 +48,7 @@
         heard.touch = touch;
         drop(heard);
         if lost {
-            self.log.event(Event::OutOfTouch, "");
+            self.log.write_about(Event::OutOfTouch, "");
         }
         touch
     }
@@ -69,7 +69,7 @@
             } else {
                 Event::PlatformDown
             };
-            self.log.event(event, "");
+            self.log.write_about(event, "");
         }
     }
 }
--- a/crates/peppercrank-daemon/src/process.rs
+++ b/crates/peppercrank-daemon/src/process.rs
@@ -61,12 +61,12 @@
     R: Future<Output = Reply> + Send + 'static,
 {
     let address = edge.local_addr().to_string();
-    fleet.log.event(Event::Started, &address);
+    fleet.log.write_about(Event::Started, &address);
     let signal = stop.clone();
     let told = Arc::clone(fleet);
     tokio::spawn(async move {
         stop.wait().await;
-        told.log.event(Event::Stopping, "");
+        told.log.write_about(Event::Stopping, "");
         told.stop();
         stopping();
     });
@@ -79,9 +79,9 @@
     if finished.cut > 0 {
         fleet
             .log
-            .event(Event::StreamsCutAtStop, &finished.cut.to_string());
+            .write_about(Event::StreamsCutAtStop, &finished.cut.to_string());
     }
-    fleet.log.event(Event::Stopped, "");
+    fleet.log.write_about(Event::Stopped, "");
 }
 
 /// `limits` makes the edge's limits of the settings, with `drain` for what runs at a stop.
--- a/crates/peppercrank-daemon/src/router/claims.rs
+++ b/crates/peppercrank-daemon/src/router/claims.rs
@@ -23,7 +23,7 @@
 use peppercrank_lease::store::Answer;
 use peppercrank_lease::store::CallId;
 use peppercrank_lease::store::Version;
-use peppercrank_settings::router::Claims as Settings;
+use peppercrank_settings::router::ClaimSettings as Settings;
 use peppercrank_wire::platform::Condition;
 use peppercrank_wire::platform::Failure;
 use peppercrank_wire::platform::Fetched;
--- a/crates/peppercrank-daemon/src/router/deliver.rs
+++ b/crates/peppercrank-daemon/src/router/deliver.rs
@@ -163,7 +163,11 @@
     course.on(Event::MayHaveRun { attempt, reason });
     course.router.count(AttemptOutcome::MayHaveRun(reason));
     let about = format!("{} {}", course.job.id, reason.code());
-    course.router.fleet.log.event(LogEvent::StreamCut, &about);
+    course
+        .router
+        .fleet
+        .log
+        .write_about(LogEvent::StreamCut, &about);
 }
 
 /// Notes that the caller went away; dropping the answer's body cancels the work.
@@ -176,5 +180,5 @@
         .router
         .fleet
         .log
-        .event(LogEvent::CallerGone, &course.job.id.to_string());
+        .write_about(LogEvent::CallerGone, &course.job.id.to_string());
 }
--- a/crates/peppercrank-daemon/src/router/request.rs
+++ b/crates/peppercrank-daemon/src/router/request.rs
@@ -212,7 +212,7 @@
             _ => LogEvent::OutcomeUnknown,
         };
         let about = format!("{} {attempt} {}", self.job.id, reason.code());
-        self.router.fleet.log.event(event, &about);
+        self.router.fleet.log.write_about(event, &about);
     }
 
     /// Counts how an attempt ended.
@@ -233,7 +233,7 @@
             .get_or_create(&label(last))
             .inc();
         let about = format!("{} {}", self.job.id, label(last).reason);
-        self.router.fleet.log.event(LogEvent::Retried, &about);
+        self.router.fleet.log.write_about(LogEvent::Retried, &about);
     }
 
     /// Notes that the answer of the attempt in flight was delivered whole.
--- a/crates/peppercrank-daemon/src/router/serve.rs
+++ b/crates/peppercrank-daemon/src/router/serve.rs
@@ -101,7 +101,7 @@
     pub(crate) fn refuse(&self, refusal: Refusal, id: RequestId) -> Reply {
         self.count(refusal.outcome);
         let reason = label(refusal.outcome);
-        self.fleet.log.event(
+        self.fleet.log.write_about(
             Event::Refused,
             &format!("{id} {} {}", reason.run, reason.reason),
         );
--- a/crates/peppercrank-daemon/tests/bench/mod.rs
+++ b/crates/peppercrank-daemon/tests/bench/mod.rs
@@ -266,7 +266,7 @@
         let settings = AgentSettings::parse(&target.settings.to_string()).expect("settings");
         let runtime = runtime();
         let (stopper, signal) = stop();
-        let start = agent::start(settings, Log::none(), signal);
+        let start = agent::start(settings, Log::disabled(), signal);
         let running = runtime.block_on(start).expect("an agent");
         let (name, at) = (target.name.clone(), running.agent.fleet.gossip_address());
         self.enlist(&name, "agent", at);
@@ -301,7 +301,7 @@
         let settings = RouterSettings::parse(&settings.to_string()).expect("settings");
         let runtime = runtime();
         let (stopper, signal) = stop();
-        let start = router::start(settings, Log::none(), signal);
+        let start = router::start(settings, Log::disabled(), signal);
         let running = runtime.block_on(start).expect("a router");
         self.enlist(name, "router", running.router.fleet.gossip_address());
         Daemon {
--- a/crates/peppercrank-gateway/src/run.rs
+++ b/crates/peppercrank-gateway/src/run.rs
@@ -58,7 +58,7 @@
 /// Returns an error when the settings are invalid or a socket cannot be bound.
 pub fn run(path: &Path) -> Result<()> {
     let settings = GatewaySettings::load(path).map_err(Error::Settings)?;
-    let log = Log::to(std::io::stdout(), settings.log.level(), &settings.name);
+    let log = Log::to_writer(std::io::stdout(), settings.log.level(), &settings.name);
     let runtime = Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(Error::Start)?;
     runtime.block_on(serve(path, settings, log))
--- a/crates/peppercrank-log/examples/line_cost.rs
+++ b/crates/peppercrank-log/examples/line_cost.rs
@@ -16,7 +16,7 @@
 use peppercrank_log::Log;
 
 /// Lines of one burst: fewer than may wait, so that none is dropped.
-const BURST: u64 = 2_000;
+const LINES_PER_BURST: u64 = 2_000;
 
 /// Bursts of each log.
 const BURSTS: u64 = 100;
@@ -42,12 +42,12 @@
 }
 
 /// Nanoseconds a line for the thread that writes the events, and until the last line is out.
-fn measure(make: impl Fn() -> Log) -> (u128, u128) {
+fn measure(make_log: impl Fn() -> Log) -> (u128, u128) {
     let (mut writing, mut whole) = (Duration::ZERO, Duration::ZERO);
     for _ in 0..BURSTS {
-        let log = make();
+        let log = make_log();
         let start = Instant::now();
-        for n in 0..BURST {
+        for n in 0..LINES_PER_BURST {
             write(&log, n);
         }
         writing += start.elapsed();
@@ -56,16 +56,16 @@
         drop(log);
         whole += start.elapsed();
     }
-    let lines = u128::from(BURST * BURSTS);
+    let lines = u128::from(LINES_PER_BURST * BURSTS);
     (writing.as_nanos() / lines, whole.as_nanos() / lines)
 }
 
 fn main() -> std::io::Result<()> {
-    let sink = || Log::to(std::io::sink(), Level::Info, "edge-muuga-1");
-    let quiet = || Log::to(std::io::sink(), Level::Error, "edge-muuga-1");
+    let sink = || Log::to_writer(std::io::sink(), Level::Info, "edge-muuga-1");
+    let quiet = || Log::to_writer(std::io::sink(), Level::Error, "edge-muuga-1");
     let mut out = std::io::stdout();
     for (name, (writing, whole)) in [
-        ("none", measure(Log::none)),
+        ("none", measure(Log::disabled)),
         ("level too low", measure(quiet)),
         ("written", measure(sink)),
     ] {
--- a/crates/peppercrank-log/src/lib.rs
+++ b/crates/peppercrank-log/src/lib.rs
@@ -22,60 +22,60 @@
 use slog::Serializer;
 use slog::o;
 
-use crate::lost::Lost;
+use crate::lost::DroppedLines;
 
 /// Log lines that may wait for the writer; more are dropped and counted.
-const QUEUE: usize = 4_096;
+const QUEUE_CAPACITY: usize = 4_096;
 
 /// `Log` writes numbered events.
 #[derive(Debug, Clone)]
 pub struct Log {
     logger: Logger,
-    lost: Arc<Lost>,
+    dropped_lines: Arc<DroppedLines>,
 }
 
 impl Log {
     /// `to` writes JSON lines of `level` and above to `out`, from a thread of its own.
     #[must_use]
-    pub fn to<W: Write + Send + 'static>(out: W, level: Level, process: &str) -> Self {
-        let lost = Arc::new(Lost::default());
+    pub fn to_writer<W: Write + Send + 'static>(out: W, level: Level, process: &str) -> Self {
+        let dropped_lines = Arc::new(DroppedLines::default());
         let json = slog_json::Json::new(out).add_default_keys().build();
-        let written = lost.counting(Mutex::new(json));
-        let queue = slog_async::AsyncCore::custom(written)
-            .chan_size(QUEUE)
+        let writer = dropped_lines.count_errors(Mutex::new(json));
+        let queue = slog_async::AsyncCore::custom(writer)
+            .chan_size(QUEUE_CAPACITY)
             .build();
-        let drain = lost.counting(queue);
+        let drain = dropped_lines.count_errors(queue);
         let drain = slog::LevelFilter::new(drain, slog_level(level)).fuse();
         Self {
             logger: Logger::root(drain, o!("process" => process.to_owned())),
-            lost,
+            dropped_lines,
         }
     }
 
     /// `none` writes nothing, for embedding and tests.
     #[must_use]
-    pub fn none() -> Self {
+    pub fn disabled() -> Self {
         Self {
             logger: Logger::root(slog::Discard, o!()),
-            lost: Arc::default(),
+            dropped_lines: Arc::default(),
         }
     }
 
     /// `dropped` is how many lines found no room or could not be written.
     #[must_use]
     pub fn dropped(&self) -> u64 {
-        self.lost.total()
+        self.dropped_lines.total()
     }
 
     /// `write` writes one event with its fields, after word of lines that were dropped.
     pub fn write(&self, event: Event, fields: &[(&'static str, Field<'_>)]) {
-        if let Some(total) = self.lost.news() {
-            self.line(Event::LogDropped, &[("total", Field::Number(total))]);
+        if let Some(total) = self.dropped_lines.take_unreported() {
+            self.write_line(Event::LogDropped, &[("total", Field::Number(total))]);
         }
-        self.line(event, fields);
+        self.write_line(event, fields);
     }
 
-    fn line(&self, event: Event, fields: &[(&'static str, Field<'_>)]) {
+    fn write_line(&self, event: Event, fields: &[(&'static str, Field<'_>)]) {
         let log = &self.logger;
         let (number, fields) = (event.number(), Fields(fields));
         match event.level() {
@@ -87,7 +87,7 @@
     }
 
     /// `event` writes one event with what it was about.
-    pub fn event(&self, event: Event, about: &str) {
+    pub fn write_about(&self, event: Event, about: &str) {
         let log = &self.logger;
         let number = event.number();
         match event.level() {
--- a/crates/peppercrank-log/src/lost.rs
+++ b/crates/peppercrank-log/src/lost.rs
@@ -14,13 +14,13 @@
 
 /// `Lost` counts lines that found no room or could not be written.
 #[derive(Debug, Default)]
-pub(crate) struct Lost {
+pub(crate) struct DroppedLines {
     total: AtomicU64,
     /// The total that a line has told of.
-    told: AtomicU64,
+    reported: AtomicU64,
 }
 
-impl Lost {
+impl DroppedLines {
     /// All lines so far.
     pub(crate) fn total(&self) -> u64 {
         self.total.load(Ordering::Relaxed)
@@ -28,34 +28,34 @@
 
     /// The total, where no line has told of it yet. A line that tells of it and is dropped itself
     /// raises the total, so that the next one tells again.
-    pub(crate) fn news(&self) -> Option<u64> {
+    pub(crate) fn take_unreported(&self) -> Option<u64> {
         let total = self.total();
-        (self.told.swap(total, Ordering::Relaxed) != total).then_some(total)
+        (self.reported.swap(total, Ordering::Relaxed) != total).then_some(total)
     }
 
     /// A drain that counts the lines that `inner` does not take.
-    pub(crate) fn counting<D>(self: &Arc<Self>, inner: D) -> Counting<D> {
-        Counting {
+    pub(crate) fn count_errors<D>(self: &Arc<Self>, inner: D) -> CountingDrain<D> {
+        CountingDrain {
             inner,
-            lost: Arc::clone(self),
+            dropped_lines: Arc::clone(self),
         }
     }
 }
 
 /// `Counting` passes lines on and counts those that were not taken.
 #[derive(Debug)]
-pub(crate) struct Counting<D> {
+pub(crate) struct CountingDrain<D> {
     inner: D,
-    lost: Arc<Lost>,
+    dropped_lines: Arc<DroppedLines>,
 }
 
-impl<D: Drain> Drain for Counting<D> {
+impl<D: Drain> Drain for CountingDrain<D> {
     type Ok = ();
     type Err = Never;
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), Never> {
         if self.inner.log(record, values).is_err() {
-            self.lost.total.fetch_add(1, Ordering::Relaxed);
+            self.dropped_lines.total.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
     }
--- a/crates/peppercrank-log/src/story.rs
+++ b/crates/peppercrank-log/src/story.rs
@@ -15,21 +15,21 @@
 use serde_json::Value;
 
 /// Targets whose last news is kept for each process; a fleet has fewer.
-const MOST_TARGETS: usize = 10_000;
+const MAX_TARGETS: usize = 10_000;
 
 /// Ends of processes that are kept.
-const MOST_ENDINGS: usize = 100;
+const MAX_UNCLEAN_EXITS: usize = 100;
 
 /// The longest line that is read as an event, in bytes.
-const LONGEST: usize = 64 * 1_024;
+const MAX_LINE_BYTES: usize = 64 * 1_024;
 
 /// A target's silence that is worth telling where its caller left, in milliseconds: callers wait two
 /// seconds for an event at least.
-const QUIET: u64 = 1_000;
+const MIN_REPORTED_SILENCE_MS: u64 = 1_000;
 
 /// `Step` is one line of a request's story.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Step {
+pub struct TraceStep {
     /// The time of day, as logged.
     pub time: String,
     /// The process that wrote it.
@@ -39,63 +39,63 @@
     /// Its fields.
     pub fields: Map<String, Value>,
     /// The process's newest beliefs at that moment that bear on it, oldest first.
-    pub beliefs: Vec<Belief>,
+    pub process_state: Vec<StateEntry>,
 }
 
 /// `Belief` is something that a process held to be so.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Belief {
+pub struct StateEntry {
     /// Since when, as logged.
     pub time: String,
     /// What, in words.
-    pub what: String,
+    pub description: String,
 }
 
 /// `Ending` is a process that ended without stopping, as its next start tells.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ending {
+pub struct UncleanExit {
     /// The process.
     pub process: String,
     /// The time of its last line.
-    pub last: String,
+    pub last_line_at: String,
     /// The time of its next start.
-    pub started: String,
+    pub restarted_at: String,
 }
 
-impl Ending {
-    fn told(&self) -> String {
+impl UncleanExit {
+    fn describe(&self) -> String {
         let Self {
             process,
-            last,
-            started,
+            last_line_at,
+            restarted_at,
         } = self;
-        format!("{process}, last line {last}, started again {started}")
+        format!("{process}, last line {last_line_at}, started again {restarted_at}")
     }
 }
 
 /// The last line of a process so far.
 #[derive(Debug)]
-struct Last {
+struct LastLine {
     time: String,
     stopped: bool,
 }
 
 /// `Story` collects one request's steps.
 #[derive(Debug)]
-pub struct Story {
+pub struct RequestTrace {
     id: String,
-    steps: Vec<Step>,
+    steps: Vec<TraceStep>,
     /// The newest line of each process that tells that the request is in progress.
-    progress: BTreeMap<String, Step>,
-    beliefs: BTreeMap<(String, Subject), Belief>,
-    lasts: BTreeMap<String, Last>,
-    endings: Vec<Ending>,
+    in_progress: BTreeMap<String, TraceStep>,
+    state: BTreeMap<(String, StateSubject), StateEntry>,
+    last_lines: BTreeMap<String, LastLine>,
+    unclean_exits: Vec<UncleanExit>,
 }
 
 /// What a belief is about; a newer one of the same subject replaces it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Subject {
-    Life,
+enum StateSubject {
+    Lifecycle,
     Configuration,
     Store,
     Readiness,
@@ -103,24 +103,24 @@
 }
 
 /// One line, as far as it matters here.
-struct Line {
+struct LogLine {
     time: String,
     process: String,
     event: Event,
     fields: Map<String, Value>,
 }
 
-impl Story {
+impl RequestTrace {
     /// `new` begins the story of the request with this id.
     #[must_use]
     pub fn new(id: &str) -> Self {
         Self {
             id: id.to_owned(),
             steps: Vec::new(),
-            progress: BTreeMap::new(),
-            beliefs: BTreeMap::new(),
-            lasts: BTreeMap::new(),
-            endings: Vec::new(),
+            in_progress: BTreeMap::new(),
+            state: BTreeMap::new(),
+            last_lines: BTreeMap::new(),
+            unclean_exits: Vec::new(),
         }
     }
 
@@ -136,88 +136,89 @@
             if log.read_until(b'\n', &mut bytes)? == 0 {
                 return Ok(());
             }
-            if bytes.len() <= LONGEST {
-                self.line(&String::from_utf8_lossy(&bytes));
+            if bytes.len() <= MAX_LINE_BYTES {
+                self.process_line(&String::from_utf8_lossy(&bytes));
             }
         }
     }
 
-    fn line(&mut self, text: &str) {
+    fn process_line(&mut self, text: &str) {
         // Something may stand before the event, such as a collector's own time.
-        let Some(line) = text.find('{').and_then(|at| parse(&text[at..])) else {
+        let Some(line) = text.find('{').and_then(|at| parse_line(&text[at..])) else {
             return;
         };
-        self.life(&line);
-        if text_of(&line.fields, "request") == self.id {
-            let step = self.step(line);
-            self.progress.remove(&step.process);
+        self.track_lifecycle(&line);
+        if text_field(&line.fields, "request") == self.id {
+            let step = self.make_step(line);
+            self.in_progress.remove(&step.process);
             self.steps.push(step);
             return;
         }
         if line.event == Event::InProgress {
-            let mut ids = text_of(&line.fields, "requests").split(' ');
+            let mut ids = text_field(&line.fields, "requests").split(' ');
             if ids.any(|id| id == self.id) {
-                let mut step = self.step(line);
+                let mut step = self.make_step(line);
                 step.fields.clear();
-                self.progress.insert(step.process.clone(), step);
+                self.in_progress.insert(step.process.clone(), step);
             }
             return;
         }
-        if let Some((subject, what)) = belief(&line) {
-            let targets = matches!(subject, Subject::Target(_));
+        if let Some((subject, description)) = state_change(&line) {
+            let is_target = matches!(subject, StateSubject::Target(_));
             let key = (line.process, subject);
-            if targets && self.beliefs.len() >= MOST_TARGETS && !self.beliefs.contains_key(&key) {
+            if is_target && self.state.len() >= MAX_TARGETS && !self.state.contains_key(&key) {
                 return;
             }
             let time = line.time;
-            self.beliefs.insert(key, Belief { time, what });
+            self.state.insert(key, StateEntry { time, description });
         }
     }
 
     /// Follows a process's life by its lines.
-    fn life(&mut self, line: &Line) {
+    fn track_lifecycle(&mut self, line: &LogLine) {
         let time = line.time.clone();
         let stopped = line.event == Event::Stopped;
-        let last = Last { time, stopped };
-        let before = self.lasts.insert(line.process.clone(), last);
+        let last = LastLine { time, stopped };
+        let before = self.last_lines.insert(line.process.clone(), last);
         let Some(before) = before.filter(|b| line.event == Event::Started && !b.stopped) else {
             return;
         };
-        if self.endings.len() < MOST_ENDINGS {
-            self.endings.push(Ending {
+        if self.unclean_exits.len() < MAX_UNCLEAN_EXITS {
+            self.unclean_exits.push(UncleanExit {
                 process: line.process.clone(),
-                last: before.time,
-                started: line.time.clone(),
+                last_line_at: before.time,
+                restarted_at: line.time.clone(),
             });
         }
     }
 
-    fn step(&self, line: Line) -> Step {
-        let target = text_of(&line.fields, "target").to_owned();
-        let bears = |subject: &Subject| match subject {
-            Subject::Target(name) => !name.is_empty() && *name == target,
+    fn make_step(&self, line: LogLine) -> TraceStep {
+        let target = text_field(&line.fields, "target").to_owned();
+        let is_relevant = |subject: &StateSubject| match subject {
+            StateSubject::Target(name) => !name.is_empty() && *name == target,
             _ => true,
         };
-        let held = self.beliefs.iter();
-        let held = held.filter(|((process, s), _)| *process == line.process && bears(s));
-        let mut beliefs = held.map(|(_, b)| b.clone()).collect::<Vec<_>>();
-        beliefs.sort_by(|a, b| a.time.cmp(&b.time));
-        Step {
+        let entries = self.state.iter();
+        let entries =
+            entries.filter(|((process, s), _)| *process == line.process && is_relevant(s));
+        let mut process_state = entries.map(|(_, e)| e.clone()).collect::<Vec<_>>();
+        process_state.sort_by(|a, b| a.time.cmp(&b.time));
+        TraceStep {
             time: line.time,
             process: line.process,
             event: line.event,
             fields: line.fields,
-            beliefs,
+            process_state,
         }
     }
 
     /// `steps` are the request's steps over all processes, in the order of their times.
     #[must_use]
-    pub fn steps(&self) -> Vec<&Step> {
+    pub fn steps(&self) -> Vec<&TraceStep> {
         let mut steps = self
             .steps
             .iter()
-            .chain(self.progress.values())
+            .chain(self.in_progress.values())
             .collect::<Vec<_>>();
         steps.sort_by(|a, b| a.time.cmp(&b.time));
         steps
@@ -225,44 +226,47 @@
 
     /// `cause` is the likely cause of how the request ended.
     #[must_use]
-    pub fn cause(&self) -> String {
+    pub fn likely_cause(&self) -> String {
         let steps = self.steps();
         let Some(last) = steps.last() else {
-            return self.unseen();
+            return self.cause_if_unseen();
         };
         match last.event {
-            Event::Refused => refused(last, &steps),
-            Event::StreamCut => cut(last, &steps),
-            Event::Answered => answered(last, &steps),
-            _ => self.unfinished(last),
+            Event::Refused => cause_of_refusal(last, &steps),
+            Event::StreamCut => cause_of_interruption(last, &steps),
+            Event::Answered => cause_of_response(last, &steps),
+            _ => self.cause_if_unfinished(last),
         }
     }
 
     /// `endings` are the processes that ended without stopping, as far as they started again.
     #[must_use]
-    pub fn endings(&self) -> &[Ending] {
-        &self.endings
+    pub fn unclean_exits(&self) -> &[UncleanExit] {
+        &self.unclean_exits
     }
 
     /// The cause for a request that no line tells of.
-    fn unseen(&self) -> String {
-        let told = self.endings.iter().map(Ending::told);
-        let told = told.collect::<Vec<_>>().join("; ");
-        if told.is_empty() {
+    fn cause_if_unseen(&self) -> String {
+        let exits = self.unclean_exits.iter().map(UncleanExit::describe);
+        let exits = exits.collect::<Vec<_>>().join("; ");
+        if exits.is_empty() {
             return "it reached none of these processes".to_owned();
         }
         format!(
-            "it reached none of these processes, or one that was ended within half a second: {told}"
+            "it reached none of these processes, or one that was ended within half a second: {exits}"
         )
     }
 
     /// The cause for a request whose end no line tells of.
-    fn unfinished(&self, last: &Step) -> String {
-        let mut endings = self.endings.iter().filter(|e| e.process == last.process);
-        match endings.find(|e| e.started > last.time) {
-            Some(ending) => format!(
+    fn cause_if_unfinished(&self, last: &TraceStep) -> String {
+        let mut exits = self
+            .unclean_exits
+            .iter()
+            .filter(|e| e.process == last.process);
+        match exits.find(|e| e.restarted_at > last.time) {
+            Some(exit) => format!(
                 "its process was ended while it was in progress: {}",
-                ending.told()
+                exit.describe()
             ),
             None => "its end is not in these logs: its process was ended, or lines were dropped"
                 .to_owned(),
@@ -270,18 +274,18 @@
     }
 }
 
-fn parse(text: &str) -> Option<Line> {
+fn parse_line(text: &str) -> Option<LogLine> {
     let Ok(Value::Object(mut fields)) = serde_json::from_str(text.trim_end()) else {
         return None;
     };
     let number = fields.remove("event")?.as_u64()?;
     let event = Event::ALL.iter().find(|e| u64::from(e.number()) == number);
-    let time = text_of(&fields, "ts").to_owned();
-    let process = text_of(&fields, "process").to_owned();
+    let time = text_field(&fields, "ts").to_owned();
+    let process = text_field(&fields, "process").to_owned();
     for name in ["ts", "process", "level", "msg"] {
         fields.remove(name);
     }
-    Some(Line {
+    Some(LogLine {
         time,
         process,
         event: *event?,
@@ -289,64 +293,67 @@
     })
 }
 
-fn text_of<'a>(fields: &'a Map<String, Value>, name: &str) -> &'a str {
+fn text_field<'a>(fields: &'a Map<String, Value>, name: &str) -> &'a str {
     fields.get(name).and_then(Value::as_str).unwrap_or("")
 }
 
-fn number_of(fields: &Map<String, Value>, name: &str) -> u64 {
+fn number_field(fields: &Map<String, Value>, name: &str) -> u64 {
     fields.get(name).and_then(Value::as_u64).unwrap_or(0)
 }
 
 /// What a line tells of its process's beliefs.
-fn belief(line: &Line) -> Option<(Subject, String)> {
-    let target = || Subject::Target(text_of(&line.fields, "target").to_owned());
-    let version = number_of(&line.fields, "version");
-    let plain = |subject| Some((subject, line.event.text().to_owned()));
+fn state_change(line: &LogLine) -> Option<(StateSubject, String)> {
+    let target = || StateSubject::Target(text_field(&line.fields, "target").to_owned());
+    let version = number_field(&line.fields, "version");
+    let event_text = |subject| Some((subject, line.event.text().to_owned()));
     match line.event {
-        Event::Started | Event::Stopping | Event::Stopped => plain(Subject::Life),
+        Event::Started | Event::Stopping | Event::Stopped => event_text(StateSubject::Lifecycle),
         Event::ConfigApplied => Some((
-            Subject::Configuration,
+            StateSubject::Configuration,
             format!("configuration {version} in force"),
         )),
-        Event::PlatformDown | Event::PlatformUp => plain(Subject::Store),
+        Event::PlatformDown | Event::PlatformUp => event_text(StateSubject::Store),
         Event::Ready => {
-            let ready = number_of(&line.fields, "ready") == 1;
-            let word = if ready { "ready" } else { "not ready" };
-            Some((Subject::Readiness, format!("told the balancer: {word}")))
+            let ready = number_field(&line.fields, "ready") == 1;
+            let state = if ready { "ready" } else { "not ready" };
+            Some((
+                StateSubject::Readiness,
+                format!("told the balancer: {state}"),
+            ))
         }
         Event::TargetLeaving
         | Event::TargetJoined
         | Event::TargetGone
         | Event::TargetMissing
-        | Event::TargetEjected => plain(target()),
+        | Event::TargetEjected => event_text(target()),
         _ => None,
     }
 }
 
 /// What the attempts before the end met.
-fn attempts(steps: &[&Step]) -> String {
-    let missed = steps.iter().filter(|s| s.event == Event::AttemptFailed);
-    let missed = missed.map(|s| {
-        let target = text_of(&s.fields, "target");
-        format!("{} at {target}", text_of(&s.fields, "what"))
+fn describe_failed_attempts(steps: &[&TraceStep]) -> String {
+    let failed = steps.iter().filter(|s| s.event == Event::AttemptFailed);
+    let failed = failed.map(|s| {
+        let target = text_field(&s.fields, "target");
+        format!("{} at {target}", text_field(&s.fields, "what"))
     });
-    missed.collect::<Vec<_>>().join(", then ")
+    failed.collect::<Vec<_>>().join(", then ")
 }
 
-fn refused(last: &Step, steps: &[&Step]) -> String {
+fn cause_of_refusal(last: &TraceStep, steps: &[&TraceStep]) -> String {
     let fields = &last.fields;
-    let reason = text_of(fields, "reason");
+    let reason = text_field(fields, "reason");
     let (version, age) = (
-        number_of(fields, "version"),
-        number_of(fields, "keys_age_ms"),
+        number_field(fields, "version"),
+        number_field(fields, "keys_age_ms"),
     );
-    let away = number_of(fields, "store_away") == 1;
-    let met = attempts(steps);
+    let store_away = number_field(fields, "store_away") == 1;
+    let failures = describe_failed_attempts(steps);
     match reason {
         "no_configuration" => {
             "the process had started and not yet read a configuration from the store".to_owned()
         }
-        "stale_keys" if away => format!(
+        "stale_keys" if store_away => format!(
             "the store was out of reach: what was known of keys was {age} ms old, too old to trust"
         ),
         "stale_keys" => format!(
@@ -360,62 +367,64 @@
         "bad_request" => "a header that must be there is missing or malformed".to_owned(),
         "no_target" => format!(
             "its pool had no target that takes work ({} targets registered in all)",
-            number_of(fields, "targets")
+            number_field(fields, "targets")
         ),
         "evacuated" => "all targets of its pool stand in evacuated availability zones (events 5013, 5014), or the process had not yet read which zones are".to_owned(),
         "paused" => "all targets of its pool had asked this router for a pause (event 5015)".to_owned(),
         "no_region" => "no target in a region that its route and its organisation allow takes work".to_owned(),
-        "warming_up" if away => {
+        "warming_up" if store_away => {
             "the store was out of reach, so that all targets of its pool counted as cold, and had got what they bear".to_owned()
         }
         "warming_up" => "all targets of its pool were cold, and had got what they bear".to_owned(),
         "full" => "all targets of its pool held as much as they may".to_owned(),
         "crashes_targets" => format!(
             "targets had ended again and again under the same request, content {}",
-            text_of(fields, "content")
+            text_field(fields, "content")
         ),
-        "refused" => format!("it did not run: {met}"),
-        "late" => format!("its time had passed before it could be sent: {met}"),
-        "failed" => format!("it may have run, and may not run again: {met}"),
-        "timed_out" => format!("its time passed while a target was at work: {met}"),
-        other => format!("refused as {other}: {met}"),
+        "refused" => format!("it did not run: {failures}"),
+        "late" => format!("its time had passed before it could be sent: {failures}"),
+        "failed" => format!("it may have run, and may not run again: {failures}"),
+        "timed_out" => format!("its time passed while a target was at work: {failures}"),
+        other => format!("refused as {other}: {failures}"),
     }
 }
 
-fn cut(last: &Step, steps: &[&Step]) -> String {
-    let held = number_of(&last.fields, "held_ms");
-    match text_of(&last.fields, "what") {
-        "caller gone" if number_of(&last.fields, "quiet_ms") >= QUIET => format!(
-            "its caller went away after {held} ms; its target had sent nothing for {} ms",
-            number_of(&last.fields, "quiet_ms")
-        ),
-        "caller gone" => format!("its caller went away after {held} ms"),
-        "deadline passed" => format!("its time was over after {held} ms while the stream ran"),
+fn cause_of_interruption(last: &TraceStep, steps: &[&TraceStep]) -> String {
+    let held_ms = number_field(&last.fields, "held_ms");
+    match text_field(&last.fields, "what") {
+        "caller gone" if number_field(&last.fields, "quiet_ms") >= MIN_REPORTED_SILENCE_MS => {
+            format!(
+                "its caller went away after {held_ms} ms; its target had sent nothing for {} ms",
+                number_field(&last.fields, "quiet_ms")
+            )
+        }
+        "caller gone" => format!("its caller went away after {held_ms} ms"),
+        "deadline passed" => format!("its time was over after {held_ms} ms while the stream ran"),
         _ => format!(
             "its stream broke off and could not go on elsewhere: {}",
-            attempts(steps)
+            describe_failed_attempts(steps)
         ),
     }
 }
 
-fn answered(last: &Step, steps: &[&Step]) -> String {
+fn cause_of_response(last: &TraceStep, steps: &[&TraceStep]) -> String {
     let fields = &last.fields;
-    let (first, predicted) = (
-        number_of(fields, "first_ms"),
-        number_of(fields, "predicted_ms"),
+    let (first_ms, predicted_ms) = (
+        number_field(fields, "first_ms"),
+        number_field(fields, "predicted_ms"),
     );
-    let status = number_of(fields, "status");
-    let met = attempts(steps);
+    let status = number_field(fields, "status");
+    let failures = describe_failed_attempts(steps);
     if status >= 500 {
-        return format!("the target's own failure {status} was passed on: {met}");
+        return format!("the target's own failure {status} was passed on: {failures}");
     }
-    if !met.is_empty() {
-        return format!("answered with {status} after {first} ms; before that {met}");
+    if !failures.is_empty() {
+        return format!("answered with {status} after {first_ms} ms; before that {failures}");
     }
-    if first > predicted.saturating_mul(3).max(200) {
+    if first_ms > predicted_ms.saturating_mul(3).max(200) {
         return format!(
-            "answered with {status}, late: the first part took {first} ms where {predicted} ms were predicted"
+            "answered with {status}, late: the first part took {first_ms} ms where {predicted_ms} ms were predicted"
         );
     }
-    format!("answered with {status}; the first part took {first} ms")
+    format!("answered with {status}; the first part took {first_ms} ms")
 }
--- a/crates/peppercrank-log/tests/verify_log.rs
+++ b/crates/peppercrank-log/tests/verify_log.rs
@@ -16,29 +16,29 @@
 use peppercrank_log::Log;
 use serde_json::Value;
 
-/// Whether the gate is shut, and what was written.
-type Held = (bool, Vec<u8>);
+/// Whether the writer is shut, and what was written.
+type WriterState = (bool, Vec<u8>);
 
-/// A writer that keeps what it gets, and waits while its gate is shut.
+/// A writer that keeps what it gets, and waits while its writer is shut.
 #[derive(Debug, Clone, Default)]
-struct Gate(Arc<(Mutex<Held>, Condvar)>);
+struct BlockableWriter(Arc<(Mutex<WriterState>, Condvar)>);
 
-impl Gate {
-    fn shut(&self, shut: bool) {
-        self.0.0.lock().expect("a lock").0 = shut;
+impl BlockableWriter {
+    fn set_blocked(&self, blocked: bool) {
+        self.0.0.lock().expect("a lock").0 = blocked;
         self.0.1.notify_all();
     }
 
     /// Waits until so many bytes were written.
-    fn until_written(&self, bytes: usize) {
-        let held = self.0.0.lock().expect("a lock");
-        let written = self.0.1.wait_while(held, |h| h.1.len() < bytes);
+    fn wait_for_bytes(&self, bytes: usize) {
+        let state = self.0.0.lock().expect("a lock");
+        let written = self.0.1.wait_while(state, |s| s.1.len() < bytes);
         drop(written.expect("a lock"));
     }
 
     fn lines(&self) -> Vec<Value> {
-        let held = self.0.0.lock().expect("a lock");
-        let text = String::from_utf8(held.1.clone()).expect("text");
+        let state = self.0.0.lock().expect("a lock");
+        let text = String::from_utf8(state.1.clone()).expect("text");
         // The last line may be half written.
         let whole = text.rfind('\n').map_or("", |end| &text[..end]);
         let lines = whole
@@ -48,11 +48,11 @@
     }
 }
 
-impl Write for Gate {
+impl Write for BlockableWriter {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        let held = self.0.0.lock().expect("a lock");
-        let mut held = self.0.1.wait_while(held, |h| h.0).expect("a lock");
-        held.1.extend_from_slice(buf);
+        let state = self.0.0.lock().expect("a lock");
+        let mut state = self.0.1.wait_while(state, |s| s.0).expect("a lock");
+        state.1.extend_from_slice(buf);
         self.0.1.notify_all();
         Ok(buf.len())
     }
@@ -64,8 +64,8 @@
 
 #[test]
 fn verify_a_line_is_an_event_with_its_fields() {
-    let gate = Gate::default();
-    let log = Log::to(gate.clone(), Level::Info, "one");
+    let writer = BlockableWriter::default();
+    let log = Log::to_writer(writer.clone(), Level::Info, "one");
     let fields = [
         ("request", Field::Text("a\"b")),
         ("attempts", Field::Number(2)),
@@ -73,7 +73,7 @@
     ];
     log.write(Event::Refused, &fields);
     drop(log);
-    let lines = gate.lines();
+    let lines = writer.lines();
     let [line] = lines.as_slice() else {
         panic!("{lines:?}");
     };
@@ -85,50 +85,50 @@
 }
 
 #[test]
-fn verify_a_reader_that_stops_reading_blocks_nobody_and_drops_are_told() {
-    let gate = Gate::default();
-    gate.shut(true);
-    let log = Log::to(gate.clone(), Level::Info, "one");
+fn verify_a_blocked_writer_blocks_no_logging_and_drops_are_reported() {
+    let writer = BlockableWriter::default();
+    writer.set_blocked(true);
+    let log = Log::to_writer(writer.clone(), Level::Info, "one");
     // Far more than may wait: if a line could wait for the writer, this would never end.
     for n in 0..50_000 {
         log.write(Event::Answered, &[("n", Field::Number(n))]);
     }
-    gate.shut(false);
+    writer.set_blocked(false);
     // The next line that finds room tells of those that did not.
-    gate.until_written(50_000);
+    writer.wait_for_bytes(50_000);
     log.write(Event::Answered, &[]);
     drop(log);
-    let lines = gate.lines();
+    let lines = writer.lines();
     assert!(lines.len() < 10_000, "{}", lines.len());
-    let told = lines.iter().any(|l| l.to_string().contains("dropped"));
-    assert!(told, "the drops are not told");
+    let reported = lines.iter().any(|l| l.to_string().contains("dropped"));
+    assert!(reported, "the drops are not reported");
 }
 
 #[test]
-fn verify_drops_are_counted_and_the_last_total_is_told() {
-    let gate = Gate::default();
-    gate.shut(true);
-    let log = Log::to(gate.clone(), Level::Info, "one");
+fn verify_drops_are_counted_and_the_last_total_is_reported() {
+    let writer = BlockableWriter::default();
+    writer.set_blocked(true);
+    let log = Log::to_writer(writer.clone(), Level::Info, "one");
     for n in 0..50_000 {
         log.write(Event::Answered, &[("n", Field::Number(n))]);
     }
     let dropped = log.dropped();
     assert!(dropped > 40_000, "{dropped}");
-    gate.shut(false);
-    gate.until_written(50_000);
+    writer.set_blocked(false);
+    writer.wait_for_bytes(50_000);
     log.write(Event::Answered, &[]);
     assert_eq!(log.dropped(), dropped);
     drop(log);
-    let lines = gate.lines();
+    let lines = writer.lines();
     let totals = lines.iter().filter(|l| l["event"] == 1008);
     let last = totals.filter_map(|l| l["total"].as_u64()).max();
     assert_eq!(last, Some(dropped));
 }
 
 #[derive(Debug)]
-struct Broken;
+struct FailingWriter;
 
-impl Write for Broken {
+impl Write for FailingWriter {
     fn write(&mut self, _buf: &[u8]) -> io::Result<usize> {
         Err(io::ErrorKind::BrokenPipe.into())
     }
@@ -140,7 +140,7 @@
 
 #[test]
 fn verify_lines_that_could_not_be_written_are_counted() {
-    let log = Log::to(Broken, Level::Info, "one");
+    let log = Log::to_writer(FailingWriter, Level::Info, "one");
     log.write(Event::Answered, &[]);
     // The writer's thread counts; nothing but the end of the test bounds this wait.
     while log.dropped() == 0 {
--- a/crates/peppercrank-log/tests/verify_story.rs
+++ b/crates/peppercrank-log/tests/verify_story.rs
@@ -5,7 +5,7 @@
 
 use std::fmt::Write;
 
-use peppercrank_log::story::Story;
+use peppercrank_log::story::RequestTrace;
 
 /// A line as the daemons write it.
 fn line(second: u32, process: &str, event: u32, fields: &str) -> String {
@@ -16,16 +16,16 @@
     )
 }
 
-fn story(logs: &[String]) -> Story {
-    let mut story = Story::new("abc");
+fn read_trace(logs: &[String]) -> RequestTrace {
+    let mut trace = RequestTrace::new("abc");
     for log in logs {
-        story.read(log.as_bytes()).expect("a log");
+        trace.read(log.as_bytes()).expect("a log");
     }
-    story
+    trace
 }
 
 #[test]
-fn verify_steps_of_several_processes_come_in_order_with_their_beliefs() {
+fn verify_steps_of_several_processes_are_ordered_and_carry_process_state() {
     let one = [
         line(1, "one", 4001, "\"version\":3"),
         line(2, "one", 4001, "\"version\":5"),
@@ -50,19 +50,22 @@
             ),
         "no event\n".to_owned(),
     ];
-    let story = story(&[one.concat(), two.concat()]);
-    let steps = story.steps();
+    let trace = read_trace(&[one.concat(), two.concat()]);
+    let steps = trace.steps();
     let order = steps.iter().map(|s| s.process.as_str());
     assert_eq!(order.collect::<Vec<_>>(), ["two", "one"]);
-    let beliefs = steps[1].beliefs.iter().map(|b| b.what.as_str());
-    let beliefs = beliefs.collect::<Vec<_>>();
-    assert_eq!(beliefs, ["configuration 5 in force", "target ejected"]);
-    assert!(steps[0].beliefs.is_empty());
+    let states = steps[1]
+        .process_state
+        .iter()
+        .map(|b| b.description.as_str());
+    let states = states.collect::<Vec<_>>();
+    assert_eq!(states, ["configuration 5 in force", "target ejected"]);
+    assert!(steps[0].process_state.is_empty());
 }
 
 #[test]
-fn verify_each_end_has_its_cause() {
-    let missed = "\"request\":\"abc\",\"target\":\"i-1\",\"what\":\"connection lost\"";
+fn verify_each_outcome_has_a_cause() {
+    let failure = "\"request\":\"abc\",\"target\":\"i-1\",\"what\":\"connection lost\"";
     let rows = [
         (
             "2001",
@@ -120,34 +123,38 @@
     for (event, fields, wanted) in rows {
         let event = event.parse().expect("a number");
         let end = format!("\"request\":\"abc\",{fields}");
-        let log = line(1, "one", 2009, missed) + &line(2, "one", event, &end);
-        let cause = story(&[log]).cause();
+        let log = line(1, "one", 2009, failure) + &line(2, "one", event, &end);
+        let cause = read_trace(&[log]).likely_cause();
         assert!(cause.contains(wanted), "{fields}: {cause}");
     }
 }
 
 #[test]
-fn verify_a_process_that_was_killed_leaves_word() {
+fn verify_a_killed_process_is_detected() {
     let log = [
         line(1, "one", 1001, ""),
         line(2, "one", 2010, "\"count\":2,\"requests\":\"x abc\""),
         line(3, "one", 2010, "\"count\":1,\"requests\":\"x\""),
         line(4, "one", 1001, ""),
     ];
-    let story = story(&[log.concat()]);
-    assert_eq!(story.endings().len(), 1);
-    let cause = story.cause();
+    let trace = read_trace(&[log.concat()]);
+    assert_eq!(trace.unclean_exits().len(), 1);
+    let cause = trace.likely_cause();
     assert!(cause.contains("ended while it was in progress"), "{cause}");
     // One that no line tells of may have met the same.
-    let mut other = Story::new("never");
+    let mut other = RequestTrace::new("never");
     other.read(log.concat().as_bytes()).expect("a log");
     assert!(other.steps().is_empty());
-    assert!(other.cause().contains("started again"), "{}", other.cause());
+    assert!(
+        other.likely_cause().contains("started again"),
+        "{}",
+        other.likely_cause()
+    );
     // A process that stopped as told was not killed.
     let log = [line(1, "one", 1003, ""), line(2, "one", 1001, "")];
-    let mut calm = Story::new("never");
-    calm.read(log.concat().as_bytes()).expect("a log");
-    assert!(calm.endings().is_empty());
+    let mut clean = RequestTrace::new("never");
+    clean.read(log.concat().as_bytes()).expect("a log");
+    assert!(clean.unclean_exits().is_empty());
 }
 
 #[test]
@@ -162,6 +169,6 @@
         );
     }
     log.push_str(&"x".repeat(1 << 20));
-    let story = story(&[log]);
-    assert!(format!("{story:?}").len() < 4 << 20);
+    let trace = read_trace(&[log]);
+    assert!(format!("{trace:?}").len() < 4 << 20);
 }
--- a/crates/peppercrank-settings/src/agent.rs
+++ b/crates/peppercrank-settings/src/agent.rs
@@ -18,26 +18,26 @@
 use crate::file;
 
 /// Time that running work gets when an agent stops, unless set.
-pub const DEFAULT_STOP_TIME: Duration = Duration::from_secs(120);
+pub const DEFAULT_STOP_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Time that a request which may go elsewhere waits for room first, unless set.
 ///
 /// Design note 0009 has the figures: below the time to a first token, and most of the reuse.
-pub const DEFAULT_PATIENCE: Duration = Duration::from_secs(1);
+pub const DEFAULT_REDIRECT_WAIT: Duration = Duration::from_secs(1);
 
 /// Memory for the table of where chats' contexts are, unless set, in bytes.
 ///
 /// 17 million chats over 1,300 agents are 13,000 each; this holds many times that.
-pub const DEFAULT_POINTERS: usize = 8 << 20;
+pub const DEFAULT_POINTER_TABLE_BYTES: usize = 8 << 20;
 
 /// Age at which the pool's mean load is no longer trusted, unless set.
-pub const DEFAULT_MEAN_AGE: Duration = Duration::from_secs(5);
+pub const DEFAULT_MAX_MEAN_AGE: Duration = Duration::from_secs(5);
 
 /// Time between two reads of the engine's cache events, unless set.
-pub const DEFAULT_EVENTS: Duration = Duration::from_millis(500);
+pub const DEFAULT_EVENT_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time between two reads of the target's load report, unless set.
-pub const DEFAULT_LOAD: Duration = Duration::from_millis(500);
+pub const DEFAULT_LOAD_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Relative capacity of a target, unless set.
 pub const DEFAULT_WEIGHT: u32 = 100;
@@ -132,13 +132,13 @@
             listen,
             target,
             limits: Limits::default(),
-            stop_time: DEFAULT_STOP_TIME,
+            stop_time: DEFAULT_STOP_TIMEOUT,
             ceiling: 0,
-            patience: DEFAULT_PATIENCE,
-            pointers: DEFAULT_POINTERS,
-            mean_age: DEFAULT_MEAN_AGE,
-            events: DEFAULT_EVENTS,
-            load: DEFAULT_LOAD,
+            patience: DEFAULT_REDIRECT_WAIT,
+            pointers: DEFAULT_POINTER_TABLE_BYTES,
+            mean_age: DEFAULT_MAX_MEAN_AGE,
+            events: DEFAULT_EVENT_POLL_INTERVAL,
+            load: DEFAULT_LOAD_POLL_INTERVAL,
         }
     }
 
@@ -163,32 +163,32 @@
 
 /// Serde takes defaults as functions.
 const fn default_stop_time() -> Duration {
-    DEFAULT_STOP_TIME
+    DEFAULT_STOP_TIMEOUT
 }
 
 /// Serde takes defaults as functions.
 const fn default_patience() -> Duration {
-    DEFAULT_PATIENCE
+    DEFAULT_REDIRECT_WAIT
 }
 
 /// Serde takes defaults as functions.
 const fn default_pointers() -> usize {
-    DEFAULT_POINTERS
+    DEFAULT_POINTER_TABLE_BYTES
 }
 
 /// Serde takes defaults as functions.
 const fn default_mean_age() -> Duration {
-    DEFAULT_MEAN_AGE
+    DEFAULT_MAX_MEAN_AGE
 }
 
 /// Serde takes defaults as functions.
 const fn default_events() -> Duration {
-    DEFAULT_EVENTS
+    DEFAULT_EVENT_POLL_INTERVAL
 }
 
 /// Serde takes defaults as functions.
 const fn default_load() -> Duration {
-    DEFAULT_LOAD
+    DEFAULT_LOAD_POLL_INTERVAL
 }
 
 /// Serde takes defaults as functions.
--- a/crates/peppercrank-settings/src/checked.rs
+++ b/crates/peppercrank-settings/src/checked.rs
@@ -19,20 +19,24 @@
 /// # Errors
 ///
 /// Fails for anything but a text with a unit, and outside the range.
-pub fn duration<'de, D, const LEAST: u64, const MOST: u64>(from: D) -> Result<Duration, D::Error>
+pub fn duration<'de, D, const MIN: u64, const MAX: u64>(from: D) -> Result<Duration, D::Error>
 where
     D: Deserializer<'de>,
 {
-    from.deserialize_any(Text {
-        what: "a duration with its unit, such as \"250ms\", \"2s\" or \"5m\"",
-        read: |text: &str| {
+    from.deserialize_any(TextVisitor {
+        expected: "a duration with its unit, such as \"250ms\", \"2s\" or \"5m\"",
+        parse: |text: &str| {
             let time = units::parse_duration(text)?;
             let millis = u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-            if (LEAST..=MOST).contains(&millis) {
+            if (MIN..=MAX).contains(&millis) {
                 return Ok(time);
             }
-            let least = units::duration_text(LEAST);
-            Err(errors::range(text, &least, &units::duration_text(MOST)))
+            let min = units::format_duration(MIN);
+            Err(errors::out_of_range(
+                text,
+                &min,
+                &units::format_duration(MAX),
+            ))
         },
     })
 }
@@ -42,20 +46,20 @@
 /// # Errors
 ///
 /// Fails for anything but a text with a unit, and outside the range.
-pub fn bytes<'de, D, const LEAST: u64, const MOST: u64>(from: D) -> Result<usize, D::Error>
+pub fn bytes<'de, D, const MIN: u64, const MAX: u64>(from: D) -> Result<usize, D::Error>
 where
     D: Deserializer<'de>,
 {
-    from.deserialize_any(Text {
-        what: "a size with its unit, such as \"64KiB\" or \"1MiB\"",
-        read: |text: &str| {
+    from.deserialize_any(TextVisitor {
+        expected: "a size with its unit, such as \"64KiB\" or \"1MiB\"",
+        parse: |text: &str| {
             let size = units::parse_bytes(text)?;
             let whole = usize::try_from(size).ok();
-            let fits = (LEAST..=MOST).contains(&size);
-            let least = units::bytes_text(LEAST);
+            let fits = (MIN..=MAX).contains(&size);
+            let min = units::format_bytes(MIN);
             whole
                 .filter(|_| fits)
-                .ok_or_else(|| errors::range(text, &least, &units::bytes_text(MOST)))
+                .ok_or_else(|| errors::out_of_range(text, &min, &units::format_bytes(MAX)))
         },
     })
 }
@@ -65,11 +69,11 @@
 /// # Errors
 ///
 /// Fails for anything but a whole number, and outside the range.
-pub fn count<'de, D, const LEAST: u32, const MOST: u32>(from: D) -> Result<u32, D::Error>
+pub fn count<'de, D, const MIN: u32, const MAX: u32>(from: D) -> Result<u32, D::Error>
 where
     D: Deserializer<'de>,
 {
-    from.deserialize_any(Count::<LEAST, MOST>)
+    from.deserialize_any(CountVisitor::<MIN, MAX>)
 }
 
 /// `share` reads a number of 0 to 1.
@@ -81,7 +85,7 @@
 where
     D: Deserializer<'de>,
 {
-    from.deserialize_any(Share)
+    from.deserialize_any(FractionVisitor)
 }
 
 /// `seconds` reads a number of seconds, `LEAST` to `MOST`, with fractions.
@@ -89,11 +93,11 @@
 /// # Errors
 ///
 /// Fails for anything but a number, and outside the range.
-pub fn seconds<'de, D, const LEAST: u32, const MOST: u32>(from: D) -> Result<Duration, D::Error>
+pub fn seconds<'de, D, const MIN: u32, const MAX: u32>(from: D) -> Result<Duration, D::Error>
 where
     D: Deserializer<'de>,
 {
-    let number = number::<D, LEAST, MOST>(from)?;
+    let number = number::<D, MIN, MAX>(from)?;
     Ok(Duration::from_secs_f64(number))
 }
 
@@ -102,62 +106,62 @@
 /// # Errors
 ///
 /// Fails for anything but a number, and outside the range.
-pub fn number<'de, D, const LEAST: u32, const MOST: u32>(from: D) -> Result<f64, D::Error>
+pub fn number<'de, D, const MIN: u32, const MAX: u32>(from: D) -> Result<f64, D::Error>
 where
     D: Deserializer<'de>,
 {
     let number = f64::deserialize(from)?;
-    if (f64::from(LEAST)..=f64::from(MOST)).contains(&number) {
+    if (f64::from(MIN)..=f64::from(MAX)).contains(&number) {
         return Ok(number);
     }
-    let (least, most) = (LEAST.to_string(), MOST.to_string());
-    Err(D::Error::custom(errors::range(
+    let (min, max) = (MIN.to_string(), MAX.to_string());
+    Err(D::Error::custom(errors::out_of_range(
         &number.to_string(),
-        &least,
-        &most,
+        &min,
+        &max,
     )))
 }
 
 /// Reads a text by a function.
-struct Text<F> {
-    what: &'static str,
-    read: F,
+struct TextVisitor<F> {
+    expected: &'static str,
+    parse: F,
 }
 
-impl<T, F: FnOnce(&str) -> crate::Result<T>> Visitor<'_> for Text<F> {
+impl<T, F: FnOnce(&str) -> crate::Result<T>> Visitor<'_> for TextVisitor<F> {
     type Value = T;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(self.what)
+        formatter.write_str(self.expected)
     }
 
     fn visit_str<E: Error>(self, v: &str) -> Result<T, E> {
-        (self.read)(v).map_err(E::custom)
+        (self.parse)(v).map_err(E::custom)
     }
 }
 
 /// Reads a whole number in a range.
-struct Count<const LEAST: u32, const MOST: u32>;
+struct CountVisitor<const MIN: u32, const MAX: u32>;
 
-impl<const LEAST: u32, const MOST: u32> Visitor<'_> for Count<LEAST, MOST> {
+impl<const MIN: u32, const MAX: u32> Visitor<'_> for CountVisitor<MIN, MAX> {
     type Value = u32;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "a whole number of {LEAST} to {MOST}")
+        write!(formatter, "a whole number of {MIN} to {MAX}")
     }
 
     fn visit_u64<E: Error>(self, v: u64) -> Result<u32, E> {
         let small = u32::try_from(v).ok();
-        let fits = small.filter(|n| (LEAST..=MOST).contains(n));
-        let (least, most) = (LEAST.to_string(), MOST.to_string());
-        fits.ok_or_else(|| E::custom(errors::range(&v.to_string(), &least, &most)))
+        let fits = small.filter(|n| (MIN..=MAX).contains(n));
+        let (min, max) = (MIN.to_string(), MAX.to_string());
+        fits.ok_or_else(|| E::custom(errors::out_of_range(&v.to_string(), &min, &max)))
     }
 }
 
 /// Reads a number of 0 to 1.
-struct Share;
+struct FractionVisitor;
 
-impl Visitor<'_> for Share {
+impl Visitor<'_> for FractionVisitor {
     type Value = f64;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -168,14 +172,14 @@
         if (0.0..=1.0).contains(&v) {
             return Ok(v);
         }
-        Err(E::custom(errors::range(&v.to_string(), "0", "1")))
+        Err(E::custom(errors::out_of_range(&v.to_string(), "0", "1")))
     }
 
     fn visit_u64<E: Error>(self, v: u64) -> Result<f64, E> {
         match v {
             0 => Ok(0.0),
             1 => Ok(1.0),
-            _ => Err(E::custom(errors::range(&v.to_string(), "0", "1"))),
+            _ => Err(E::custom(errors::out_of_range(&v.to_string(), "0", "1"))),
         }
     }
 }
--- a/crates/peppercrank-settings/src/errors.rs
+++ b/crates/peppercrank-settings/src/errors.rs
@@ -39,16 +39,16 @@
         /// The value as given.
         value: String,
         /// The least value allowed, with its unit.
-        least: String,
+        min: String,
         /// The greatest value allowed, with its unit.
-        most: String,
+        max: String,
     },
     /// A secret is not hexadecimal digits of 16 to 64 bytes.
     Hex,
     /// A token is shorter than it must be or holds a character that a header cannot.
     Token,
     /// Two keys carry the same id.
-    SameKey {
+    DuplicateKeyId {
         /// The id.
         id: u32,
     },
@@ -61,38 +61,38 @@
 
 /// `file` makes the error for a file that cannot be read.
 #[must_use]
-pub fn file(path: &Path, source: io::Error) -> Error {
+pub fn unreadable_file(path: &Path, source: io::Error) -> Error {
     let path = path.to_path_buf();
     Error::File { path, source }
 }
 
 /// `duration` makes the error for a text that is no duration.
 #[must_use]
-pub fn duration(text: &str) -> Error {
+pub fn invalid_duration(text: &str) -> Error {
     let text = text.to_owned();
     Error::Duration { text }
 }
 
 /// `bytes` makes the error for a text that is no size.
 #[must_use]
-pub fn bytes(text: &str) -> Error {
+pub fn invalid_size(text: &str) -> Error {
     let text = text.to_owned();
     Error::Bytes { text }
 }
 
 /// `range` makes the error for a value outside `least` to `most`.
 #[must_use]
-pub fn range(value: &str, least: &str, most: &str) -> Error {
+pub fn out_of_range(value: &str, min: &str, max: &str) -> Error {
     Error::Range {
         value: value.to_owned(),
-        least: least.to_owned(),
-        most: most.to_owned(),
+        min: min.to_owned(),
+        max: max.to_owned(),
     }
 }
 
 /// `url` makes the error for a text that is no address of the platform.
 #[must_use]
-pub fn url(text: &str) -> Error {
+pub fn invalid_url(text: &str) -> Error {
     let text = text.to_owned();
     Error::Url { text }
 }
@@ -110,12 +110,12 @@
                 let form = "a whole number with its unit: B, KiB, MiB or GiB";
                 write!(f, "`{text}` is not a size: {form}")
             }
-            Self::Range { value, least, most } => {
-                write!(f, "`{value}` lies outside {least} to {most}")
+            Self::Range { value, min, max } => {
+                write!(f, "`{value}` lies outside {min} to {max}")
             }
             Self::Hex => f.write_str("a key's secret is 32 to 128 hexadecimal digits"),
             Self::Token => f.write_str("a token is 16 to 256 visible ASCII characters"),
-            Self::SameKey { id } => write!(f, "two keys have the id {id}"),
+            Self::DuplicateKeyId { id } => write!(f, "two keys have the id {id}"),
             Self::Url { text } => {
                 write!(f, "`{text}` is not `http://` with an IP number and port")
             }
--- a/crates/peppercrank-settings/src/file.rs
+++ b/crates/peppercrank-settings/src/file.rs
@@ -12,7 +12,7 @@
 use crate::errors;
 
 /// The longest file, in bytes: as much as the platform holds of one object.
-pub const MOST_FILE: u64 = 1 << 20;
+pub const MAX_FILE_BYTES: u64 = 1 << 20;
 
 /// `read` reads the file at `path` as UTF-8.
 ///
@@ -21,16 +21,16 @@
 /// Returns [`crate::Error::File`] when it cannot be read, is longer than [`MOST_FILE`] or is not
 /// UTF-8.
 pub fn read(path: &Path) -> Result<String> {
-    whole(path).map_err(|e| errors::file(path, e))
+    read_bounded(path).map_err(|e| errors::unreadable_file(path, e))
 }
 
-fn whole(path: &Path) -> io::Result<String> {
+fn read_bounded(path: &Path) -> io::Result<String> {
     let mut bytes = Vec::new();
     // One byte more tells a file of the greatest length from a longer one.
     File::open(path)?
-        .take(MOST_FILE + 1)
+        .take(MAX_FILE_BYTES + 1)
         .read_to_end(&mut bytes)?;
-    if bytes.len() as u64 > MOST_FILE {
+    if bytes.len() as u64 > MAX_FILE_BYTES {
         return Err(io::ErrorKind::FileTooLarge.into());
     }
     String::from_utf8(bytes).map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))
--- a/crates/peppercrank-settings/src/fleet.rs
+++ b/crates/peppercrank-settings/src/fleet.rs
@@ -19,17 +19,17 @@
 use crate::keys::Key;
 
 /// Time that one call of the platform may take, unless set.
-pub const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
+pub const DEFAULT_PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time without a word from any peer before a process counts as out of touch, unless set.
 ///
 /// Several probe intervals, so that one lost packet never ends a target's admission.
-pub const DEFAULT_PEERS: Duration = Duration::from_secs(10);
+pub const DEFAULT_MAX_PEER_SILENCE: Duration = Duration::from_secs(10);
 
 /// Time without an answer of the platform before it counts as out of touch, unless set.
 ///
 /// Only with the peers silent too: the platform alone may be away for long.
-pub const DEFAULT_PLATFORM: Duration = Duration::from_secs(30);
+pub const DEFAULT_MAX_PLATFORM_SILENCE: Duration = Duration::from_secs(30);
 
 /// `FleetSettings` is the part of the settings that routers and agents share.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
@@ -46,7 +46,7 @@
     /// TCP address of the operators' pages: `/status`, `/metrics`, `/healthz`, `/readyz`.
     pub operators: SocketAddr,
     /// The platform's API.
-    pub platform: Platform,
+    pub platform: PlatformApiSettings,
     /// Keys shared by the fleet, newest first: the first signs, all verify.
     #[serde(deserialize_with = "keys::list")]
     pub keys: Vec<Key>,
@@ -58,7 +58,7 @@
     pub tokens: Vec<Secret>,
     /// When the process counts as out of touch.
     #[serde(default)]
-    pub touch: Touch,
+    pub touch: ContactLimits,
     /// The least level that is logged.
     #[serde(default)]
     pub log: LogLevel,
@@ -67,7 +67,7 @@
 /// `Platform` is where and how the platform's API is called.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Platform {
+pub struct PlatformApiSettings {
     /// The address.
     pub url: BaseUrl,
     /// The bearer token, when the platform asks for one.
@@ -82,7 +82,7 @@
 /// `Touch` is how long a process may hear nothing and still take work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Touch {
+pub struct ContactLimits {
     /// Silence of all peers; 1 s to 10 m, [`DEFAULT_PEERS`] unless set.
     #[serde(deserialize_with = "checked::duration::<_, 1_000, 600_000>")]
     pub peers: Duration,
@@ -119,16 +119,16 @@
     }
 }
 
-impl Default for Touch {
+impl Default for ContactLimits {
     fn default() -> Self {
         Self {
-            peers: DEFAULT_PEERS,
-            platform: DEFAULT_PLATFORM,
+            peers: DEFAULT_MAX_PEER_SILENCE,
+            platform: DEFAULT_MAX_PLATFORM_SILENCE,
         }
     }
 }
 
 /// Serde takes defaults as functions.
 const fn default_timeout() -> Duration {
-    DEFAULT_TIMEOUT
+    DEFAULT_PLATFORM_TIMEOUT
 }
--- a/crates/peppercrank-settings/src/gateway.rs
+++ b/crates/peppercrank-settings/src/gateway.rs
@@ -16,13 +16,13 @@
 use crate::fleet::LogLevel;
 
 /// Multiple of a pool's mean load that a target may hold, unless set.
-pub const DEFAULT_CAP: f64 = 2.0;
+pub const DEFAULT_LOAD_CAP: f64 = 2.0;
 
 /// Sockets that a process may hold, unless set.
-pub const DEFAULT_SOCKETS: u32 = 4_096;
+pub const DEFAULT_MAX_SOCKETS: u32 = 4_096;
 
 /// Bytes that a process may take, unless set: 192 MiB.
-pub const DEFAULT_MEMORY: usize = 192 << 20;
+pub const DEFAULT_MEMORY_BYTES: usize = 192 << 20;
 
 /// `GatewaySettings` is the whole settings file of a gateway.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
@@ -59,10 +59,10 @@
     pub stop_seconds: Duration,
     /// Time after which a key that was taken away is not served; for ever unless set.
     #[serde(default)]
-    pub keys: Option<Keys>,
+    pub keys: Option<KeyRevocation>,
     /// Bounds on the fleet's repeats; a fifth of the requests and ten in ten seconds unless set.
     #[serde(default)]
-    pub retry: RetryBounds,
+    pub retry: RetryBudget,
     /// How targets are chosen; by cost unless set.
     #[serde(default)]
     pub placement: Placement,
@@ -71,7 +71,7 @@
     pub cap: f64,
     /// How far cold targets may be driven over their rate; not at all unless set.
     #[serde(default)]
-    pub warm_up: WarmUpBounds,
+    pub warm_up: WarmUpLimits,
     /// The least level that is logged.
     #[serde(default)]
     pub log: LogLevel,
@@ -95,7 +95,7 @@
 /// `Keys` is how old the knowledge of keys may be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Keys {
+pub struct KeyRevocation {
     /// Time after which a revoked key is not served; 2 s to 1 h.
     #[serde(deserialize_with = "checked::duration::<_, 2_000, 3_600_000>")]
     pub revoke: Duration,
@@ -104,7 +104,7 @@
 /// `RetryBounds` are the fleet's bounds on repeats, over all routers.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RetryBounds {
+pub struct RetryBudget {
     /// Repeats for each request; 0 to 1.
     #[serde(deserialize_with = "checked::share")]
     pub share: f64,
@@ -116,7 +116,7 @@
     pub window_seconds: Duration,
 }
 
-impl Default for RetryBounds {
+impl Default for RetryBudget {
     fn default() -> Self {
         Self {
             share: 0.2,
@@ -129,7 +129,7 @@
 /// `WarmUpBounds` bound what a cold target gets in a second, from all routers together.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct WarmUpBounds {
+pub struct WarmUpLimits {
     /// Multiple of the rate that the configuration tells; 1 to 100.
     #[serde(deserialize_with = "checked::number::<_, 1, 100>")]
     pub overage: f64,
@@ -138,7 +138,7 @@
     pub slack: f64,
 }
 
-impl Default for WarmUpBounds {
+impl Default for WarmUpLimits {
     fn default() -> Self {
         Self {
             overage: 1.0,
@@ -169,15 +169,15 @@
 
 /// Serde takes defaults as functions.
 const fn default_sockets() -> u32 {
-    DEFAULT_SOCKETS
+    DEFAULT_MAX_SOCKETS
 }
 
 /// Serde takes defaults as functions.
 const fn default_memory() -> usize {
-    DEFAULT_MEMORY
+    DEFAULT_MEMORY_BYTES
 }
 
 /// Serde takes defaults as functions.
 const fn default_cap() -> f64 {
-    DEFAULT_CAP
+    DEFAULT_LOAD_CAP
 }
--- a/crates/peppercrank-settings/src/keys.rs
+++ b/crates/peppercrank-settings/src/keys.rs
@@ -15,13 +15,13 @@
 use crate::file;
 
 /// Most keys that are valid at once; a rotation needs two.
-pub const MOST_KEYS: usize = 8;
+pub const MAX_KEYS: usize = 8;
 
 /// The shortest secret, in bytes.
-pub const LEAST_SECRET: usize = 16;
+pub const MIN_SECRET_BYTES: usize = 16;
 
 /// The longest secret, in bytes.
-pub const MOST_SECRET: usize = 64;
+pub const MAX_SECRET_BYTES: usize = 64;
 
 /// `Key` is one shared key; the first of a list signs, all of them verify.
 #[derive(Clone, PartialEq, Eq, Deserialize)]
@@ -59,26 +59,28 @@
 ///
 /// Returns [`Error::Text`] with the fault's place.
 pub fn parse(text: &str) -> Result<Vec<Key>> {
-    let list = peppercrank_core::settings::parse::<List>(text)?;
+    let list = peppercrank_core::settings::parse::<KeyList>(text)?;
     Ok(list.0)
 }
 
 /// A list of keys alone in its text.
 #[derive(Deserialize)]
 #[serde(transparent)]
-struct List(#[serde(deserialize_with = "list")] Vec<Key>);
+struct KeyList(#[serde(deserialize_with = "list")] Vec<Key>);
 
 /// `list` reads one to [`MOST_KEYS`] keys with distinct ids.
 pub(crate) fn list<'de, D: Deserializer<'de>>(from: D) -> std::result::Result<Vec<Key>, D::Error> {
     let keys = Vec::<Key>::deserialize(from)?;
-    if !(1..=MOST_KEYS).contains(&keys.len()) {
-        let most = MOST_KEYS.to_string();
+    if !(1..=MAX_KEYS).contains(&keys.len()) {
+        let most = MAX_KEYS.to_string();
         let count = format!("{} keys", keys.len());
-        return Err(D::Error::custom(crate::errors::range(&count, "1", &most)));
+        return Err(D::Error::custom(crate::errors::out_of_range(
+            &count, "1", &most,
+        )));
     }
     for (at, key) in keys.iter().enumerate() {
         if keys[..at].iter().any(|k| k.id == key.id) {
-            return Err(D::Error::custom(Error::SameKey { id: key.id }));
+            return Err(D::Error::custom(Error::DuplicateKeyId { id: key.id }));
         }
     }
     Ok(keys)
@@ -87,21 +89,24 @@
 /// Reads hexadecimal digits as bytes.
 fn hex<'de, D: Deserializer<'de>>(from: D) -> std::result::Result<Vec<u8>, D::Error> {
     let text = String::deserialize(from)?;
-    bytes(&text).ok_or_else(|| D::Error::custom(Error::Hex))
+    decode_secret(&text).ok_or_else(|| D::Error::custom(Error::Hex))
 }
 
 /// The bytes of `text`, when it is a secret of a length allowed.
-fn bytes(text: &str) -> Option<Vec<u8>> {
-    let digits = text.bytes().map(nibble).collect::<Option<Vec<u8>>>()?;
+fn decode_secret(text: &str) -> Option<Vec<u8>> {
+    let digits = text
+        .bytes()
+        .map(hex_digit_value)
+        .collect::<Option<Vec<u8>>>()?;
     let pairs = digits.chunks_exact(2);
     let whole = pairs.remainder().is_empty();
     let secret = pairs.map(|p| p[0] << 4 | p[1]).collect::<Vec<u8>>();
-    let fits = (LEAST_SECRET..=MOST_SECRET).contains(&secret.len());
+    let fits = (MIN_SECRET_BYTES..=MAX_SECRET_BYTES).contains(&secret.len());
     (whole && fits).then_some(secret)
 }
 
 /// The value of one hexadecimal digit.
-fn nibble(digit: u8) -> Option<u8> {
+fn hex_digit_value(digit: u8) -> Option<u8> {
     let value = char::from(digit).to_digit(16)?;
     u8::try_from(value).ok()
 }
--- a/crates/peppercrank-settings/src/limits.rs
+++ b/crates/peppercrank-settings/src/limits.rs
@@ -10,25 +10,25 @@
 use crate::checked;
 
 /// Open connections, unless set: a task and its buffers each.
-pub const DEFAULT_CONNECTIONS: u32 = 2_048;
+pub const DEFAULT_MAX_CONNECTIONS: u32 = 2_048;
 
 /// Request line and headers, unless set, in bytes.
-pub const DEFAULT_HEAD: usize = 16 << 10;
+pub const DEFAULT_MAX_HEAD_BYTES: usize = 16 << 10;
 
 /// Request body, unless set, in bytes: a million characters of manifest and room to spare.
-pub const DEFAULT_BODY: usize = 4 << 20;
+pub const DEFAULT_MAX_BODY_BYTES: usize = 4 << 20;
 
 /// Time for a whole request head to arrive, unless set.
-pub const DEFAULT_HEAD_TIME: Duration = Duration::from_secs(5);
+pub const DEFAULT_HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Time that a connection may stand idle between requests, unless set.
-pub const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(60);
+pub const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Time for a whole request body to arrive, unless set.
-pub const DEFAULT_BODY_TIME: Duration = Duration::from_secs(30);
+pub const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Time for a whole request and its answer, unless set.
-pub const DEFAULT_TOTAL_TIME: Duration = Duration::from_secs(600);
+pub const DEFAULT_TOTAL_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// `Limits` bounds what one caller or connection may hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
@@ -60,13 +60,13 @@
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            connections: DEFAULT_CONNECTIONS,
-            head: DEFAULT_HEAD,
-            body: DEFAULT_BODY,
-            head_time: DEFAULT_HEAD_TIME,
-            idle_time: DEFAULT_IDLE_TIME,
-            body_time: DEFAULT_BODY_TIME,
-            total_time: DEFAULT_TOTAL_TIME,
+            connections: DEFAULT_MAX_CONNECTIONS,
+            head: DEFAULT_MAX_HEAD_BYTES,
+            body: DEFAULT_MAX_BODY_BYTES,
+            head_time: DEFAULT_HEAD_TIMEOUT,
+            idle_time: DEFAULT_IDLE_TIMEOUT,
+            body_time: DEFAULT_BODY_TIMEOUT,
+            total_time: DEFAULT_TOTAL_TIMEOUT,
         }
     }
 }
--- a/crates/peppercrank-settings/src/router.rs
+++ b/crates/peppercrank-settings/src/router.rs
@@ -17,7 +17,7 @@
 use crate::file;
 
 /// Time that open streams get when a router stops, unless set.
-pub const DEFAULT_STOP_TIME: Duration = Duration::from_secs(120);
+pub const DEFAULT_STOP_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Wait before the second attempt, unless set; it doubles with each further one.
 pub const DEFAULT_BACKOFF: Duration = Duration::from_millis(5);
@@ -29,7 +29,7 @@
 pub const DEFAULT_CLAIM_WAIT: Duration = Duration::from_secs(2);
 
 /// Objects that claims are spread over, unless set; equal on every router.
-pub const DEFAULT_SHARDS: u32 = 4_096;
+pub const DEFAULT_CLAIM_SHARDS: u32 = 4_096;
 
 /// `RouterSettings` is the whole settings file of a router.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
@@ -51,16 +51,16 @@
     pub stop_time: Duration,
     /// Waits between attempts.
     #[serde(default)]
-    pub retry: Retry,
+    pub retry: RetryBackoff,
     /// Claims that keep a request from running twice.
     #[serde(default)]
-    pub claims: Claims,
+    pub claims: ClaimSettings,
 }
 
 /// `Retry` is how long a router waits between attempts; how many is the pool's policy.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Retry {
+pub struct RetryBackoff {
     /// Wait before the second attempt; 0 ms to 10 s, [`DEFAULT_BACKOFF`] unless set.
     #[serde(deserialize_with = "checked::duration::<_, 0, 10_000>")]
     pub backoff: Duration,
@@ -72,7 +72,7 @@
 /// `Claims` is how requests with an idempotency key are claimed before they run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Claims {
+pub struct ClaimSettings {
     /// Longest wait for a claim; 10 ms to 60 s, [`DEFAULT_CLAIM_WAIT`] unless set.
     #[serde(deserialize_with = "checked::duration::<_, 10, 60_000>")]
     pub wait: Duration,
@@ -92,9 +92,9 @@
             listen,
             anonymous: None,
             limits: Limits::default(),
-            stop_time: DEFAULT_STOP_TIME,
-            retry: Retry::default(),
-            claims: Claims::default(),
+            stop_time: DEFAULT_STOP_TIMEOUT,
+            retry: RetryBackoff::default(),
+            claims: ClaimSettings::default(),
         }
     }
 
@@ -117,7 +117,7 @@
     }
 }
 
-impl Default for Retry {
+impl Default for RetryBackoff {
     fn default() -> Self {
         Self {
             backoff: DEFAULT_BACKOFF,
@@ -126,16 +126,16 @@
     }
 }
 
-impl Default for Claims {
+impl Default for ClaimSettings {
     fn default() -> Self {
         Self {
             wait: DEFAULT_CLAIM_WAIT,
-            shards: DEFAULT_SHARDS,
+            shards: DEFAULT_CLAIM_SHARDS,
         }
     }
 }
 
 /// Serde takes defaults as functions.
 const fn default_stop_time() -> Duration {
-    DEFAULT_STOP_TIME
+    DEFAULT_STOP_TIMEOUT
 }
--- a/crates/peppercrank-settings/src/secret.rs
+++ b/crates/peppercrank-settings/src/secret.rs
@@ -12,10 +12,10 @@
 use crate::Result;
 
 /// The shortest operators' token, in characters.
-pub const LEAST_TOKEN: usize = 16;
+pub const MIN_TOKEN_LEN: usize = 16;
 
 /// The longest operators' token, in characters.
-pub const MOST_TOKEN: usize = 256;
+pub const MAX_TOKEN_LEN: usize = 256;
 
 /// `Secret` is a bearer token; its `Debug` never shows it.
 #[derive(Clone, PartialEq, Eq, Deserialize)]
@@ -29,7 +29,7 @@
     ///
     /// Returns [`Error::Token`] unless it is 16 to 256 visible ASCII characters.
     pub fn new(text: &str) -> Result<Self> {
-        let long = (LEAST_TOKEN..=MOST_TOKEN).contains(&text.len());
+        let long = (MIN_TOKEN_LEN..=MAX_TOKEN_LEN).contains(&text.len());
         if long && text.bytes().all(|b| b.is_ascii_graphic()) {
             return Ok(Self(text.to_owned()));
         }
--- a/crates/peppercrank-settings/src/units.rs
+++ b/crates/peppercrank-settings/src/units.rs
@@ -9,10 +9,10 @@
 use crate::errors;
 
 /// Units of a duration, with their lengths in milliseconds, longest suffix first.
-const TIMES: &[(&str, u64)] = &[("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
+const DURATION_UNITS: &[(&str, u64)] = &[("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
 
 /// Units of a size, with their lengths in bytes, longest suffix first.
-const SIZES: &[(&str, u64)] = &[
+const SIZE_UNITS: &[(&str, u64)] = &[
     ("KiB", 1 << 10),
     ("MiB", 1 << 20),
     ("GiB", 1 << 30),
@@ -34,7 +34,8 @@
 /// assert!(parse_duration("5").is_err());
 /// ```
 pub fn parse_duration(text: &str) -> Result<Duration> {
-    let millis = scaled(text, TIMES).ok_or_else(|| errors::duration(text))?;
+    let millis =
+        parse_with_unit(text, DURATION_UNITS).ok_or_else(|| errors::invalid_duration(text))?;
     Ok(Duration::from_millis(millis))
 }
 
@@ -44,23 +45,23 @@
 ///
 /// Returns [`crate::Error::Bytes`] for a missing or other unit, a fraction or an overflow.
 pub fn parse_bytes(text: &str) -> Result<u64> {
-    scaled(text, SIZES).ok_or_else(|| errors::bytes(text))
+    parse_with_unit(text, SIZE_UNITS).ok_or_else(|| errors::invalid_size(text))
 }
 
 /// `duration_text` writes `millis` milliseconds in the longest unit that fits whole.
 #[must_use]
-pub fn duration_text(millis: u64) -> String {
-    text(millis, TIMES)
+pub fn format_duration(millis: u64) -> String {
+    format_with_unit(millis, DURATION_UNITS)
 }
 
 /// `bytes_text` writes `bytes` in the longest unit that fits whole.
 #[must_use]
-pub fn bytes_text(bytes: u64) -> String {
-    text(bytes, SIZES)
+pub fn format_bytes(bytes: u64) -> String {
+    format_with_unit(bytes, SIZE_UNITS)
 }
 
 /// Reads a number and scales it by its unit.
-fn scaled(text: &str, units: &[(&str, u64)]) -> Option<u64> {
+fn parse_with_unit(text: &str, units: &[(&str, u64)]) -> Option<u64> {
     let (digits, scale) = units
         .iter()
         .find_map(|(unit, scale)| Some((text.strip_suffix(unit)?, *scale)))?;
@@ -72,7 +73,7 @@
 }
 
 /// Writes `value` with the greatest unit that divides it.
-fn text(value: u64, units: &[(&str, u64)]) -> String {
+fn format_with_unit(value: u64, units: &[(&str, u64)]) -> String {
     let fits = units
         .iter()
         .filter(|(_, scale)| value > 0 && value.is_multiple_of(*scale));
--- a/crates/peppercrank-settings/src/url.rs
+++ b/crates/peppercrank-settings/src/url.rs
@@ -18,7 +18,7 @@
 const SCHEME: &str = "http://";
 
 /// The port of an address that names none.
-const PORT: u16 = 80;
+const DEFAULT_PORT: u16 = 80;
 
 /// `BaseUrl` is `http://IP[:PORT]`: the fleet talks by IP numbers.
 #[derive(Clone, Copy, PartialEq, Eq, Deserialize)]
@@ -32,7 +32,9 @@
     ///
     /// Returns [`Error::Url`] for another scheme, a host name, or a path.
     pub fn new(text: &str) -> Result<Self> {
-        address(text).map(Self).ok_or_else(|| errors::url(text))
+        parse_address(text)
+            .map(Self)
+            .ok_or_else(|| errors::invalid_url(text))
     }
 
     /// `address` is the address that it names.
@@ -42,11 +44,14 @@
     }
 }
 
-fn address(text: &str) -> Option<SocketAddr> {
+fn parse_address(text: &str) -> Option<SocketAddr> {
     let rest = text.strip_prefix(SCHEME)?;
     let host = rest.strip_suffix('/').unwrap_or(rest);
     let whole = host.parse::<SocketAddr>();
-    let bare = || host.parse::<IpAddr>().map(|ip| SocketAddr::new(ip, PORT));
+    let bare = || {
+        host.parse::<IpAddr>()
+            .map(|ip| SocketAddr::new(ip, DEFAULT_PORT))
+    };
     whole.or_else(|_| bare()).ok()
 }
 
--- a/crates/peppercrank-settings/tests/verify_faults.rs
+++ b/crates/peppercrank-settings/tests/verify_faults.rs
@@ -11,7 +11,7 @@
 use peppercrank_settings::RouterSettings;
 use peppercrank_settings::keys;
 
-/// A sound router file; each case replaces one part of it.
+/// A valid router file; each case replaces one part of it.
 const ROUTER: &str = r#"{
   "fleet": {
     "vm": "entry-1", "zone": "rae", // who and where
@@ -33,7 +33,7 @@
 type Case = (&'static str, &'static str, usize, usize, &'static str);
 
 #[rustfmt::skip] // One case a line.
-const FAULTS: &[Case] = &[
+const INVALID_SETTINGS: &[Case] = &[
     // Unknown and missing keys.
     (r#""shards": 32"#, r#""shard": 32"#, 15, 29, "unknown field `shard`"),
     (r#""listen":"#, r#""lisen":"#, 12, 3, "unknown field `lisen`"),
@@ -82,7 +82,7 @@
 ];
 
 /// The place and reason of the fault in `text`.
-fn fault(text: &str) -> (usize, usize, String) {
+fn parse_error(text: &str) -> (usize, usize, String) {
     match RouterSettings::parse(text) {
         Err(Error::Text(peppercrank_core::Error::Settings {
             line,
@@ -94,8 +94,8 @@
 }
 
 #[test]
-fn verify_sound_file_sets_what_it_says() {
-    let settings = RouterSettings::parse(ROUTER).expect("sound");
+fn verify_valid_file_is_parsed() {
+    let settings = RouterSettings::parse(ROUTER).expect("valid");
     assert_eq!(
         settings.fleet.platform.url.address().to_string(),
         "10.0.0.9:8000"
@@ -104,24 +104,24 @@
     assert_eq!(settings.limits.body, 2 << 20);
     assert_eq!(
         settings.limits.head,
-        peppercrank_settings::limits::DEFAULT_HEAD
+        peppercrank_settings::limits::DEFAULT_MAX_HEAD_BYTES
     );
     assert_eq!(settings.claims.shards, 32);
     assert_eq!(settings.retry.backoff.as_millis(), 20);
 }
 
 #[test]
-fn verify_each_fault_names_its_place() {
-    for (part, by, line, column, reason) in FAULTS {
+fn verify_each_error_reports_its_position() {
+    for (part, by, line, column, reason) in INVALID_SETTINGS {
         assert_eq!(ROUTER.matches(part).count(), 1, "`{part}` stands once");
-        let (l, c, why) = fault(&ROUTER.replace(part, by));
+        let (l, c, why) = parse_error(&ROUTER.replace(part, by));
         assert_eq!((l, c), (*line, *column), "`{by}`: {why}");
         assert!(why.contains(reason), "`{by}`: {why}");
     }
 }
 
 #[test]
-fn verify_keys_are_distinct_and_few() {
+fn verify_key_ids_are_unique_and_the_number_of_keys_is_limited() {
     let key = |id: usize| format!(r#"{{ "id": {id}, "secret": "{}" }}"#, "0f".repeat(16));
     let list = |ids: &[usize]| {
         let keys = ids.iter().map(|id| key(*id)).collect::<Vec<_>>();
@@ -135,7 +135,7 @@
 
 #[test]
 fn verify_secrets_stay_out_of_debug() {
-    let shown = format!("{:?}", RouterSettings::parse(ROUTER).expect("sound"));
+    let shown = format!("{:?}", RouterSettings::parse(ROUTER).expect("valid"));
     assert!(!shown.contains("sixteen"), "{shown}");
     assert!(
         !shown.contains("0011") && !shown.contains("17, 34"),
@@ -148,8 +148,8 @@
     let head = ROUTER.split("  \"limits\"").next().expect("a head");
     let target =
         r#""target": { "name": "e-1", "pool": "p", "kind": "KIND", "address": "127.0.0.1:1" }"#;
-    let sound = format!("{head}{} }}", target.replace("KIND", "engine"));
-    let settings = AgentSettings::parse(&sound).expect("sound");
+    let valid = format!("{head}{} }}", target.replace("KIND", "engine"));
+    let settings = AgentSettings::parse(&valid).expect("valid");
     assert_eq!(
         settings.target.weight,
         peppercrank_settings::agent::DEFAULT_WEIGHT
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn verify_file_that_is_no_settings_file_is_told_as_such() {
+fn verify_unreadable_files_are_reported() {
     let path =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-faulty-file", std::process::id()));
     let long = vec![b' '; (1 << 20) + 1];
