--- a/crates/peppercrank-bench/src/surge/fleet.rs
+++ b/crates/peppercrank-bench/src/surge/fleet.rs
@@ -197,7 +197,7 @@
         let decision = self.decide(caller, router, left);
         match decision {
             Decision::Send(choice) => self.send(caller, router, choice, left),
-            Decision::Full { after } | Decision::NoTarget { after } => {
+            Decision::Full { retry_after: after } | Decision::NoTarget { retry_after: after } => {
                 self.refuse(caller, after.min(left / 3));
             }
         }
@@ -457,7 +457,7 @@
             zone: "zone".into(),
             slots: scene.speed.slots,
             leaving: false,
-            cold: Duration::ZERO,
+            cold_for: Duration::ZERO,
         };
         directory.apply(Moment::ZERO, Change::Put(entry));
     }
--- a/crates/peppercrank-bench/src/surge/router.rs
+++ b/crates/peppercrank-bench/src/surge/router.rs
@@ -75,20 +75,20 @@
         let goals = classes.iter().map(|c| c.goal);
         let attempt = Attempt {
             rank: rank(caller.class, classes),
-            goal: goals.min().unwrap_or(of.goal),
-            left,
-            first: true,
+            pool_goal: goals.min().unwrap_or(of.goal),
+            time_left: left,
+            is_first: true,
         };
         let request = PlacementRequest {
             policy: Policy::Cost,
-            id,
-            home: caller.shared,
-            goal: of.goal,
-            cap: CAP,
-            tokens: parts[0].tokens + caller.own,
-            shared: parts[0].tokens,
+            id_hash: id,
+            home_hash: caller.shared,
+            latency_goal: of.goal,
+            cap_factor: CAP,
+            prompt_tokens: parts[0].tokens + caller.own,
+            shared_tokens: parts[0].tokens,
             size: parts[0].tokens + caller.size(),
-            copying: Some(view.scene.copying),
+            copy_rate: Some(view.scene.copying),
         };
         decide(
             view.now,
@@ -106,12 +106,12 @@
         let up = up.filter(|(_, (_, up))| *up);
         let see = |(n, (key, _)): (usize, &(TargetKey, bool))| Candidate {
             key: *key,
-            name: u32::try_from(n).unwrap_or(u32::MAX),
+            placement_id: u32::try_from(n).unwrap_or(u32::MAX),
             slots: view.scene.speed.slots,
-            near: true,
-            held: self.prefixes.held(*key, parts),
-            fresh: false,
-            lag: view.lag,
+            same_zone: true,
+            held_tokens: self.prefixes.held(*key, parts),
+            recently_joined: false,
+            peers_lag: view.lag,
             stats: self
                 .board
                 .get(*key)
--- a/crates/peppercrank-direct/src/catch_up.rs
+++ b/crates/peppercrank-direct/src/catch_up.rs
@@ -13,11 +13,11 @@
 /// Age of what is known from which the changes since may be many. Knowledge that another router confirms
 /// in a calm fleet is at most 2.1 s old: the pause between confirmations and the oldest age
 /// that is taken over.
-pub const FEW: Duration = Duration::from_millis(2_500);
+pub const CHANGES_MAX_AGE: Duration = Duration::from_millis(2_500);
 
 /// `Reading` is what to ask the store for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reading {
+pub enum ReadMode {
     /// The changes after this revision.
     Changes(u64),
     /// A snapshot: the state as it is.
@@ -37,25 +37,25 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CatchUp {
     /// The revision of the store up to which it is known.
-    known: Option<u64>,
+    known_revision: Option<u64>,
     /// Whether versions come faster than they are read.
-    series: bool,
+    frequent_versions: bool,
 }
 
 impl CatchUp {
     /// `known` is the revision of the store up to which the configuration is known.
     #[must_use]
-    pub const fn known(&self) -> Option<u64> {
-        self.known
+    pub const fn revision(&self) -> Option<u64> {
+        self.known_revision
     }
 
     /// `reading` is what to ask for, where what is known is of this age.
     #[must_use]
-    pub fn reading(&self, age: Option<Duration>) -> Reading {
-        let few = age.is_some_and(|age| age < FEW) && !self.series;
-        match self.known {
-            Some(known) if few => Reading::Changes(known),
-            Some(_) | None => Reading::Snapshot,
+    pub fn next_read(&self, age: Option<Duration>) -> ReadMode {
+        let few = age.is_some_and(|age| age < CHANGES_MAX_AGE) && !self.frequent_versions;
+        match self.known_revision {
+            Some(known) if few => ReadMode::Changes(known),
+            Some(_) | None => ReadMode::Snapshot,
         }
     }
 
@@ -65,15 +65,21 @@
     /// Changes prove nothing unless there are none. The store cuts a long answer and does not say so, and
     /// a router that took a cut one for the newest was ready with a version that had been replaced
     /// four seconds before, and refused routes that had been added.
-    pub fn read(&mut self, reading: Reading, revision: u64, versions: usize, newer: bool) -> Proof {
-        self.known = self.known.max(Some(revision));
+    pub fn record_read(
+        &mut self,
+        reading: ReadMode,
+        revision: u64,
+        versions: usize,
+        newer: bool,
+    ) -> Proof {
+        self.known_revision = self.known_revision.max(Some(revision));
         match reading {
-            Reading::Snapshot => {
-                self.series = self.series && newer;
+            ReadMode::Snapshot => {
+                self.frequent_versions = self.frequent_versions && newer;
                 Proof::Newest
             }
-            Reading::Changes(_) => {
-                self.series = versions > 1;
+            ReadMode::Changes(_) => {
+                self.frequent_versions = versions > 1;
                 if versions == 0 {
                     Proof::Newest
                 } else {
@@ -84,7 +90,7 @@
     }
 
     /// `forget` notes that the history after the known revision is gone.
-    pub const fn forget(&mut self) {
-        self.known = None;
+    pub const fn reset(&mut self) {
+        self.known_revision = None;
     }
 }
--- a/crates/peppercrank-direct/src/decide.rs
+++ b/crates/peppercrank-direct/src/decide.rs
@@ -12,10 +12,10 @@
 use crate::place::Candidate;
 use crate::place::Choice;
 use crate::place::Holder;
-use crate::place::Placed;
+use crate::place::PlacementOutcome;
 use crate::place::PlacementRequest;
-use crate::place::least_wait;
 use crate::place::place;
+use crate::place::shortest_wait_ms;
 use crate::ranks::Rank;
 use crate::rates::Rates;
 
@@ -25,11 +25,11 @@
     /// How urgent the request is among those of its pool.
     pub rank: Rank,
     /// The shortest goal of the requests for its pool.
-    pub goal: Duration,
+    pub pool_goal: Duration,
     /// The time that its caller still waits.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Whether it is the request's first.
-    pub first: bool,
+    pub is_first: bool,
 }
 
 /// `Decision` is what becomes of an attempt.
@@ -40,12 +40,12 @@
     /// No target can serve it in time.
     Full {
         /// When its caller should return.
-        after: Duration,
+        retry_after: Duration,
     },
     /// There are no targets.
     NoTarget {
         /// When its caller should return.
-        after: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -64,26 +64,26 @@
 ) -> Decision {
     let slots = candidates.iter().map(|c| c.slots).min().unwrap_or(1);
     let pool = Pool {
-        goal: attempt.goal,
+        goal: attempt.pool_goal,
         base: rates.base(),
         turn: rates.waiting(1, slots),
-        wait: least_wait(now, rates, candidates),
+        wait: shortest_wait_ms(now, rates, candidates),
     };
-    let rank = if attempt.first {
+    let rank = if attempt.is_first {
         attempt.rank
     } else {
         Rank::default()
     };
     let limit = admission.limit(now, &pool, rank);
     let placed = place(now, rates, request, limit, candidates, holders);
-    if attempt.first && placed != Placed::NoTarget {
-        let admitted = matches!(placed, Placed::At(_));
+    if attempt.is_first && placed != PlacementOutcome::NoTarget {
+        let admitted = matches!(placed, PlacementOutcome::Target(_));
         admission.count(now, attempt.rank, admitted);
     }
-    let after = admission.come_back(now, attempt.left);
+    let retry_after = admission.come_back(now, attempt.time_left);
     match placed {
-        Placed::At(choice) => Decision::Send(choice),
-        Placed::Full => Decision::Full { after },
-        Placed::NoTarget => Decision::NoTarget { after },
+        PlacementOutcome::Target(choice) => Decision::Send(choice),
+        PlacementOutcome::Full => Decision::Full { retry_after },
+        PlacementOutcome::NoTarget => Decision::NoTarget { retry_after },
     }
 }
--- a/crates/peppercrank-direct/src/desired.rs
+++ b/crates/peppercrank-direct/src/desired.rs
@@ -45,7 +45,7 @@
 
     /// `repeats` tells whether a request may run again while nothing of its answer was passed on.
     #[must_use]
-    pub const fn repeats(self) -> bool {
+    pub const fn is_retryable(self) -> bool {
         match self {
             Self::Repeatable => true,
             Self::Once => false,
@@ -77,17 +77,17 @@
     /// The longest time that a request is kept.
     pub timeout: Duration,
     /// The time within which an answer is wanted.
-    pub goal: Duration,
+    pub latency_goal: Duration,
     /// The longest pause between two events of an answer that is on time, where that is named.
-    pub pause: Option<Duration>,
+    pub max_event_gap: Option<Duration>,
     /// Its priority; 0 is the most urgent.
     pub priority: u8,
     /// Its pools.
     pub pools: Vec<PoolShare>,
     /// Targets that one request may run on.
-    pub attempts: u32,
+    pub max_targets: u32,
     /// Whether requests need no key.
-    pub open: bool,
+    pub public: bool,
     /// The regions in which its requests may run.
     pub regions: Regions,
 }
@@ -115,56 +115,56 @@
     /// The pool's name.
     pub name: Arc<str>,
     /// Connections that one of its targets takes from all callers.
-    pub connections: u32,
+    pub max_connections: u32,
     /// The memory of its engines; none for plain services.
-    pub memory: Option<Memory>,
+    pub prompt_cache: Option<PromptCache>,
     /// How its targets warm up, where they do.
     pub warm_up: Option<WarmUp>,
 }
 
 /// `Memory` is what one engine of a pool keeps of prompts.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Memory {
+pub struct PromptCache {
     /// Tokens that it keeps.
-    pub tokens: u64,
+    pub capacity_tokens: u64,
     /// Bytes of one token.
-    pub token_bytes: f64,
+    pub bytes_per_token: f64,
     /// Bytes that it copies to another engine in a millisecond.
-    pub link: f64,
+    pub bytes_per_ms: f64,
 }
 
-impl Memory {
+impl PromptCache {
     /// `copying` is how many tokens it copies in a millisecond; none where it cannot.
     #[must_use]
-    pub fn copying(&self) -> Option<f64> {
-        let rate = self.link / self.token_bytes;
+    pub fn copy_rate(&self) -> Option<f64> {
+        let rate = self.bytes_per_ms / self.bytes_per_token;
         (rate.is_finite() && rate > 0.0).then_some(rate)
     }
 }
 
 /// Part of a target's connections that routers may keep unused, over all of them.
-const SPARE_PART: usize = 2;
+const IDLE_DIVISOR: usize = 2;
 
 /// `spare` is how many unused connections each of so many routers may keep to one target, `most` at
 /// the most.
 #[must_use]
-pub fn spare(pools: &[Pool], routers: usize, most: usize) -> usize {
-    let fewest = pools.iter().map(|p| p.connections).min();
+pub fn max_idle_connections(pools: &[Pool], routers: usize, most: usize) -> usize {
+    let fewest = pools.iter().map(|p| p.max_connections).min();
     let fewest = fewest.map_or(usize::MAX, |c| usize::try_from(c).unwrap_or(usize::MAX));
-    (fewest / SPARE_PART / routers.max(1)).min(most)
+    (fewest / IDLE_DIVISOR / routers.max(1)).min(most)
 }
 
 /// `CallerBounds` bound what callers may send and how long they may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallerBounds {
+pub struct CallerLimits {
     /// The longest request head, in bytes.
-    pub head: usize,
+    pub head_bytes: usize,
     /// The longest request body, in bytes.
-    pub body: u64,
+    pub body_bytes: u64,
     /// Time from a head's first byte to its last.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Time that a connection may stay without a request.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// `Organisation` is one whose callers hold keys.
@@ -190,7 +190,7 @@
     /// All pools.
     pub pools: Vec<Pool>,
     /// Bounds on callers.
-    pub bounds: CallerBounds,
+    pub caller_limits: CallerLimits,
     /// Organisations; without any, requests need no keys.
     pub organisations: Vec<Organisation>,
 }
@@ -209,7 +209,7 @@
 
 /// `Allowed` is whether a request may run, and for whom.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Allowed<'a> {
+pub enum Access<'a> {
     /// For anyone: the route is open, or there are no organisations.
     Anyone,
     /// For a caller of this organisation.
@@ -269,14 +269,14 @@
 
     /// `allowed` tells for whom a request with this key may run.
     #[must_use]
-    pub fn allowed(&self, route: &Route, key: Option<&str>) -> Allowed<'_> {
+    pub fn access(&self, route: &Route, key: Option<&str>) -> Access<'_> {
         if self.desired.organisations.is_empty() {
-            return Allowed::Anyone;
+            return Access::Anyone;
         }
         match key.and_then(|k| self.keys.get(k)) {
-            Some(i) => Allowed::Member(&self.desired.organisations[*i]),
-            None if route.open => Allowed::Anyone,
-            None => Allowed::Denied,
+            Some(i) => Access::Member(&self.desired.organisations[*i]),
+            None if route.public => Access::Anyone,
+            None => Access::Denied,
         }
     }
 
@@ -289,42 +289,42 @@
 
 /// `InForce` holds the highest version seen; it never goes back.
 #[derive(Debug, Clone, Default)]
-pub struct InForce {
+pub struct ActiveConfiguration {
     index: Option<Arc<Index>>,
     /// When it came in force.
-    since: Option<Moment>,
+    activated_at: Option<Moment>,
 }
 
 /// `Applied` is what became of a version that was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// It is in force.
-    InForce,
+    Activated,
     /// It was in force already.
-    Same,
+    Unchanged,
     /// It is older than the one in force and was dropped.
     Older,
 }
 
-impl InForce {
+impl ActiveConfiguration {
     /// `apply` brings a version in force unless it is older.
-    pub fn apply(&mut self, now: Moment, desired: Desired) -> Applied {
+    pub fn apply(&mut self, now: Moment, desired: Desired) -> ApplyOutcome {
         let current = self.index.as_ref().map(|i| i.desired.version);
         match current {
-            Some(version) if version == desired.version => Applied::Same,
-            Some(version) if version > desired.version => Applied::Older,
+            Some(version) if version == desired.version => ApplyOutcome::Unchanged,
+            Some(version) if version > desired.version => ApplyOutcome::Older,
             _ => {
                 self.index = Some(Arc::new(Index::new(desired)));
-                self.since = Some(now);
-                Applied::InForce
+                self.activated_at = Some(now);
+                ApplyOutcome::Activated
             }
         }
     }
 
     /// `since` is when the configuration came in force.
     #[must_use]
-    pub const fn since(&self) -> Option<Moment> {
-        self.since
+    pub const fn activation_time(&self) -> Option<Moment> {
+        self.activated_at
     }
 
     /// `index` is the configuration in force; none before the first was read.
--- a/crates/peppercrank-direct/src/directory.rs
+++ b/crates/peppercrank-direct/src/directory.rs
@@ -22,13 +22,13 @@
 pub use crate::target::State;
 pub use crate::target::Target;
 pub use crate::target::TargetKey;
-pub use crate::target::Withheld;
+pub use crate::target::WithheldReason;
 
 use crate::evacuations::Evacuations;
 use crate::notice::Notice;
 use crate::starts::Relation;
 use crate::starts::Start;
-use crate::warm_up::MARGIN;
+use crate::warm_up::COLD_MARGIN;
 
 /// Time after the store's return in which living targets register again; the platform's figure
 /// is about two seconds.
@@ -36,11 +36,11 @@
 
 /// Time for which it is remembered that a target is gone, and that it was leaving: longer than any copy of the store is old,
 /// and than a leaving target goes on.
-const GONE_KEPT: Duration = Duration::from_secs(60);
+const DEPARTED_RETENTION: Duration = Duration::from_secs(60);
 
 /// `HELD` is the time for which entries of gone targets are held in a store that has come back from an older copy: until a dead
 /// one's entry has lapsed, after three heartbeats of 1.2 s, and that was read, up to 0.9 s later.
-pub const HELD: Duration = Duration::from_secs(6);
+pub const RESTORE_HOLD: Duration = Duration::from_secs(6);
 
 /// `Directory` holds the targets.
 #[derive(Debug, Clone, Default)]
@@ -49,39 +49,39 @@
     instances: HashMap<Arc<str>, TargetKey>,
     pools: HashMap<Arc<str>, Vec<TargetKey>>,
     /// Whether the store does not answer.
-    away: bool,
+    store_down: bool,
     /// Until when missing entries may be back.
-    grace: Option<Moment>,
+    grace_until: Option<Moment>,
     /// The targets that went lately.
-    gone: HashMap<Arc<str>, Departed>,
+    departed: HashMap<Arc<str>, Departed>,
     /// Entries of gone targets in a store that came back from an older copy; they stand where they are still there then.
-    held: HashMap<Arc<str>, Registration>,
+    held_entries: HashMap<Arc<str>, Registration>,
     /// Until when such entries are held.
     held_until: Option<Moment>,
     /// The availability zones whose targets get no new work.
     pub evacuations: Evacuations,
     /// When the whole list was first taken in.
-    listed: Option<Moment>,
+    first_listed: Option<Moment>,
 }
 
 /// `Departed` is what stays known of a target that went, as its entry may be written again while it lives.
 #[derive(Debug, Clone, Copy)]
 struct Departed {
     start: Start,
-    at: Moment,
+    removed_at: Moment,
     /// Whether it was leaving.
     leaving: bool,
     /// Until when it wants no work from this router.
-    paused: Option<Moment>,
+    paused_until: Option<Moment>,
 }
 
 /// `Noted` is what a change meant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Noted {
+pub enum TargetEvent {
     /// A target came.
     Joined(TargetKey),
     /// A target was marked as leaving.
-    Left(TargetKey),
+    MarkedLeaving(TargetKey),
     /// A target is gone.
     Gone(TargetKey),
     /// A target started again: `old` has ended, and `new` takes its place.
@@ -100,44 +100,45 @@
     /// A target asked for a pause.
     Paused(TargetKey),
     /// Nothing that matters here.
-    Nothing,
+    NoChange,
 }
 
 impl Directory {
     /// `store_lost` notes that the store does not answer.
     pub const fn store_lost(&mut self) {
-        self.away = true;
+        self.store_down = true;
     }
 
     /// `store_back` notes that the store answers; after an outage a grace period begins.
-    pub fn store_back(&mut self, now: Moment) {
-        if self.away {
-            self.away = false;
-            self.grace = Some(now + RETURN_GRACE);
+    pub fn store_recovered(&mut self, now: Moment) {
+        if self.store_down {
+            self.store_down = false;
+            self.grace_until = Some(now + RETURN_GRACE);
         }
     }
 
     /// `store_restored` notes that the store has come back from an older copy. What is missing there may be written again, and what it
     /// shows of targets that are gone may be as old as the copy.
     pub fn store_restored(&mut self, now: Moment) {
-        self.away = false;
-        self.grace = Some(now + RETURN_GRACE);
-        self.held_until = Some(now + HELD);
+        self.store_down = false;
+        self.grace_until = Some(now + RETURN_GRACE);
+        self.held_until = Some(now + RESTORE_HOLD);
         self.evacuations.store_restored(now);
     }
 
     /// `is_away` tells whether the store does not answer.
     #[must_use]
-    pub const fn is_away(&self) -> bool {
-        self.away
+    pub const fn is_store_down(&self) -> bool {
+        self.store_down
     }
 
     /// `replace` takes in the whole list: what is there, readable or not.
-    pub fn replace(&mut self, now: Moment, listed: Vec<Change>) -> Vec<Noted> {
-        self.listed.get_or_insert(now);
+    pub fn replace(&mut self, now: Moment, listed: Vec<Change>) -> Vec<TargetEvent> {
+        self.first_listed.get_or_insert(now);
         let named = listed.iter().map(|c| Arc::clone(c.instance()));
         let named = named.collect::<HashSet<_>>();
-        self.held.retain(|instance, _| named.contains(instance));
+        self.held_entries
+            .retain(|instance, _| named.contains(instance));
         let known = self.instances.keys().cloned().collect::<Vec<_>>();
         let gone = known.into_iter().filter(|i| !named.contains(i));
         let gone = gone.map(Change::Removed).collect::<Vec<_>>();
@@ -148,7 +149,7 @@
     }
 
     /// `apply` takes in one change.
-    pub fn apply(&mut self, now: Moment, change: Change) -> Noted {
+    pub fn apply(&mut self, now: Moment, change: Change) -> TargetEvent {
         match change {
             Change::Put(entry) => self.put(now, entry),
             Change::Unreadable(instance) => self.mark_unreadable(&instance),
@@ -156,150 +157,152 @@
         }
     }
 
-    fn put(&mut self, now: Moment, entry: Registration) -> Noted {
+    fn put(&mut self, now: Moment, entry: Registration) -> TargetEvent {
         let Some(key) = self.instances.get(&entry.instance).copied() else {
-            if self.is_held(now, &entry) {
-                self.held.insert(Arc::clone(&entry.instance), entry);
-                return Noted::Nothing;
+            if self.must_hold(now, &entry) {
+                self.held_entries.insert(Arc::clone(&entry.instance), entry);
+                return TargetEvent::NoChange;
             }
             return self.join(now, entry);
         };
         let Some(target) = self.targets.get_mut(key) else {
-            return Noted::Nothing;
+            return TargetEvent::NoChange;
         };
         match target.registration.start.relation(entry.start) {
             Relation::Same => {
                 let pool = Arc::clone(&entry.pool);
                 let before = Arc::clone(&target.registration.pool);
-                let noted = target.renew(now, key, entry);
+                let noted = target.refresh(now, key, entry);
                 if pool != before {
-                    self.unlist(&before, key);
+                    self.remove_from_pool(&before, key);
                     self.pools.entry(pool).or_default().push(key);
                 }
                 noted
             }
             Relation::Newer => self.restart(now, key, entry),
-            Relation::Older => target.doubt(now, key, entry),
-            Relation::Missing => self.mark_unreadable(&entry.instance),
+            Relation::Older => target.record_conflicting(now, key, entry),
+            Relation::Unspecified => self.mark_unreadable(&entry.instance),
         }
     }
 
     /// Whether an entry is of a start that is known to be gone, and may be as old as the store's copy.
-    fn is_held(&self, now: Moment, entry: &Registration) -> bool {
+    fn must_hold(&self, now: Moment, entry: &Registration) -> bool {
         let held = self.held_until.is_some_and(|until| now < until);
-        let gone = self.gone.get(&entry.instance);
+        let gone = self.departed.get(&entry.instance);
         held && gone.is_some_and(|d| d.start.relation(entry.start) != Relation::Newer)
     }
 
     /// What is known of an entry's start, if it went lately.
-    fn departed(&self, entry: &Registration) -> Option<&Departed> {
-        let gone = self.gone.get(&entry.instance);
+    fn find_departed(&self, entry: &Registration) -> Option<&Departed> {
+        let gone = self.departed.get(&entry.instance);
         gone.filter(|d| d.start.relation(entry.start) == Relation::Same)
     }
 
     /// Takes in that a target's entry cannot be read. A mark of leaving holds on, as the target may have been told
     /// that it was heard.
-    fn mark_unreadable(&mut self, instance: &Arc<str>) -> Noted {
-        self.held.remove(instance);
+    fn mark_unreadable(&mut self, instance: &Arc<str>) -> TargetEvent {
+        self.held_entries.remove(instance);
         let Some(key) = self.instances.get(instance).copied() else {
-            return Noted::Nothing;
+            return TargetEvent::NoChange;
         };
         let Some(target) = self.targets.get_mut(key) else {
-            return Noted::Nothing;
+            return TargetEvent::NoChange;
         };
         // What was told before this entry is no more the store's last word.
-        target.rival = None;
+        target.conflicting = None;
         match target.state {
-            State::Leaving | State::Unreadable => Noted::Nothing,
+            State::Leaving | State::Unreadable => TargetEvent::NoChange,
             State::Ready | State::Missing(_) => {
                 target.state = State::Unreadable;
-                Noted::Unreadable(key)
+                TargetEvent::Unreadable(key)
             }
         }
     }
 
     /// Puts a new start in the place of one that has ended.
-    fn restart(&mut self, now: Moment, old: TargetKey, entry: Registration) -> Noted {
+    fn restart(&mut self, now: Moment, old: TargetKey, entry: Registration) -> TargetEvent {
         self.forget(old);
         match self.join(now, entry) {
-            Noted::Joined(new) | Noted::Left(new) => Noted::Restarted { old, new },
+            TargetEvent::Joined(new) | TargetEvent::MarkedLeaving(new) => {
+                TargetEvent::Restarted { old, new }
+            }
             other => other,
         }
     }
 
-    fn join(&mut self, now: Moment, entry: Registration) -> Noted {
+    fn join(&mut self, now: Moment, entry: Registration) -> TargetEvent {
         let instance = Arc::clone(&entry.instance);
         let pool = Arc::clone(&entry.pool);
-        let departed = self.departed(&entry);
+        let departed = self.find_departed(&entry);
         let leaving = entry.leaving || departed.is_some_and(|d| d.leaving);
-        let paused = departed.and_then(|d| d.paused);
+        let paused_until = departed.and_then(|d| d.paused_until);
         let state = if leaving {
             State::Leaving
         } else {
             State::Ready
         };
-        let cold_until = now + entry.cold;
+        let cold_until = now + entry.cold_for;
         let registration = entry;
         let key = self.targets.insert(Target {
             registration,
             state,
-            since: now,
+            first_seen: now,
             cold_until,
-            paused,
-            rival: None,
+            paused_until,
+            conflicting: None,
         });
         self.instances.insert(instance, key);
         self.pools.entry(pool).or_default().push(key);
         if leaving {
-            return Noted::Left(key);
+            return TargetEvent::MarkedLeaving(key);
         }
-        Noted::Joined(key)
+        TargetEvent::Joined(key)
     }
 
-    fn remove(&mut self, now: Moment, instance: &Arc<str>) -> Noted {
-        self.held.remove(instance);
+    fn remove(&mut self, now: Moment, instance: &Arc<str>) -> TargetEvent {
+        self.held_entries.remove(instance);
         let Some(key) = self.instances.get(instance).copied() else {
-            return Noted::Nothing;
+            return TargetEvent::NoChange;
         };
-        let grace = self.grace.filter(|until| now < *until);
+        let grace = self.grace_until.filter(|until| now < *until);
         if let (Some(until), Some(target)) = (grace, self.targets.get_mut(key)) {
             match target.state {
                 State::Ready => {
                     target.state = State::Missing(until);
-                    return Noted::Missing(key);
+                    return TargetEvent::Missing(key);
                 }
-                State::Missing(_) => return Noted::Nothing,
+                State::Missing(_) => return TargetEvent::NoChange,
                 State::Leaving | State::Unreadable => {}
             }
         }
-        self.go(now, key)
+        self.depart(now, key)
     }
 
     /// Takes out a target that is gone, and remembers it for a while.
-    fn go(&mut self, now: Moment, key: TargetKey) -> Noted {
+    fn depart(&mut self, now: Moment, key: TargetKey) -> TargetEvent {
         if let Some(target) = self.targets.get(key) {
             let instance = Arc::clone(&target.registration.instance);
             let departed = Departed {
                 start: target.registration.start,
-                at: now,
+                removed_at: now,
                 leaving: target.state == State::Leaving,
-                paused: target.paused,
+                paused_until: target.paused_until,
             };
-            self.gone.insert(instance, departed);
+            self.departed.insert(instance, departed);
         }
         self.forget(key);
-        Noted::Gone(key)
+        TargetEvent::Gone(key)
     }
 
     fn forget(&mut self, key: TargetKey) {
         if let Some(target) = self.targets.remove(key) {
             self.instances.remove(&target.registration.instance);
-            self.unlist(&target.registration.pool, key);
+            self.remove_from_pool(&target.registration.pool, key);
         }
     }
 
     /// Takes a target out of a pool's list, and the list away with its last one, as other writers may name any pool.
-    fn unlist(&mut self, pool: &Arc<str>, key: TargetKey) {
+    fn remove_from_pool(&mut self, pool: &Arc<str>, key: TargetKey) {
         if let Some(list) = self.pools.get_mut(pool) {
             list.retain(|k| *k != key);
             if list.is_empty() {
@@ -309,56 +312,57 @@
     }
 
     /// `lost` notes that another instance answers at a target's address: it takes no more work.
-    pub fn lost(&mut self, now: Moment, key: TargetKey) -> Noted {
-        self.leave(now, key)
+    pub fn mark_replaced(&mut self, now: Moment, key: TargetKey) -> TargetEvent {
+        self.mark_leaving(now, key)
     }
 
     /// `noticed` takes in what a target said of new work in an answer.
-    pub fn noticed(&mut self, now: Moment, key: TargetKey, notice: Notice) -> Noted {
+    pub fn apply_notice(&mut self, now: Moment, key: TargetKey, notice: Notice) -> TargetEvent {
         if notice.leaving {
-            return self.leave(now, key);
+            return self.mark_leaving(now, key);
         }
         let Some(target) = self.targets.get_mut(key) else {
-            return Noted::Nothing;
+            return TargetEvent::NoChange;
         };
-        let before = target.pause(now);
-        target.paused = before.max(notice.pause.map(|pause| now + pause));
-        match (before, target.pause(now)) {
-            (None, Some(_)) => Noted::Paused(key),
-            (Some(_), _) | (None, None) => Noted::Nothing,
+        let before = target.pause_end(now);
+        target.paused_until = before.max(notice.pause.map(|pause| now + pause));
+        match (before, target.pause_end(now)) {
+            (None, Some(_)) => TargetEvent::Paused(key),
+            (Some(_), _) | (None, None) => TargetEvent::NoChange,
         }
     }
 
-    fn leave(&mut self, now: Moment, key: TargetKey) -> Noted {
+    fn mark_leaving(&mut self, now: Moment, key: TargetKey) -> TargetEvent {
         let Some(target) = self.targets.get_mut(key) else {
-            return Noted::Nothing;
+            return TargetEvent::NoChange;
         };
         match std::mem::replace(&mut target.state, State::Leaving) {
-            State::Leaving => Noted::Nothing,
-            State::Ready | State::Unreadable => Noted::Left(key),
+            State::Leaving => TargetEvent::NoChange,
+            State::Ready | State::Unreadable => TargetEvent::MarkedLeaving(key),
             // Nothing would tell later that it is gone.
-            State::Missing(_) => self.go(now, key),
+            State::Missing(_) => self.depart(now, key),
         }
     }
 
     /// `expire` drops the targets that did not return in time, and lets what the store tells of other starts, and of targets that
     /// were gone, stand.
-    pub fn expire(&mut self, now: Moment) -> Vec<Noted> {
+    pub fn expire(&mut self, now: Moment) -> Vec<TargetEvent> {
         let late = |t: &Target| matches!(t.state, State::Missing(until) if now >= until);
         let late = self.targets.iter().filter(|(_, t)| late(t));
         let late = late.map(|(k, _)| k).collect::<Vec<_>>();
         let mut noted = Vec::new();
         for key in late {
-            noted.push(self.go(now, key));
+            noted.push(self.depart(now, key));
         }
-        self.gone.retain(|_, d| now.since(d.at) < GONE_KEPT);
+        self.departed
+            .retain(|_, d| now.since(d.removed_at) < DEPARTED_RETENTION);
         if self.held_until.is_some_and(|until| now >= until) {
-            for (_, entry) in std::mem::take(&mut self.held) {
+            for (_, entry) in std::mem::take(&mut self.held_entries) {
                 noted.push(self.join(now, entry));
             }
         }
         let settled = self.targets.iter_mut().filter_map(|(key, target)| {
-            let (entry, _) = target.rival.take_if(|(_, from)| now >= *from)?;
+            let (entry, _) = target.conflicting.take_if(|(_, from)| now >= *from)?;
             Some((key, entry))
         });
         for (key, entry) in settled.collect::<Vec<_>>() {
@@ -369,16 +373,16 @@
 
     /// `listed` is when the whole list was first taken in.
     #[must_use]
-    pub const fn listed(&self) -> Option<Moment> {
-        self.listed
+    pub const fn first_listed_at(&self) -> Option<Moment> {
+        self.first_listed
     }
 
     /// `came` is when a target came, or came back as its zone was restored: until then others were the homes of its prompts.
     #[must_use]
-    pub fn came(&self, key: TargetKey) -> Option<Moment> {
+    pub fn joined_at(&self, key: TargetKey) -> Option<Moment> {
         let target = self.targets.get(key)?;
-        let restored = self.evacuations.restored(&target.registration.zone);
-        Some(restored.map_or(target.since, |at| at.max(target.since)))
+        let restored = self.evacuations.restored_at(&target.registration.zone);
+        Some(restored.map_or(target.first_seen, |at| at.max(target.first_seen)))
     }
 
     /// `cold_until` is until when a target counts as cold by what the store told, in a pool whose targets warm up for so long.
@@ -387,10 +391,12 @@
         let Some(target) = self.targets.get(key) else {
             return Moment::ZERO;
         };
-        let came_later = self.listed.is_some_and(|listed| target.since > listed);
-        let came = came_later.then_some(target.since);
-        let restored = self.evacuations.restored(&target.registration.zone);
-        let unheard = came.max(restored).map(|since| since + lasts + MARGIN);
+        let came_later = self
+            .first_listed
+            .is_some_and(|listed| target.first_seen > listed);
+        let came = came_later.then_some(target.first_seen);
+        let restored = self.evacuations.restored_at(&target.registration.zone);
+        let unheard = came.max(restored).map(|since| since + lasts + COLD_MARGIN);
         unheard.map_or(target.cold_until, |until| until.max(target.cold_until))
     }
 
@@ -408,42 +414,42 @@
 
     /// `withheld` is why the target gets no new work at this moment; none where it may get some, or is gone.
     #[must_use]
-    pub fn withheld(&self, now: Moment, key: TargetKey) -> Option<Withheld> {
+    pub fn withheld_reason(&self, now: Moment, key: TargetKey) -> Option<WithheldReason> {
         let target = self.targets.get(key)?;
         let evacuated = self.evacuations.contains(&target.registration.zone);
-        let evacuated = evacuated.then_some(Withheld::Evacuated);
-        let paused = target.pause(now).map(Withheld::Paused);
-        target.withheld(now).or(evacuated).or(paused)
+        let evacuated = evacuated.then_some(WithheldReason::Evacuated);
+        let paused = target.pause_end(now).map(WithheldReason::Paused);
+        target.withheld_reason(now).or(evacuated).or(paused)
     }
 
     /// `usable` tells whether the target may be sent work at this moment.
     #[must_use]
-    pub fn usable(&self, now: Moment, key: TargetKey) -> bool {
-        self.targets.contains_key(key) && self.withheld(now, key).is_none()
+    pub fn is_usable(&self, now: Moment, key: TargetKey) -> bool {
+        self.targets.contains_key(key) && self.withheld_reason(now, key).is_none()
     }
 
     /// `pool` lists the targets of a pool that take work; those whose entries are missing or whose start is
     /// in doubt only if there are no others.
     #[must_use]
     pub fn pool(&self, now: Moment, name: &str) -> Vec<TargetKey> {
-        let usable = self.members(name).filter(|k| self.usable(now, *k));
+        let usable = self.members(name).filter(|k| self.is_usable(now, *k));
         let usable = usable.collect::<Vec<_>>();
-        let sure = |k: &&TargetKey| self.targets[**k].is_sure();
+        let sure = |k: &&TargetKey| self.targets[**k].is_certain();
         let found = usable.iter().filter(sure).copied().collect::<Vec<_>>();
         if found.is_empty() { usable } else { found }
     }
 
     /// `finishing` lists the targets of a pool that get no new work and finish what they have, with the reason.
-    pub fn finishing(
+    pub fn draining(
         &self,
         now: Moment,
         name: &str,
-    ) -> impl Iterator<Item = (TargetKey, Withheld)> + use<'_> {
+    ) -> impl Iterator<Item = (TargetKey, WithheldReason)> + use<'_> {
         let withheld = self.members(name);
-        let withheld = withheld.filter_map(move |k| Some((k, self.withheld(now, k)?)));
+        let withheld = withheld.filter_map(move |k| Some((k, self.withheld_reason(now, k)?)));
         withheld.filter(|(_, why)| match why {
-            Withheld::Leaving | Withheld::Evacuated | Withheld::Paused(_) => true,
-            Withheld::Unreadable | Withheld::Missing => false,
+            WithheldReason::Leaving | WithheldReason::Evacuated | WithheldReason::Paused(_) => true,
+            WithheldReason::Unreadable | WithheldReason::Missing => false,
         })
     }
 
--- a/crates/peppercrank-direct/src/era.rs
+++ b/crates/peppercrank-direct/src/era.rs
@@ -22,7 +22,7 @@
 use crate::directory::RETURN_GRACE;
 
 /// Time after a store's return in which operators and targets write again what it lacks.
-const WRITTEN_AGAIN: Duration = RETURN_GRACE;
+const REWRITE_PERIOD: Duration = RETURN_GRACE;
 
 /// `Era` is one life of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -30,7 +30,7 @@
 
 /// `Told` is which era an answer is of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum EraOrder {
     /// The one that is known.
     Same,
     /// A newer one: what was read before counts no more.
@@ -41,13 +41,13 @@
 
 /// `Eras` is what is known of the store's eras.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Eras {
+pub struct EraTracker {
     newest: Option<Era>,
     /// When the newest was first heard of, where another was known before.
-    since: Option<Moment>,
+    newest_since: Option<Moment>,
 }
 
-impl Eras {
+impl EraTracker {
     /// `newest` is the newest era that was heard of; none before the first answer, or of a store that tells none.
     #[must_use]
     pub const fn newest(&self) -> Option<Era> {
@@ -55,27 +55,27 @@
     }
 
     /// `hear` takes in the era of an answer.
-    pub fn hear(&mut self, now: Moment, era: Era) -> Told {
+    pub fn observe(&mut self, now: Moment, era: Era) -> EraOrder {
         let Some(newest) = self.newest else {
             self.newest = Some(era);
-            return Told::Same;
+            return EraOrder::Same;
         };
         if era < newest {
-            return Told::Older;
+            return EraOrder::Older;
         }
         if era == newest {
-            return Told::Same;
+            return EraOrder::Same;
         }
         self.newest = Some(era);
-        self.since = Some(now);
-        Told::Newer
+        self.newest_since = Some(now);
+        EraOrder::Newer
     }
 
     /// `vouches` tells whether an answer to a question of this moment can show that nothing is newer: a key may have
     /// been taken away by what the copy lacks, so that a router which trusted it would serve that key past its bound.
     #[must_use]
-    pub fn vouches(&self, asked: Moment) -> bool {
-        self.since
-            .is_none_or(|since| asked >= since + WRITTEN_AGAIN)
+    pub fn can_prove_newest(&self, asked: Moment) -> bool {
+        self.newest_since
+            .is_none_or(|since| asked >= since + REWRITE_PERIOD)
     }
 }
--- a/crates/peppercrank-direct/src/evacuations.rs
+++ b/crates/peppercrank-direct/src/evacuations.rs
@@ -15,13 +15,13 @@
 use peppercrank_core::hash::hash64;
 use peppercrank_core::time::Moment;
 
-use crate::directory::HELD;
+use crate::directory::RESTORE_HOLD;
 
 /// Seed of the digest of evacuated zones.
 const DIGEST_SEED: u64 = 0x6576_6163;
 
 /// Time for which it is remembered when a zone was restored: longer than targets stay cold.
-const RESTORED_KEPT: Duration = Duration::from_secs(300);
+const RESTORED_RETENTION: Duration = Duration::from_secs(300);
 
 /// `Change` is one change of the evacuated zones.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -46,11 +46,11 @@
 pub struct Evacuations {
     zones: HashMap<Arc<str>, Evidence>,
     /// When zones were restored lately.
-    restored: HashMap<Arc<str>, Moment>,
+    restorations: HashMap<Arc<str>, Moment>,
     /// Whether the list was read once.
     listed: bool,
     /// Until when a copy of the store may lack what was acknowledged.
-    restored_until: Option<Moment>,
+    hold_until: Option<Moment>,
 }
 
 impl Evacuations {
@@ -59,7 +59,9 @@
         self.listed = true;
         let missing = self.zones.keys().filter(|z| !listed.contains(z));
         let missing = missing.cloned().collect::<Vec<_>>();
-        let ended = missing.into_iter().filter_map(|z| self.miss(now, asked, z));
+        let ended = missing
+            .into_iter()
+            .filter_map(|z| self.mark_missing(now, asked, z));
         let mut changes = ended.collect::<Vec<_>>();
         for zone in listed {
             changes.extend(self.apply(now, Change::Evacuated(Arc::clone(zone))));
@@ -77,7 +79,7 @@
             Change::Restored(zone) => {
                 let known = self.zones.remove(zone).is_some();
                 if known {
-                    self.restore(now, zone);
+                    self.record_restored(now, zone);
                 }
                 known
             }
@@ -86,8 +88,8 @@
     }
 
     /// Takes in that a zone is not in the list.
-    fn miss(&mut self, now: Moment, asked: Moment, zone: Arc<str>) -> Option<Change> {
-        match (self.zones.get_mut(&zone), self.restored_until) {
+    fn mark_missing(&mut self, now: Moment, asked: Moment, zone: Arc<str>) -> Option<Change> {
+        match (self.zones.get_mut(&zone), self.hold_until) {
             (Some(evidence), Some(until)) if asked < until => {
                 *evidence = Evidence::Missing(until);
                 None
@@ -98,11 +100,11 @@
 
     /// `store_restored` notes that the store has come back from an older copy.
     pub fn store_restored(&mut self, now: Moment) {
-        self.restored_until = Some(now + HELD);
+        self.hold_until = Some(now + RESTORE_HOLD);
     }
 
     /// `settle` ends what was still missing when the store answered a question of this moment.
-    pub fn settle(&mut self, now: Moment, asked: Moment) -> Vec<Change> {
+    pub fn end_missing(&mut self, now: Moment, asked: Moment) -> Vec<Change> {
         let late = |e: &Evidence| matches!(e, Evidence::Missing(until) if asked >= *until);
         let late = self.zones.iter().filter(|(_, evidence)| late(evidence));
         let late = late.map(|(zone, _)| Arc::clone(zone)).collect::<Vec<_>>();
@@ -111,15 +113,16 @@
     }
 
     /// Notes when a zone was restored, and forgets what was long ago.
-    fn restore(&mut self, now: Moment, zone: &Arc<str>) {
-        self.restored.retain(|_, at| now.since(*at) < RESTORED_KEPT);
-        self.restored.insert(Arc::clone(zone), now);
+    fn record_restored(&mut self, now: Moment, zone: &Arc<str>) {
+        self.restorations
+            .retain(|_, at| now.since(*at) < RESTORED_RETENTION);
+        self.restorations.insert(Arc::clone(zone), now);
     }
 
     /// `restored` is when a zone was restored, if that was lately: its targets may have become cold meanwhile.
     #[must_use]
-    pub fn restored(&self, zone: &str) -> Option<Moment> {
-        self.restored.get(zone).copied()
+    pub fn restored_at(&self, zone: &str) -> Option<Moment> {
+        self.restorations.get(zone).copied()
     }
 
     /// `contains` tells whether a zone is evacuated.
--- a/crates/peppercrank-direct/src/events.rs
+++ b/crates/peppercrank-direct/src/events.rs
@@ -5,52 +5,52 @@
 //! id is known.
 
 /// The longest event that makes sense, in bytes; a longer one is passed on in parts.
-const MOST_EVENT: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// `Events` cuts a stream's bytes into whole events.
 #[derive(Debug, Default)]
-pub struct Events {
-    left: Vec<u8>,
-    last: Option<String>,
+pub struct EventBuffer {
+    partial: Vec<u8>,
+    last_event_id: Option<String>,
 }
 
-impl Events {
+impl EventBuffer {
     /// `push` takes bytes in and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<u8> {
-        self.left.extend_from_slice(bytes);
-        let end = whole(&self.left);
-        if end == 0 && self.left.len() > MOST_EVENT {
-            return std::mem::take(&mut self.left);
+        self.partial.extend_from_slice(bytes);
+        let end = complete_len(&self.partial);
+        if end == 0 && self.partial.len() > MAX_EVENT_BYTES {
+            return std::mem::take(&mut self.partial);
         }
-        let rest = self.left.split_off(end);
-        let events = std::mem::replace(&mut self.left, rest);
-        if let Some(id) = last_id(&events) {
-            self.last = Some(id);
+        let rest = self.partial.split_off(end);
+        let events = std::mem::replace(&mut self.partial, rest);
+        if let Some(id) = find_last_id(&events) {
+            self.last_event_id = Some(id);
         }
         events
     }
 
     /// `is_between` tells whether no event has begun and not ended.
     #[must_use]
-    pub const fn is_between(&self) -> bool {
-        self.left.is_empty()
+    pub const fn is_at_boundary(&self) -> bool {
+        self.partial.is_empty()
     }
 
     /// `last` is the id of the last whole event.
     #[must_use]
-    pub fn last(&self) -> Option<&str> {
-        self.last.as_deref()
+    pub fn last_event_id(&self) -> Option<&str> {
+        self.last_event_id.as_deref()
     }
 
     /// `restart` drops an event that has begun, before another run goes on after the last whole
     /// one.
-    pub fn restart(&mut self) {
-        self.left.clear();
+    pub fn discard_partial(&mut self) {
+        self.partial.clear();
     }
 }
 
 /// The length of all whole events.
-fn whole(bytes: &[u8]) -> usize {
+fn complete_len(bytes: &[u8]) -> usize {
     let mut end = bytes.len();
     while end > 0 {
         let head = &bytes[..end];
@@ -63,7 +63,7 @@
 }
 
 /// The id of the last event that has one.
-fn last_id(events: &[u8]) -> Option<String> {
+fn find_last_id(events: &[u8]) -> Option<String> {
     let lines = events.split(|b| *b == b'\n').rev();
     let id = lines
         .map(<[u8]>::trim_ascii)
--- a/crates/peppercrank-direct/src/freshness.rs
+++ b/crates/peppercrank-direct/src/freshness.rs
@@ -13,14 +13,14 @@
 
 /// Time in which a watch of the store may be silent although there are changes; the platform's
 /// figure is one second.
-pub const SILENCE: Duration = Duration::from_secs(1);
+pub const WATCH_DELAY: Duration = Duration::from_secs(1);
 
 /// Time from the check to the target's taking up of the request, with room for a slow process.
-pub const SENDING: Duration = Duration::from_millis(300);
+pub const DISPATCH_TIME: Duration = Duration::from_millis(300);
 
 /// Age from which what is known denies no route where keys need not be confirmed: a route that was added since is
 /// overdue by the users' usual bounds of two to three seconds.
-pub const DENIAL: Duration = Duration::from_secs(4);
+pub const DENIAL_MAX_AGE: Duration = Duration::from_secs(4);
 
 /// `Source` is who confirmed what is known of keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -46,9 +46,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Freshness {
     /// The bound on the age; none where keys need not be confirmed.
-    limit: Option<Duration>,
+    max_age: Option<Duration>,
     /// When the question was sent that was answered last.
-    asked: Option<Moment>,
+    asked_at: Option<Moment>,
     /// Who answered it.
     source: Option<Source>,
 }
@@ -57,18 +57,18 @@
     /// `new` bounds the age by the time after which a revoked key must not be served.
     #[must_use]
     pub fn new(revoke: Option<Duration>) -> Self {
-        let limit = revoke.map(|r| r.saturating_sub(SILENCE + SENDING));
+        let max_age = revoke.map(|r| r.saturating_sub(WATCH_DELAY + DISPATCH_TIME));
         Self {
-            limit,
-            asked: None,
+            max_age,
+            asked_at: None,
             source: None,
         }
     }
 
     /// `confirm` notes that a question sent at `asked` was answered with the newest state.
     pub fn confirm(&mut self, asked: Moment, source: Source) {
-        if self.asked < Some(asked) {
-            self.asked = Some(asked);
+        if self.asked_at < Some(asked) {
+            self.asked_at = Some(asked);
             self.source = Some(source);
         }
     }
@@ -82,7 +82,7 @@
     /// `age` is the age of what is known; none before the first answer.
     #[must_use]
     pub fn age(&self, now: Moment) -> Option<Duration> {
-        self.asked.map(|at| now.since(at))
+        self.asked_at.map(|at| now.since(at))
     }
 
     /// `may_deny` tells whether what is known is young enough to refuse a request for good.
@@ -91,16 +91,16 @@
     /// added meanwhile.
     #[must_use]
     pub fn may_deny(&self, now: Moment) -> bool {
-        let limit = self.limit.unwrap_or(DENIAL);
-        self.age(now).is_some_and(|age| age < limit)
+        let max_age = self.max_age.unwrap_or(DENIAL_MAX_AGE);
+        self.age(now).is_some_and(|age| age < max_age)
     }
 
     /// `is_fresh` tells whether keys may be trusted.
     #[must_use]
     pub fn is_fresh(&self, now: Moment) -> bool {
-        match (self.limit, self.age(now)) {
+        match (self.max_age, self.age(now)) {
             (None, age) => age.is_some(),
-            (Some(limit), Some(age)) => age < limit,
+            (Some(max_age), Some(age)) => age < max_age,
             (Some(_), None) => false,
         }
     }
--- a/crates/peppercrank-direct/src/in_flight.rs
+++ b/crates/peppercrank-direct/src/in_flight.rs
@@ -29,7 +29,7 @@
         if let Some(stats) = board.of(choice.key) {
             alone = stats.reading == 0 && stats.peers_reading == 0;
             stats.running += 1;
-            stats.reading += choice.reading;
+            stats.reading += choice.prefill_tokens;
             stats.sent(now);
         }
         Self {
@@ -46,10 +46,10 @@
         self.read(board);
         if let Some(stats) = board.of(self.choice.key) {
             stats.succeeded();
-            stats.timed(took.as_secs_f64() * 1_000.0, self.choice.first);
+            stats.timed(took.as_secs_f64() * 1_000.0, self.choice.predicted_first_ms);
         }
         if self.alone {
-            rates.learn(self.choice.reading, took);
+            rates.learn(self.choice.prefill_tokens, took);
         }
     }
 
@@ -70,7 +70,7 @@
         }
         self.unread = false;
         if let Some(stats) = board.of(self.choice.key) {
-            stats.reading = stats.reading.saturating_sub(self.choice.reading);
+            stats.reading = stats.reading.saturating_sub(self.choice.prefill_tokens);
         }
     }
 }
--- a/crates/peppercrank-direct/src/ranks.rs
+++ b/crates/peppercrank-direct/src/ranks.rs
@@ -111,12 +111,12 @@
 
 impl PoolRanks {
     fn add(&mut self, route: &Route, own: &BTreeSet<Option<u8>>) {
-        if route.open || own.is_empty() {
+        if route.public || own.is_empty() {
             self.order.push(priorities(None, route));
         }
         let with = own.iter().map(|own| priorities(*own, route));
         self.order.extend(with);
-        let goal = Some(route.goal).filter(|g| !g.is_zero());
+        let goal = Some(route.latency_goal).filter(|g| !g.is_zero());
         self.goal = self.goal.into_iter().chain(goal).min();
     }
 }
--- a/crates/peppercrank-direct/src/regions.rs
+++ b/crates/peppercrank-direct/src/regions.rs
@@ -30,7 +30,7 @@
 
     /// `both` are those that this and another list allow.
     #[must_use]
-    pub fn both(&self, other: &Self) -> Self {
+    pub fn intersection(&self, other: &Self) -> Self {
         let (Self::Only(own), Self::Only(others)) = (self, other) else {
             return match self {
                 Self::Any => other.clone(),
--- a/crates/peppercrank-direct/src/registration.rs
+++ b/crates/peppercrank-direct/src/registration.rs
@@ -28,7 +28,7 @@
     /// Whether it takes no new work.
     pub leaving: bool,
     /// Time for which it stays cold after it told.
-    pub cold: Duration,
+    pub cold_for: Duration,
 }
 
 impl Registration {
@@ -41,7 +41,7 @@
     /// `draw` is the number by which homes are drawn: of the name alone, so that the prompts of a target that
     /// starts again keep their home, also at routers that have not heard of it.
     #[must_use]
-    pub fn draw(&self) -> u32 {
+    pub fn placement_id(&self) -> u32 {
         TargetId::of(&self.instance, Start::default()).0
     }
 }
--- a/crates/peppercrank-direct/src/starts.rs
+++ b/crates/peppercrank-direct/src/starts.rs
@@ -11,7 +11,7 @@
 //! | --- | --- |
 //! | the known start | word of it |
 //! | one that began later | a new start, at once |
-//! | one that began earlier | in doubt: no work unless the pool has no other, until the known start speaks again, or [`SETTLE`] is over and it stands |
+//! | one that began earlier | in doubt: no work unless the pool has no other, until the known start speaks again, or [`OLDER_START_DELAY`] is over and it stands |
 //! | none, where one is known | an entry of another writer, which names no target |
 //! | removal | the target is gone, and what comes after is a new one |
 //!
@@ -24,7 +24,7 @@
 
 /// Time after which the store's word of an earlier start stands. A living target writes its entry anew within three
 /// heartbeats of 1.2 s, or the entry lapses.
-pub const SETTLE: Duration = Duration::from_secs(4);
+pub const OLDER_START_DELAY: Duration = Duration::from_secs(4);
 
 /// `Start` is the Unix millisecond at which a target started, where it tells that.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -40,7 +40,7 @@
     /// It began earlier: a late write, or a clock that was set back.
     Older,
     /// It is not named although the known one is, so that somebody else wrote the entry.
-    Missing,
+    Unspecified,
 }
 
 impl Start {
@@ -48,7 +48,7 @@
     #[must_use]
     pub fn relation(self, other: Self) -> Relation {
         match other.cmp(&self) {
-            Ordering::Less if other.0.is_none() => Relation::Missing,
+            Ordering::Less if other.0.is_none() => Relation::Unspecified,
             Ordering::Equal => Relation::Same,
             Ordering::Greater => Relation::Newer,
             Ordering::Less => Relation::Older,
@@ -57,7 +57,7 @@
 
     /// `millis` is the Unix millisecond, 0 where it is not told.
     #[must_use]
-    pub fn millis(self) -> u64 {
+    pub fn unix_millis(self) -> u64 {
         self.0.unwrap_or(0)
     }
 }
--- a/crates/peppercrank-direct/src/suspension.rs
+++ b/crates/peppercrank-direct/src/suspension.rs
@@ -8,23 +8,23 @@
 use std::time::Duration;
 
 /// The shortest suspension that is noticed: a tenth of the shortest bounds. Below it clocks differ by the time between two reads.
-const LEAST: Duration = Duration::from_millis(100);
+const MIN_SUSPENSION: Duration = Duration::from_millis(100);
 
 /// `Suspension` notices suspensions.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Suspension {
     /// The suspended time in all that was noticed.
-    seen: Duration,
+    total_seen: Duration,
 }
 
 impl Suspension {
     /// `observe` takes in how long the machine was suspended in all, and returns the part that is new; none where it was not.
     pub fn observe(&mut self, suspended: Duration) -> Option<Duration> {
-        let new = suspended.saturating_sub(self.seen);
-        if new < LEAST {
+        let new = suspended.saturating_sub(self.total_seen);
+        if new < MIN_SUSPENSION {
             return None;
         }
-        self.seen = suspended;
+        self.total_seen = suspended;
         Some(new)
     }
 }
--- a/crates/peppercrank-direct/src/truncation.rs
+++ b/crates/peppercrank-direct/src/truncation.rs
@@ -13,15 +13,15 @@
 
 /// `GATHER` is the pause before what may have been cut off an answer is asked for. Entries that are written in a row gather in
 /// it, as all routers of a fleet start.
-pub const GATHER: Duration = Duration::from_millis(20);
+pub const GATHER_PAUSE: Duration = Duration::from_millis(20);
 
 /// Questions in a row that are asked without the usual pause. It bounds the calls to a store that cuts short while
 /// changes go on: 3,000 targets that come back at once take 30 answers where it cuts at 100.
-const IN_A_ROW: u32 = 64;
+const MAX_CONSECUTIVE: u32 = 64;
 
 /// Part of an answer, as a divisor, by which answers with as many entries of one kind differ. Without it, one change looked as
 /// long as two, and 68 routers made 500 more calls on a day on which targets come and go.
-const DIFFER: usize = 8;
+const SIZE_DIVISOR: usize = 8;
 
 /// `Next` is when to ask for what comes after an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,21 +34,21 @@
 
 /// `Length` is how long an answer is.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Length {
+pub struct AnswerSize {
     /// Changes that it holds.
     pub changes: usize,
     /// Its bytes.
     pub bytes: usize,
 }
 
-impl Length {
+impl AnswerSize {
     /// Whether an answer that ends here may have reached a limit that the longest one kept to.
-    fn reaches(self, longest: Self) -> bool {
+    fn may_reach(self, longest: Self) -> bool {
         if self.changes >= longest.changes {
             return self.changes == longest.changes;
         }
         let each = self.bytes.div_ceil(self.changes.max(1));
-        self.bytes + each > longest.bytes + longest.bytes / DIFFER
+        self.bytes + each > longest.bytes + longest.bytes / SIZE_DIVISOR
     }
 }
 
@@ -56,27 +56,27 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Truncation {
     /// The most changes and the most bytes of an answer so far; the store does not cut below either.
-    longest: Length,
+    longest: AnswerSize,
     /// Questions asked without the usual pause since the last one.
-    row: u32,
+    consecutive: u32,
 }
 
 impl Truncation {
     /// `listed` notes a page of a list, which shows that the store does not cut answers of fewer bytes.
-    pub fn listed(&mut self, bytes: usize) {
+    pub fn record_list_page(&mut self, bytes: usize) {
         self.longest.bytes = self.longest.bytes.max(bytes);
     }
 
     /// `next` notes an answer and tells when to ask for what comes after it.
-    pub fn next(&mut self, answer: Length) -> Next {
-        let whole = answer.changes == 0 || !answer.reaches(self.longest);
+    pub fn record_answer(&mut self, answer: AnswerSize) -> Next {
+        let whole = answer.changes == 0 || !answer.may_reach(self.longest);
         self.longest.changes = self.longest.changes.max(answer.changes);
         self.longest.bytes = self.longest.bytes.max(answer.bytes);
-        if whole || self.row >= IN_A_ROW {
-            self.row = 0;
+        if whole || self.consecutive >= MAX_CONSECUTIVE {
+            self.consecutive = 0;
             return Next::Paced;
         }
-        self.row += 1;
+        self.consecutive += 1;
         Next::Soon
     }
 }
--- a/crates/peppercrank-direct/src/warm_up.rs
+++ b/crates/peppercrank-direct/src/warm_up.rs
@@ -34,23 +34,23 @@
 const WINDOW: Duration = Duration::from_secs(1);
 
 /// Part of what a target bears that is shared out.
-const SHARED_OUT: f64 = 0.5;
+const SHARED_PART: f64 = 0.5;
 
 /// Time for a target to count as cold beyond what is known: its entry is read late.
-pub const MARGIN: Duration = Duration::from_millis(500);
+pub const COLD_MARGIN: Duration = Duration::from_millis(500);
 
 /// Time without an answer of the store after which targets may have become cold unheard: beyond a watch that waits in vain, the
 /// pause after it and its answer.
-const UNHEARD: Duration = Duration::from_millis(7_500);
+const STALE_AFTER: Duration = Duration::from_millis(7_500);
 
 /// The same where the store is known not to answer.
-const AWAY: Duration = Duration::from_secs(3);
+const STALE_AFTER_OUTAGE: Duration = Duration::from_secs(3);
 
 /// `WarmUp` is how targets of a pool warm up.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WarmUp {
     /// Time for which a target is cold.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Requests a second that a cold target bears.
     pub rate: f64,
 }
@@ -71,16 +71,16 @@
     clippy::cast_sign_loss,
     reason = "it is one at least, and saturates at the upper end"
 )]
-pub fn shared_out(warm_up: &WarmUp, allowance: &Allowance) -> usize {
+pub fn fleet_budget(warm_up: &WarmUp, allowance: &Allowance) -> usize {
     let bound = warm_up.rate * allowance.overage + allowance.slack;
-    (bound * SHARED_OUT).min(warm_up.rate).max(1.0) as usize
+    (bound * SHARED_PART).min(warm_up.rate).max(1.0) as usize
 }
 
 /// `Members` are the routers that share a cold target's rate.
 #[derive(Debug, Clone, Default)]
-pub struct Members {
+pub struct RouterSet {
     /// Hashes of the names of the registered ones, this one among them.
-    names: Vec<u64>,
+    hashes: Vec<u64>,
     /// This router's.
     own: u64,
     /// Whether they were listed at all.
@@ -89,14 +89,14 @@
     version: u64,
 }
 
-impl Members {
+impl RouterSet {
     /// `set` notes who is registered, and which of them this router is.
     pub fn set<'a>(&mut self, own: &str, others: impl Iterator<Item = &'a str>) {
         self.own = hash(own);
-        self.names = others.map(hash).collect();
-        self.names.push(self.own);
-        self.names.sort_unstable();
-        self.names.dedup();
+        self.hashes = others.map(hash).collect();
+        self.hashes.push(self.own);
+        self.hashes.sort_unstable();
+        self.hashes.dedup();
         self.listed = true;
         self.version += 1;
     }
@@ -108,8 +108,8 @@
         if !self.listed {
             return 0;
         }
-        let known = self.names.len();
-        let own = rank(self.own, target);
+        let known = self.hashes.len();
+        let own = router_rank(self.own, target);
         if known * 4 < heard * 3 {
             // Those that the list lacks draw as well, each by itself, so that fewer are let draw.
             let each = u64::MAX / heard as u64;
@@ -119,7 +119,7 @@
         if known <= requests {
             return requests / known;
         }
-        let ranks = self.names.iter().map(|name| rank(*name, target));
+        let ranks = self.hashes.iter().map(|name| router_rank(*name, target));
         usize::from(ranks.filter(|r| *r > own).count() < requests)
     }
 }
@@ -130,7 +130,7 @@
 }
 
 /// A router's rank for a target.
-fn rank(name: u64, target: u32) -> u64 {
+fn router_rank(name: u64, target: u32) -> u64 {
     hash64(name, &target.to_le_bytes())
 }
 
@@ -147,18 +147,22 @@
 
 /// What this router knows of one cold target.
 #[derive(Debug, Clone, Default)]
-struct Sent {
+struct SendHistory {
     /// The version of the members and the number of routers heard by which its share was found, and that share.
     share: Option<(u64, usize, usize)>,
     /// When it was sent requests within the last window.
-    at: VecDeque<Moment>,
+    times: VecDeque<Moment>,
 }
 
-impl Sent {
+impl SendHistory {
     /// Forgets what was sent before the last window.
     fn expire(&mut self, now: Moment) {
-        while self.at.front().is_some_and(|at| now.since(*at) >= WINDOW) {
-            self.at.pop_front();
+        while self
+            .times
+            .front()
+            .is_some_and(|at| now.since(*at) >= WINDOW)
+        {
+            self.times.pop_front();
         }
     }
 }
@@ -167,38 +171,38 @@
 #[derive(Debug, Clone, Default)]
 pub struct Gate {
     /// The routers that share the targets' rates.
-    pub members: Members,
-    sent: SecondaryMap<TargetKey, Sent>,
-    unreachable: SecondaryMap<TargetKey, Moment>,
+    pub routers: RouterSet,
+    history: SecondaryMap<TargetKey, SendHistory>,
+    unreachable_at: SecondaryMap<TargetKey, Moment>,
     /// When the store answered a question for targets last.
-    heard: Option<Moment>,
+    last_answer: Option<Moment>,
 }
 
 impl Gate {
     /// `heard` notes that the store told what changed of the targets.
-    pub const fn heard(&mut self, now: Moment) {
-        self.heard = Some(now);
+    pub const fn store_answered(&mut self, now: Moment) {
+        self.last_answer = Some(now);
     }
 
     /// `is_blind` tells whether targets may have become cold unheard by a router that has not reached the store since `away`.
     #[must_use]
-    pub fn is_blind(&self, now: Moment, away: Option<Moment>) -> bool {
-        let Some(heard) = self.heard else {
+    pub fn is_stale(&self, now: Moment, away: Option<Moment>) -> bool {
+        let Some(heard) = self.last_answer else {
             return true;
         };
-        let long_away = away.is_some_and(|since| now.since(since) >= AWAY);
-        long_away || now.since(heard) >= UNHEARD
+        let long_away = away.is_some_and(|since| now.since(since) >= STALE_AFTER_OUTAGE);
+        long_away || now.since(heard) >= STALE_AFTER
     }
 
     /// `unreachable` notes that a connection to a target was refused or not answered.
-    pub fn unreachable(&mut self, now: Moment, key: TargetKey) {
-        self.unreachable.insert(key, now);
+    pub fn mark_unreachable(&mut self, now: Moment, key: TargetKey) {
+        self.unreachable_at.insert(key, now);
     }
 
     /// `was_unreachable` is when that happened last.
     #[must_use]
-    pub fn was_unreachable(&self, key: TargetKey) -> Option<Moment> {
-        self.unreachable.get(key).copied()
+    pub fn last_unreachable(&self, key: TargetKey) -> Option<Moment> {
+        self.unreachable_at.get(key).copied()
     }
 
     /// `opens` is when a cold target of this short name may be sent a request, of so many that all routers together may send it in
@@ -210,20 +214,20 @@
         requests: usize,
         heard: usize,
     ) -> Opens {
-        let Some(entry) = self.sent.entry(key) else {
+        let Some(entry) = self.history.entry(key) else {
             return Opens::Never;
         };
         let sent = entry.or_default();
-        let version = self.members.version;
+        let version = self.routers.version;
         let share = match sent.share {
             Some((of, among, share)) if (of, among) == (version, heard) => share,
-            _ => self.members.share(name, requests, heard),
+            _ => self.routers.share(name, requests, heard),
         };
         sent.share = Some((version, heard, share));
         sent.expire(now);
-        match (share, sent.at.front()) {
+        match (share, sent.times.front()) {
             (0, _) => Opens::Never,
-            (share, Some(first)) if sent.at.len() >= share => {
+            (share, Some(first)) if sent.times.len() >= share => {
                 Opens::After((*first + WINDOW).since(now))
             }
             _ => Opens::Now,
@@ -231,16 +235,16 @@
     }
 
     /// `sent` notes that a cold target was sent a request.
-    pub fn sent(&mut self, now: Moment, key: TargetKey) {
-        if let Some(sent) = self.sent.get_mut(key) {
+    pub fn record_sent(&mut self, now: Moment, key: TargetKey) {
+        if let Some(sent) = self.history.get_mut(key) {
             sent.expire(now);
-            sent.at.push_back(now);
+            sent.times.push_back(now);
         }
     }
 
     /// `forget` drops what is known of a target that is gone.
     pub fn forget(&mut self, key: TargetKey) {
-        self.sent.remove(key);
-        self.unreachable.remove(key);
+        self.history.remove(key);
+        self.unreachable_at.remove(key);
     }
 }
--- a/crates/peppercrank-direct/tests/verify_catch_up.rs
+++ b/crates/peppercrank-direct/tests/verify_catch_up.rs
@@ -9,10 +9,10 @@
 
 use std::time::Duration;
 
+use peppercrank_direct::catch_up::CHANGES_MAX_AGE;
 use peppercrank_direct::catch_up::CatchUp;
-use peppercrank_direct::catch_up::FEW;
 use peppercrank_direct::catch_up::Proof;
-use peppercrank_direct::catch_up::Reading;
+use peppercrank_direct::catch_up::ReadMode;
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
 
@@ -21,7 +21,7 @@
 
 /// A store with one entry whose version is its revision, and a router that reads it.
 #[derive(Debug, Default)]
-struct World {
+struct Model {
     newest: u64,
     version: u64,
     catch_up: CatchUp,
@@ -32,14 +32,14 @@
 /// A question on its way: what was asked, and the newest version then.
 #[derive(Debug, Clone, Copy)]
 struct Asked {
-    reading: Reading,
+    reading: ReadMode,
     newest: u64,
 }
 
-impl World {
+impl Model {
     fn ask(&self, age: Option<Duration>) -> Asked {
         Asked {
-            reading: self.catch_up.reading(age),
+            reading: self.catch_up.next_read(age),
             newest: self.newest,
         }
     }
@@ -48,8 +48,8 @@
     /// proves what does not hold.
     fn answer(&mut self, asked: Asked, most: u64) -> bool {
         let (shown, versions) = match asked.reading {
-            Reading::Snapshot => (self.newest, u64::from(self.newest > 0)),
-            Reading::Changes(after) => {
+            ReadMode::Snapshot => (self.newest, u64::from(self.newest > 0)),
+            ReadMode::Changes(after) => {
                 let shown = self.newest.min(after + most);
                 (shown, shown - after)
             }
@@ -58,114 +58,119 @@
         self.version = self.version.max(shown);
         self.read += versions;
         let versions = usize::try_from(versions).expect("few");
-        let proof = self.catch_up.read(asked.reading, shown, versions, newer);
+        let proof = self
+            .catch_up
+            .record_read(asked.reading, shown, versions, newer);
         proof == Proof::Nothing || self.version >= asked.newest
     }
 }
 
 #[test]
-fn verify_the_state_is_read_where_changes_may_be_many() {
+fn verify_a_snapshot_is_read_where_changes_may_be_many() {
     let mut catch_up = CatchUp::default();
-    assert_eq!(catch_up.reading(YOUNG), Reading::Snapshot);
-    assert_eq!(catch_up.read(Reading::Snapshot, 7, 1, true), Proof::Newest);
-    let almost = FEW.saturating_sub(Duration::from_millis(1));
+    assert_eq!(catch_up.next_read(YOUNG), ReadMode::Snapshot);
+    assert_eq!(
+        catch_up.record_read(ReadMode::Snapshot, 7, 1, true),
+        Proof::Newest
+    );
+    let almost = CHANGES_MAX_AGE.saturating_sub(Duration::from_millis(1));
     let rows = [
-        (YOUNG, Reading::Changes(7)),
-        (Some(almost), Reading::Changes(7)),
-        (Some(FEW), Reading::Snapshot),
-        (None, Reading::Snapshot),
+        (YOUNG, ReadMode::Changes(7)),
+        (Some(almost), ReadMode::Changes(7)),
+        (Some(CHANGES_MAX_AGE), ReadMode::Snapshot),
+        (None, ReadMode::Snapshot),
     ];
-    for (age, reading) in rows {
-        assert_eq!(catch_up.reading(age), reading, "{age:?}");
+    for (age, mode) in rows {
+        assert_eq!(catch_up.next_read(age), mode, "{age:?}");
     }
-    catch_up.forget();
-    assert_eq!(catch_up.reading(YOUNG), Reading::Snapshot);
-    assert_eq!(catch_up.known(), None);
+    catch_up.reset();
+    assert_eq!(catch_up.next_read(YOUNG), ReadMode::Snapshot);
+    assert_eq!(catch_up.revision(), None);
 }
 
 #[test]
 fn verify_changes_prove_nothing_unless_there_are_none() {
     let mut catch_up = CatchUp::default();
     let rows = [
-        (Reading::Snapshot, 3, 0, Proof::Newest),
-        (Reading::Changes(3), 3, 0, Proof::Newest),
-        (Reading::Changes(3), 4, 1, Proof::Nothing),
-        (Reading::Changes(4), 9, 5, Proof::Nothing),
-        (Reading::Snapshot, 9, 1, Proof::Newest),
+        (ReadMode::Snapshot, 3, 0, Proof::Newest),
+        (ReadMode::Changes(3), 3, 0, Proof::Newest),
+        (ReadMode::Changes(3), 4, 1, Proof::Nothing),
+        (ReadMode::Changes(4), 9, 5, Proof::Nothing),
+        (ReadMode::Snapshot, 9, 1, Proof::Newest),
     ];
     for (reading, revision, versions, proof) in rows {
-        let read = catch_up.read(reading, revision, versions, versions > 0);
+        let read = catch_up.record_read(reading, revision, versions, versions > 0);
         assert_eq!(read, proof, "{reading:?} {revision}");
-        assert_eq!(catch_up.known(), Some(revision));
+        assert_eq!(catch_up.revision(), Some(revision));
     }
     // An answer that was overtaken takes nothing back.
-    let _proof = catch_up.read(Reading::Changes(3), 4, 1, false);
-    assert_eq!(catch_up.known(), Some(9));
+    let _proof = catch_up.record_read(ReadMode::Changes(3), 4, 1, false);
+    assert_eq!(catch_up.revision(), Some(9));
 }
 
 #[test]
-fn verify_a_series_of_versions_is_not_read_one_by_one() {
+fn verify_frequent_versions_are_not_read_one_by_one() {
     // A version each quarter of a second, and a read each 0.7 s, for half a minute.
-    let mut world = World::default();
+    let mut model = Model::default();
     let mut reads = 0;
     for tick in 1..=120 {
-        world.newest += 1;
+        model.newest += 1;
         if tick % 3 == 0 {
-            let asked = world.ask(YOUNG);
-            assert!(world.answer(asked, 20));
+            let asked = model.ask(YOUNG);
+            assert!(model.answer(asked, 20));
             reads += 1;
         }
     }
-    assert_eq!(world.version, 120);
+    assert_eq!(model.version, 120);
     // By the history it would be all 120.
-    assert!(world.read <= reads + 3, "{} in {reads} reads", world.read);
+    assert!(model.read <= reads + 3, "{} in {reads} reads", model.read);
     // Once the series is over, a read that finds nothing new costs no version.
     for _ in 0..3 {
-        let asked = world.ask(YOUNG);
-        assert!(world.answer(asked, 20));
+        let asked = model.ask(YOUNG);
+        assert!(model.answer(asked, 20));
     }
-    let before = world.read;
-    let asked = world.ask(YOUNG);
-    assert!(world.answer(asked, 20));
-    assert_eq!(world.read, before);
+    let before = model.read;
+    let asked = model.ask(YOUNG);
+    assert!(model.answer(asked, 20));
+    assert_eq!(model.read, before);
 }
 
 #[test]
-fn verify_nothing_is_proved_that_does_not_hold_and_each_return_ends() {
+fn verify_proofs_hold_and_one_read_catches_up() {
     /// Each byte is an event: versions are written, questions are sent, answered late, lost or
     /// overtaken; answers are cut.
     fn holds(steps: Vec<u8>) -> bool {
-        let mut world = World::default();
+        let mut model = Model::default();
         let mut waiting = Vec::new();
         for step in steps {
             let most = u64::from(step >> 5) + 1;
             let age = match step & 3 {
                 0 => None,
-                1 => Some(FEW),
+                1 => Some(CHANGES_MAX_AGE),
                 _ => YOUNG,
             };
             match (step >> 2) & 7 {
-                0..=2 => world.newest += most,
-                3 | 4 => waiting.push(world.ask(age)),
+                0..=2 => model.newest += most,
+                3 | 4 => waiting.push(model.ask(age)),
                 5 if !waiting.is_empty() => {
                     let asked = waiting.remove(0);
-                    if !world.answer(asked, most) {
+                    if !model.answer(asked, most) {
                         return false;
                     }
                 }
                 6 if !waiting.is_empty() => {
                     let asked = waiting.swap_remove(0);
-                    if !world.answer(asked, most) {
+                    if !model.answer(asked, most) {
                         return false;
                     }
                 }
-                7 if step & 3 == 3 => world.catch_up.forget(),
+                7 if step & 3 == 3 => model.catch_up.reset(),
                 _ => drop(waiting.pop()),
             }
         }
         // Back in touch after a while: one answer is enough, whatever was missed.
-        let asked = world.ask(Some(FEW));
-        world.answer(asked, 1) && world.version == world.newest
+        let asked = model.ask(Some(CHANGES_MAX_AGE));
+        model.answer(asked, 1) && model.version == model.newest
     }
     QuickCheck::new()
         .tests(5_000)
--- a/crates/peppercrank-direct/tests/verify_decide.rs
+++ b/crates/peppercrank-direct/tests/verify_decide.rs
@@ -26,23 +26,23 @@
 fn request() -> PlacementRequest {
     PlacementRequest {
         policy: Policy::Cost,
-        id: 1,
-        home: 7,
-        goal: Duration::from_secs(1),
-        cap: 2.0,
-        tokens: 1_000,
-        shared: 0,
+        id_hash: 1,
+        home_hash: 7,
+        latency_goal: Duration::from_secs(1),
+        cap_factor: 2.0,
+        prompt_tokens: 1_000,
+        shared_tokens: 0,
         size: 1_500,
-        copying: None,
+        copy_rate: None,
     }
 }
 
-fn attempt(first: bool) -> Attempt {
+fn attempt(is_first: bool) -> Attempt {
     Attempt {
         rank: LEAST_URGENT,
-        goal: Duration::from_secs(1),
-        left: Duration::from_secs(30),
-        first,
+        pool_goal: Duration::from_secs(1),
+        time_left: Duration::from_secs(30),
+        is_first,
     }
 }
 
@@ -53,12 +53,12 @@
     stats.reading = reading;
     Candidate {
         key: TargetKey::default(),
-        name: 1,
+        placement_id: 1,
         slots: 64,
-        near: true,
-        held: 0,
-        fresh: false,
-        lag: Duration::ZERO,
+        same_zone: true,
+        held_tokens: 0,
+        recently_joined: false,
+        peers_lag: Duration::ZERO,
         stats,
     }
 }
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn verify_a_prompt_does_not_wait_behind_others_because_places_are_free() {
+fn verify_admission_counts_prefill_work_where_slots_are_free() {
     // A flood fills no places at first: 10,000 tokens take 200 ms to read.
     let mut admission = Admission::default();
     let refused = at(0, &mut admission, true, &[target(10_000)]);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn verify_what_would_wait_too_long_is_refused_unless_one_target_has_room() {
+fn verify_requests_that_would_wait_too_long_are_refused_unless_a_target_has_room() {
     // 200,000 tokens take four seconds to read.
     let mut admission = Admission::default();
     let mut targets = [target(200_000), target(200_000), target(200_000)];
@@ -102,17 +102,17 @@
     targets[1].slots = 65;
     let sent = at(0, &mut admission, true, &targets);
     assert!(
-        matches!(sent, Decision::Send(c) if c.reading == 1_000),
+        matches!(sent, Decision::Send(c) if c.prefill_tokens == 1_000),
         "{sent:?}"
     );
     let Decision::Send(choice) = sent else {
         panic!("{sent:?}");
     };
-    assert!(choice.first < 1_000.0, "{choice:?}");
+    assert!(choice.predicted_first_ms < 1_000.0, "{choice:?}");
 }
 
 #[test]
-fn verify_what_was_admitted_once_is_tried_again_before_what_is_new() {
+fn verify_retries_of_admitted_requests_precede_new_requests() {
     let mut admission = Admission::default();
     let busy = [target(10_000)];
     assert!(matches!(
@@ -126,13 +126,13 @@
 }
 
 #[test]
-fn verify_callers_return_later_the_longer_there_is_no_target() {
+fn verify_retry_delay_grows_while_there_is_no_target() {
     let mut admission = Admission::default();
-    let after = |millis, admission: &mut Admission| match at(millis, admission, true, &[]) {
-        Decision::NoTarget { after } => after,
+    let retry_after = |millis, admission: &mut Admission| match at(millis, admission, true, &[]) {
+        Decision::NoTarget { retry_after } => retry_after,
         other => panic!("{other:?}"),
     };
-    let first = after(0, &mut admission);
+    let first = retry_after(0, &mut admission);
     assert!(first < Duration::from_millis(500), "{first:?}");
-    assert_eq!(after(8_000, &mut admission), Duration::from_secs(4));
+    assert_eq!(retry_after(8_000, &mut admission), Duration::from_secs(4));
 }
--- a/crates/peppercrank-direct/tests/verify_directory.rs
+++ b/crates/peppercrank-direct/tests/verify_directory.rs
@@ -9,13 +9,13 @@
 use peppercrank_core::time::Moment;
 use peppercrank_direct::directory::Change;
 use peppercrank_direct::directory::Directory;
-use peppercrank_direct::directory::Noted;
 use peppercrank_direct::directory::RETURN_GRACE;
 use peppercrank_direct::directory::Registration;
-use peppercrank_direct::directory::Withheld;
+use peppercrank_direct::directory::TargetEvent;
+use peppercrank_direct::directory::WithheldReason;
 use peppercrank_direct::notice::Notice;
+use peppercrank_direct::starts::OLDER_START_DELAY;
 use peppercrank_direct::starts::Relation;
-use peppercrank_direct::starts::SETTLE;
 use peppercrank_direct::starts::Start;
 
 fn entry(instance: &str, leaving: bool) -> Registration {
@@ -27,7 +27,7 @@
         zone: "a".into(),
         slots: 4,
         leaving,
-        cold: Duration::ZERO,
+        cold_for: Duration::ZERO,
     }
 }
 
@@ -53,47 +53,53 @@
 const ZERO: Moment = Moment::ZERO;
 
 #[test]
-fn verify_a_mark_holds_whatever_comes_after() {
+fn verify_a_leaving_mark_is_permanent() {
     let mut directory = Directory::default();
     directory.apply(ZERO, put("one", false));
     directory.apply(ZERO, put("two", false));
     assert!(matches!(
         directory.apply(ZERO, put("one", true)),
-        Noted::Left(_)
+        TargetEvent::MarkedLeaving(_)
     ));
     assert_eq!(ready(&directory, ZERO), ["two"]);
     directory.apply(ZERO, put("one", false));
     directory.store_lost();
     assert_eq!(ready(&directory, ZERO), ["two"]);
-    directory.store_back(ZERO);
+    directory.store_recovered(ZERO);
     directory.replace(ZERO, vec![put("one", false), put("two", false)]);
     assert_eq!(ready(&directory, ZERO), ["two"]);
 }
 
 /// Lets a target say that it leaves.
-fn say_leaving(directory: &mut Directory, instance: &str) -> Noted {
+fn send_leaving_notice(directory: &mut Directory, instance: &str) -> TargetEvent {
     let key = directory.find(instance).expect("a key");
     let notice = Notice {
         leaving: true,
         ..Notice::default()
     };
-    directory.noticed(ZERO, key, notice)
+    directory.apply_notice(ZERO, key, notice)
 }
 
 #[test]
-fn verify_a_target_that_said_it_leaves_takes_no_more_work_whatever_the_store_tells() {
+fn verify_a_leaving_notice_overrides_the_store() {
     let mut directory = Directory::default();
     for name in ["one", "two"] {
         directory.apply(ZERO, put(name, false));
     }
-    assert!(matches!(say_leaving(&mut directory, "one"), Noted::Left(_)));
-    assert_eq!(say_leaving(&mut directory, "one"), Noted::Nothing);
+    assert!(matches!(
+        send_leaving_notice(&mut directory, "one"),
+        TargetEvent::MarkedLeaving(_)
+    ));
+    assert_eq!(
+        send_leaving_notice(&mut directory, "one"),
+        TargetEvent::NoChange
+    );
     assert_eq!(ready(&directory, ZERO), ["two"]);
     directory.apply(ZERO, put("one", false));
     assert_eq!(ready(&directory, ZERO), ["two"]);
     // Its entry lapses while the store is away, and is written again.
     directory.store_lost();
-    directory.store_back(ZERO);
+    directory.store_recovered(ZERO);
     directory.replace(ZERO, vec![put("two", false)]);
     assert!(directory.find("one").is_none());
     directory.apply(ZERO, put("one", false));
@@ -101,72 +107,81 @@
 }
 
 #[test]
-fn verify_a_target_that_said_it_leaves_while_its_entry_is_missing_is_gone() {
+fn verify_a_leaving_notice_of_a_target_without_an_entry_removes_it() {
     let mut directory = Directory::default();
     directory.apply(ZERO, put("one", false));
     directory.store_lost();
-    directory.store_back(ZERO);
+    directory.store_recovered(ZERO);
     directory.replace(ZERO, Vec::new());
     assert_eq!(ready(&directory, ZERO), ["one"]);
-    assert!(matches!(say_leaving(&mut directory, "one"), Noted::Gone(_)));
+    assert!(matches!(
+        send_leaving_notice(&mut directory, "one"),
+        TargetEvent::Gone(_)
+    ));
     assert!(directory.is_empty());
     directory.apply(ZERO, put("one", false));
     assert!(ready(&directory, ZERO).is_empty());
 }
 
 #[test]
-fn verify_a_target_that_said_it_leaves_takes_work_after_it_started_again() {
+fn verify_a_leaving_notice_ends_with_its_start() {
     let mut directory = Directory::default();
-    directory.apply(ZERO, born(Some(1)));
-    say_leaving(&mut directory, "one");
-    directory.apply(ZERO, born(Some(2)));
+    directory.apply(ZERO, entry_of_start(Some(1)));
+    send_leaving_notice(&mut directory, "one");
+    directory.apply(ZERO, entry_of_start(Some(2)));
     assert_eq!(ready(&directory, ZERO), ["one"]);
-    say_leaving(&mut directory, "one");
+    send_leaving_notice(&mut directory, "one");
     directory.apply(ZERO, removed("one"));
-    directory.apply(ZERO, born(Some(3)));
+    directory.apply(ZERO, entry_of_start(Some(3)));
     assert_eq!(ready(&directory, ZERO), ["one"]);
 }
 
 /// Lets a target ask for a pause of so many seconds.
-fn ask_pause(directory: &mut Directory, now: Moment, seconds: u64) -> Noted {
+fn send_pause_notice(directory: &mut Directory, now: Moment, seconds: u64) -> TargetEvent {
     let key = directory.find("one").expect("a key");
     let notice = Notice {
         pause: Some(Duration::from_secs(seconds)),
         ..Notice::default()
     };
-    directory.noticed(now, key, notice)
+    directory.apply_notice(now, key, notice)
 }
 
 #[test]
-fn verify_the_longest_pause_that_a_target_asked_for_counts() {
+fn verify_the_longest_requested_pause_applies() {
     let mut directory = Directory::default();
     directory.apply(ZERO, put("one", false));
     assert!(matches!(
-        ask_pause(&mut directory, ZERO, 5),
-        Noted::Paused(_)
+        send_pause_notice(&mut directory, ZERO, 5),
+        TargetEvent::Paused(_)
     ));
-    assert_eq!(ask_pause(&mut directory, ZERO, 3), Noted::Nothing);
+    assert_eq!(
+        send_pause_notice(&mut directory, ZERO, 3),
+        TargetEvent::NoChange
+    );
     let before = Moment::from_millis(4_999);
     let end = Moment::from_millis(5_000);
     assert!(ready(&directory, before).is_empty());
     assert_eq!(ready(&directory, end), ["one"]);
     assert!(matches!(
-        ask_pause(&mut directory, end, 1),
-        Noted::Paused(_)
+        send_pause_notice(&mut directory, end, 1),
+        TargetEvent::Paused(_)
     ));
-    assert_eq!(ask_pause(&mut directory, end, 0), Noted::Nothing);
+    assert_eq!(
+        send_pause_notice(&mut directory, end, 0),
+        TargetEvent::NoChange
+    );
     assert!(ready(&directory, end).is_empty());
 }
 
 #[test]
 fn verify_a_pause_outlasts_the_targets_entry_and_ends_with_its_start() {
     let mut directory = Directory::default();
-    directory.apply(ZERO, born(Some(1)));
-    ask_pause(&mut directory, ZERO, 5);
+    directory.apply(ZERO, entry_of_start(Some(1)));
+    send_pause_notice(&mut directory, ZERO, 5);
     directory.apply(ZERO, removed("one"));
-    directory.apply(ZERO, born(Some(1)));
+    directory.apply(ZERO, entry_of_start(Some(1)));
     assert!(ready(&directory, ZERO).is_empty());
-    directory.apply(ZERO, born(Some(2)));
+    directory.apply(ZERO, entry_of_start(Some(2)));
     assert_eq!(ready(&directory, ZERO), ["one"]);
 }
 
@@ -174,34 +189,37 @@
 fn verify_a_paused_target_counts_in_its_pools_load_and_a_leaving_one_does_not() {
     let mut directory = Directory::default();
     directory.apply(ZERO, put("one", false));
-    ask_pause(&mut directory, ZERO, 5);
-    let why = |d: &Directory| d.finishing(ZERO, "pool").map(|(_, why)| why).next();
-    assert!(why(&directory).is_some_and(Withheld::serves_on));
-    say_leaving(&mut directory, "one");
-    assert_eq!(why(&directory), Some(Withheld::Leaving));
-    assert!(!Withheld::Leaving.serves_on());
+    send_pause_notice(&mut directory, ZERO, 5);
+    let why = |d: &Directory| d.draining(ZERO, "pool").map(|(_, why)| why).next();
+    assert!(why(&directory).is_some_and(WithheldReason::keeps_serving));
+    send_leaving_notice(&mut directory, "one");
+    assert_eq!(why(&directory), Some(WithheldReason::Leaving));
+    assert!(!WithheldReason::Leaving.keeps_serving());
 }
 
 #[test]
-fn verify_a_removed_entry_takes_no_more_work_at_once() {
+fn verify_a_removed_target_gets_no_new_work() {
     let mut directory = Directory::default();
     directory.apply(ZERO, put("one", false));
     let key = directory.find("one").expect("a key");
-    assert_eq!(directory.apply(ZERO, removed("one")), Noted::Gone(key));
-    assert!(!directory.usable(ZERO, key));
+    assert_eq!(
+        directory.apply(ZERO, removed("one")),
+        TargetEvent::Gone(key)
+    );
+    assert!(!directory.is_usable(ZERO, key));
     assert!(directory.is_empty());
-    assert_eq!(directory.apply(ZERO, removed("one")), Noted::Nothing);
+    assert_eq!(directory.apply(ZERO, removed("one")), TargetEvent::NoChange);
 }
 
 #[test]
-fn verify_entries_that_lapsed_are_used_for_the_grace_only_if_there_are_no_others() {
+fn verify_expired_entries_are_used_in_the_grace_period_only_if_there_are_no_others() {
     let mut directory = Directory::default();
     for name in ["one", "two"] {
         directory.apply(ZERO, put(name, false));
     }
     directory.store_lost();
     let back = Moment::from_millis(5_000);
-    directory.store_back(back);
+    directory.store_recovered(back);
     directory.replace(back, Vec::new());
     let just = back + RETURN_GRACE.saturating_sub(Duration::from_millis(1));
     assert_eq!(ready(&directory, just), ["one", "two"]);
@@ -216,20 +234,20 @@
 }
 
 #[test]
-fn verify_a_leaving_target_that_lapses_is_gone() {
+fn verify_a_leaving_target_whose_entry_expires_is_gone() {
     let mut directory = Directory::default();
     directory.apply(ZERO, put("one", true));
     directory.store_lost();
-    directory.store_back(ZERO);
+    directory.store_recovered(ZERO);
     directory.replace(ZERO, Vec::new());
     assert!(directory.is_empty());
 }
 
 #[test]
-fn verify_removal_without_an_outage_has_no_grace() {
+fn verify_removal_without_an_outage_has_no_grace_period() {
     let mut directory = Directory::default();
     directory.apply(ZERO, put("one", false));
-    directory.store_back(ZERO);
+    directory.store_recovered(ZERO);
     directory.replace(ZERO, Vec::new());
     assert!(directory.is_empty());
 }
@@ -243,26 +261,26 @@
     directory.apply(ZERO, put("again", false));
     let new = directory.find("again").expect("a key");
     assert_ne!(old, new);
-    assert!(!directory.usable(ZERO, old));
-    assert!(directory.usable(ZERO, new));
+    assert!(!directory.is_usable(ZERO, old));
+    assert!(directory.is_usable(ZERO, new));
     let name = &directory.get(new).expect("a target").registration.instance;
     assert_eq!(*name, Arc::from("again"));
 }
 
 /// An entry of a start.
-fn born(millis: Option<u64>) -> Change {
+fn entry_of_start(millis: Option<u64>) -> Change {
     let mut entry = entry("one", false);
     entry.start = Start(millis);
     Change::Put(entry)
 }
 
 #[test]
-fn verify_what_word_of_a_start_means() {
+fn verify_relations_of_starts() {
     let rows = [
         (Some(5), Some(5), Relation::Same),
         (Some(5), Some(6), Relation::Newer),
         (Some(5), Some(4), Relation::Older),
-        (Some(5), None, Relation::Missing),
+        (Some(5), None, Relation::Unspecified),
         (None, None, Relation::Same),
         (None, Some(4), Relation::Newer),
     ];
@@ -275,55 +293,61 @@
 #[test]
 fn verify_a_new_start_under_the_same_name_is_another_target() {
     let mut directory = Directory::default();
-    directory.apply(ZERO, born(Some(5)));
+    directory.apply(ZERO, entry_of_start(Some(5)));
     let old = directory.find("one").expect("a key");
     directory.apply(ZERO, put("two", false));
     // A mark of leaving belongs to the start that it was told of.
-    directory.lost(ZERO, old);
+    directory.mark_replaced(ZERO, old);
     assert_eq!(ready(&directory, ZERO), ["two"]);
-    let noted = directory.apply(ZERO, born(Some(6)));
+    let noted = directory.apply(ZERO, entry_of_start(Some(6)));
     let new = directory.find("one").expect("a key");
-    assert_eq!(noted, Noted::Restarted { old, new });
+    assert_eq!(noted, TargetEvent::Restarted { old, new });
     assert_ne!(old, new);
-    assert!(!directory.usable(ZERO, old));
+    assert!(!directory.is_usable(ZERO, old));
     assert_eq!(ready(&directory, ZERO), ["one", "two"]);
     // Also where a list tells of it, and the store was away.
     directory.store_lost();
-    directory.store_back(ZERO);
-    let noted = directory.replace(ZERO, vec![born(Some(7)), put("two", false)]);
-    assert!(matches!(noted[0], Noted::Restarted { old, .. } if old == new));
+    directory.store_recovered(ZERO);
+    let noted = directory.replace(ZERO, vec![entry_of_start(Some(7)), put("two", false)]);
+    assert!(matches!(noted[0], TargetEvent::Restarted { old, .. } if old == new));
     // Another writer's entry without a start names no target.
-    directory.apply(ZERO, born(None));
+    directory.apply(ZERO, entry_of_start(None));
     assert_eq!(ready(&directory, ZERO), ["two"]);
-    directory.apply(ZERO, born(Some(7)));
+    directory.apply(ZERO, entry_of_start(Some(7)));
     assert_eq!(ready(&directory, ZERO), ["one", "two"]);
 }
 
 #[test]
-fn verify_an_earlier_start_stands_once_the_store_has_told_of_it_for_long_enough() {
+fn verify_an_earlier_start_is_accepted_after_a_delay() {
     let mut directory = Directory::default();
-    directory.apply(ZERO, born(Some(5)));
+    directory.apply(ZERO, entry_of_start(Some(5)));
     directory.apply(ZERO, put("two", false));
     let old = directory.find("one").expect("a key");
-    assert_eq!(directory.apply(ZERO, born(Some(4))), Noted::InDoubt(old));
+    assert_eq!(
+        directory.apply(ZERO, entry_of_start(Some(4))),
+        TargetEvent::InDoubt(old)
+    );
     assert_eq!(ready(&directory, ZERO), ["two"]);
     // Its further words do not put that off.
-    let later = ZERO + SETTLE / 2;
-    assert_eq!(directory.apply(later, born(Some(4))), Noted::InDoubt(old));
+    let later = ZERO + OLDER_START_DELAY / 2;
+    assert_eq!(
+        directory.apply(later, entry_of_start(Some(4))),
+        TargetEvent::InDoubt(old)
+    );
     assert!(directory.expire(later).is_empty());
-    let settled = ZERO + SETTLE;
+    let settled = ZERO + OLDER_START_DELAY;
     let noted = directory.expire(settled);
-    assert!(matches!(noted[..], [Noted::Restarted { old: ended, .. }] if ended == old));
+    assert!(matches!(noted[..], [TargetEvent::Restarted { old: ended, .. }] if ended == old));
     assert_eq!(ready(&directory, settled), ["one", "two"]);
     // Alone in its pool it is used meanwhile.
     let mut lone = Directory::default();
-    lone.apply(ZERO, born(Some(5)));
-    lone.apply(ZERO, born(Some(4)));
+    lone.apply(ZERO, entry_of_start(Some(5)));
+    lone.apply(ZERO, entry_of_start(Some(4)));
     assert_eq!(ready(&lone, ZERO), ["one"]);
 }
 
 #[test]
-fn verify_an_entry_that_cannot_be_read_names_no_target_and_keeps_a_mark() {
+fn verify_an_unreadable_entry_excludes_its_target_and_keeps_a_leaving_mark() {
     let unreadable = |name: &str| Change::Unreadable(name.into());
     let mut directory = Directory::default();
     directory.apply(ZERO, put("one", false));
@@ -331,10 +355,16 @@
     let one = directory.find("one").expect("a key");
     assert_eq!(
         directory.apply(ZERO, unreadable("one")),
-        Noted::Unreadable(one)
+        TargetEvent::Unreadable(one)
+    );
+    assert_eq!(
+        directory.apply(ZERO, unreadable("two")),
+        TargetEvent::NoChange
+    );
+    assert_eq!(
+        directory.apply(ZERO, unreadable("none")),
+        TargetEvent::NoChange
     );
-    assert_eq!(directory.apply(ZERO, unreadable("two")), Noted::Nothing);
-    assert_eq!(directory.apply(ZERO, unreadable("none")), Noted::Nothing);
     // Alone in its pool it gets no work either.
     assert!(ready(&directory, ZERO).is_empty());
     let listed = vec![unreadable("one"), put("two", false)];
@@ -367,15 +397,15 @@
     directory.apply(ZERO, elsewhere(false));
     directory.apply(ZERO, put("one", false));
     assert_eq!(ready(&directory, ZERO), ["two"]);
-    assert_eq!(directory.finishing(ZERO, "pool").count(), 1);
+    assert_eq!(directory.draining(ZERO, "pool").count(), 1);
 }
 
 #[test]
-fn verify_what_was_in_doubt_does_not_outlast_an_entry_that_cannot_be_read() {
+fn verify_an_unreadable_entry_discards_a_conflicting_start() {
     let mut directory = Directory::default();
-    directory.apply(ZERO, born(Some(5)));
-    directory.apply(ZERO, born(Some(4)));
+    directory.apply(ZERO, entry_of_start(Some(5)));
+    directory.apply(ZERO, entry_of_start(Some(4)));
     directory.apply(ZERO, Change::Unreadable("one".into()));
-    assert!(directory.expire(ZERO + SETTLE).is_empty());
-    assert!(ready(&directory, ZERO + SETTLE).is_empty());
+    assert!(directory.expire(ZERO + OLDER_START_DELAY).is_empty());
+    assert!(ready(&directory, ZERO + OLDER_START_DELAY).is_empty());
 }
--- a/crates/peppercrank-direct/tests/verify_era.rs
+++ b/crates/peppercrank-direct/tests/verify_era.rs
@@ -9,13 +9,13 @@
 use peppercrank_core::time::Moment;
 use peppercrank_direct::directory::Change;
 use peppercrank_direct::directory::Directory;
-use peppercrank_direct::directory::HELD;
-use peppercrank_direct::directory::Noted;
+use peppercrank_direct::directory::RESTORE_HOLD;
 use peppercrank_direct::directory::RETURN_GRACE;
 use peppercrank_direct::directory::Registration;
+use peppercrank_direct::directory::TargetEvent;
 use peppercrank_direct::era::Era;
-use peppercrank_direct::era::Eras;
-use peppercrank_direct::era::Told;
+use peppercrank_direct::era::EraOrder;
+use peppercrank_direct::era::EraTracker;
 use peppercrank_direct::starts::Start;
 
 /// The one millisecond that is there before and after.
@@ -36,7 +36,7 @@
         zone: Arc::from("a"),
         slots: 8,
         leaving: false,
-        cold: Duration::ZERO,
+        cold_for: Duration::ZERO,
     }
 }
 
@@ -49,56 +49,56 @@
     directory
 }
 
-fn takes_work(directory: &Directory, now: Moment, name: &str) -> bool {
+fn is_eligible(directory: &Directory, now: Moment, name: &str) -> bool {
     let key = directory.find(name);
     key.is_some_and(|k| directory.pool(now, "pool").contains(&k))
 }
 
 #[test]
 fn verify_late_answers_of_an_older_era_change_nothing() {
-    let mut eras = Eras::default();
-    assert_eq!(eras.hear(at(0), Era(4)), Told::Same);
-    assert_eq!(eras.hear(at(1), Era(4)), Told::Same);
-    assert_eq!(eras.hear(at(2), Era(5)), Told::Newer);
-    assert_eq!(eras.hear(at(3), Era(4)), Told::Older);
+    let mut eras = EraTracker::default();
+    assert_eq!(eras.observe(at(0), Era(4)), EraOrder::Same);
+    assert_eq!(eras.observe(at(1), Era(4)), EraOrder::Same);
+    assert_eq!(eras.observe(at(2), Era(5)), EraOrder::Newer);
+    assert_eq!(eras.observe(at(3), Era(4)), EraOrder::Older);
     assert_eq!(eras.newest(), Some(Era(5)));
     // Two drills may lie between two answers.
-    assert_eq!(eras.hear(at(4), Era(9)), Told::Newer);
+    assert_eq!(eras.observe(at(4), Era(9)), EraOrder::Newer);
 }
 
 #[test]
-fn verify_a_copy_proves_nothing_to_be_the_newest_until_all_have_written_again() {
-    let mut eras = Eras::default();
-    assert!(eras.vouches(at(0)));
-    eras.hear(at(0), Era(1));
-    assert!(eras.vouches(at(0)));
-    eras.hear(at(1), Era(2));
+fn verify_a_restored_store_proves_nothing_until_entries_are_rewritten() {
+    let mut eras = EraTracker::default();
+    assert!(eras.can_prove_newest(at(0)));
+    eras.observe(at(0), Era(1));
+    assert!(eras.can_prove_newest(at(0)));
+    eras.observe(at(1), Era(2));
     let settled = at(1) + RETURN_GRACE;
-    assert!(!eras.vouches(at(1)) && !eras.vouches(at(2)));
-    assert!(eras.vouches(settled));
-    eras.hear(settled, Era(3));
-    assert!(!eras.vouches(settled));
+    assert!(!eras.can_prove_newest(at(1)) && !eras.can_prove_newest(at(2)));
+    assert!(eras.can_prove_newest(settled));
+    eras.observe(settled, Era(3));
+    assert!(!eras.can_prove_newest(settled));
 }
 
 #[test]
-fn verify_a_target_that_is_gone_is_held_until_a_dead_ones_entry_would_have_lapsed() {
+fn verify_an_entry_of_a_departed_target_is_held_until_it_would_have_expired() {
     let mut directory = directory(&["one", "two"]);
     directory.apply(at(1), Change::Removed(Arc::from("two")));
     directory.store_restored(at(2));
     let list = || ["one", "two"].map(|n| Change::Put(entry(n, 1))).to_vec();
     directory.replace(at(2), list());
     directory.replace(at(3), list());
-    assert!(takes_work(&directory, at(3), "one"));
+    assert!(is_eligible(&directory, at(3), "one"));
     assert_eq!(directory.find("two"), None);
-    let until = at(2) + HELD;
+    let until = at(2) + RESTORE_HOLD;
     assert!(directory.expire(at(3)).is_empty());
     let noted = directory.expire(until);
-    assert!(matches!(noted[..], [Noted::Joined(_)]), "{noted:?}");
-    assert!(takes_work(&directory, until, "two"));
+    assert!(matches!(noted[..], [TargetEvent::Joined(_)]), "{noted:?}");
+    assert!(is_eligible(&directory, until, "two"));
 }
 
 #[test]
-fn verify_a_held_entry_that_lapses_is_gone() {
+fn verify_a_held_entry_that_expires_is_dropped() {
     let mut directory = directory(&["one", "two", "three"]);
     for name in ["two", "three"] {
         directory.apply(at(1), Change::Removed(Arc::from(name)));
@@ -108,38 +108,38 @@
     directory.replace(at(2), listed.to_vec());
     directory.apply(at(4), Change::Removed(Arc::from("two")));
     directory.replace(at(5), vec![Change::Put(entry("one", 1))]);
-    assert!(directory.expire(at(2) + HELD).is_empty());
+    assert!(directory.expire(at(2) + RESTORE_HOLD).is_empty());
     assert_eq!(directory.len(), 1);
 }
 
 #[test]
-fn verify_a_new_start_of_a_target_that_is_gone_counts_at_once() {
+fn verify_a_new_start_of_a_departed_target_joins_at_once() {
     let mut directory = directory(&["one"]);
     directory.apply(at(1), Change::Removed(Arc::from("one")));
     directory.store_restored(at(2));
     let noted = directory.apply(at(2), Change::Put(entry("one", 2)));
-    assert!(matches!(noted, Noted::Joined(_)), "{noted:?}");
+    assert!(matches!(noted, TargetEvent::Joined(_)), "{noted:?}");
 }
 
 #[test]
-fn verify_outside_of_a_return_an_entry_that_is_back_counts_at_once() {
+fn verify_without_a_restore_a_returning_entry_joins_at_once() {
     let mut directory = directory(&["one"]);
     directory.apply(at(1), Change::Removed(Arc::from("one")));
     let noted = directory.apply(at(2), Change::Put(entry("one", 1)));
-    assert!(matches!(noted, Noted::Joined(_)), "{noted:?}");
+    assert!(matches!(noted, TargetEvent::Joined(_)), "{noted:?}");
     directory.apply(at(3), Change::Removed(Arc::from("one")));
     directory.store_restored(at(4));
-    let noted = directory.apply(at(4) + HELD, Change::Put(entry("one", 1)));
-    assert!(matches!(noted, Noted::Joined(_)), "{noted:?}");
+    let noted = directory.apply(at(4) + RESTORE_HOLD, Change::Put(entry("one", 1)));
+    assert!(matches!(noted, TargetEvent::Joined(_)), "{noted:?}");
 }
 
 #[test]
-fn verify_a_target_that_the_copy_lacks_is_missing_and_not_gone() {
+fn verify_a_target_absent_from_a_restored_store_is_missing_and_not_gone() {
     let mut directory = directory(&["one", "two"]);
     directory.store_restored(at(2));
     directory.replace(at(2), vec![Change::Put(entry("one", 1))]);
     let two = directory.find("two").expect("missing");
-    assert!(directory.usable(at(3), two));
+    assert!(directory.is_usable(at(3), two));
     // It writes its entry again, and is the one that it was.
     directory.apply(at(3), Change::Put(entry("two", 1)));
     assert!(directory.expire(at(2) + RETURN_GRACE + TICK).is_empty());
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn verify_a_target_that_leaves_leaves_whatever_the_copy_shows() {
+fn verify_a_leaving_mark_survives_a_restore() {
     let mut directory = directory(&["one", "two"]);
     let mut leaving = entry("two", 1);
     leaving.leaving = true;
@@ -155,6 +155,6 @@
     directory.store_restored(at(2));
     let listed = ["one", "two"].map(|n| Change::Put(entry(n, 1)));
     directory.replace(at(2), listed.to_vec());
-    directory.expire(at(2) + HELD);
-    assert!(!takes_work(&directory, at(2) + HELD, "two"));
+    directory.expire(at(2) + RESTORE_HOLD);
+    assert!(!is_eligible(&directory, at(2) + RESTORE_HOLD, "two"));
 }
--- a/crates/peppercrank-direct/tests/verify_evacuations.rs
+++ b/crates/peppercrank-direct/tests/verify_evacuations.rs
@@ -9,9 +9,9 @@
 use peppercrank_core::time::Moment;
 use peppercrank_direct::directory::Change as TargetChange;
 use peppercrank_direct::directory::Directory;
-use peppercrank_direct::directory::HELD;
+use peppercrank_direct::directory::RESTORE_HOLD;
 use peppercrank_direct::directory::Registration;
-use peppercrank_direct::directory::Withheld;
+use peppercrank_direct::directory::WithheldReason;
 use peppercrank_direct::evacuations::Change;
 use peppercrank_direct::evacuations::Evacuations;
 use peppercrank_direct::starts::Start;
@@ -22,11 +22,11 @@
     names.iter().map(|n| Arc::from(*n)).collect()
 }
 
-fn begun(zone: &str) -> Change {
+fn evacuated_change(zone: &str) -> Change {
     Change::Evacuated(zone.into())
 }
 
-fn ended(zone: &str) -> Change {
+fn restored_change(zone: &str) -> Change {
     Change::Restored(zone.into())
 }
 
@@ -39,44 +39,59 @@
         zone: zone.into(),
         slots: 4,
         leaving,
-        cold: Duration::ZERO,
+        cold_for: Duration::ZERO,
     })
 }
 
 #[test]
-fn verify_only_news_is_told() {
+fn verify_only_actual_changes_are_returned() {
     let mut known = Evacuations::default();
     assert!(!known.is_listed());
-    assert_eq!(known.replace(ZERO, ZERO, &zones(&["a"])), [begun("a")]);
+    assert_eq!(
+        known.replace(ZERO, ZERO, &zones(&["a"])),
+        [evacuated_change("a")]
+    );
     assert!(known.is_listed());
-    assert_eq!(known.apply(ZERO, begun("a")), None);
-    assert_eq!(known.apply(ZERO, ended("b")), None);
+    assert_eq!(known.apply(ZERO, evacuated_change("a")), None);
+    assert_eq!(known.apply(ZERO, restored_change("b")), None);
     let changes = known.replace(ZERO, ZERO, &zones(&["b"]));
-    assert_eq!(changes, [ended("a"), begun("b")]);
-    assert_eq!(known.apply(ZERO, ended("b")), Some(ended("b")));
+    assert_eq!(changes, [restored_change("a"), evacuated_change("b")]);
+    assert_eq!(
+        known.apply(ZERO, restored_change("b")),
+        Some(restored_change("b"))
+    );
     assert!(known.is_empty());
 }
 
 #[test]
-fn verify_a_copy_of_the_store_ends_no_evacuation_at_once() {
+fn verify_a_restored_store_does_not_end_evacuations_at_once() {
     let mut known = Evacuations::default();
     known.replace(ZERO, ZERO, &zones(&["a", "b", "c"]));
     known.store_restored(ZERO);
-    let early = ZERO + HELD / 2;
+    let early = ZERO + RESTORE_HOLD / 2;
     assert!(known.replace(early, early, &[]).is_empty());
     // One is written again, and one is ended by the operator's own word.
-    assert_eq!(known.apply(ZERO, begun("a")), None);
-    assert_eq!(known.apply(ZERO, ended("b")), Some(ended("b")));
-    assert!(known.settle(early, early).is_empty());
+    assert_eq!(known.apply(ZERO, evacuated_change("a")), None);
+    assert_eq!(
+        known.apply(ZERO, restored_change("b")),
+        Some(restored_change("b"))
+    );
+    assert!(known.end_missing(early, early).is_empty());
     assert!(known.contains("c"));
-    assert_eq!(known.settle(ZERO + HELD, ZERO + HELD), [ended("c")]);
+    assert_eq!(
+        known.end_missing(ZERO + RESTORE_HOLD, ZERO + RESTORE_HOLD),
+        [restored_change("c")]
+    );
     assert!(known.contains("a"));
     // From then on the list is the operator's word again.
-    assert_eq!(known.replace(ZERO + HELD, ZERO + HELD, &[]), [ended("a")]);
+    assert_eq!(
+        known.replace(ZERO + RESTORE_HOLD, ZERO + RESTORE_HOLD, &[]),
+        [restored_change("a")]
+    );
 }
 
 #[test]
-fn verify_the_digest_tells_sets_apart_and_not_their_order() {
+fn verify_the_digest_depends_on_the_set_and_not_its_order() {
     let digest = |names: &[&str]| {
         let mut known = Evacuations::default();
         known.replace(ZERO, ZERO, &zones(names));
@@ -89,7 +104,7 @@
 }
 
 #[test]
-fn verify_one_notion_of_targets_that_get_no_new_work() {
+fn verify_targets_of_evacuated_zones_get_no_new_work() {
     let mut directory = Directory::default();
     for change in [put("one", "a", false), put("two", "b", false)] {
         directory.apply(ZERO, change);
@@ -100,12 +115,16 @@
     directory.apply(ZERO, put("four", "b", true));
     let two = directory.find("two").expect("a target");
     assert_eq!(directory.pool(ZERO, "pool"), [two]);
-    let mut finishing = directory.finishing(ZERO, "pool").collect::<Vec<_>>();
-    finishing.sort_unstable_by_key(|(_, why)| *why == Withheld::Leaving);
+    let mut finishing = directory.draining(ZERO, "pool").collect::<Vec<_>>();
+    finishing.sort_unstable_by_key(|(_, why)| *why == WithheldReason::Leaving);
     let reasons = finishing.iter().map(|(_, why)| *why).collect::<Vec<_>>();
     assert_eq!(
         reasons,
-        [Withheld::Evacuated, Withheld::Evacuated, Withheld::Leaving]
+        [
+            WithheldReason::Evacuated,
+            WithheldReason::Evacuated,
+            WithheldReason::Leaving
+        ]
     );
     directory.evacuations.replace(ZERO, ZERO, &[]);
     assert_eq!(directory.pool(ZERO, "pool").len(), 3);
@@ -115,29 +134,29 @@
 /// zone is evacuated, and other homes read its prompts; it is restored, and its targets are the homes again; routers that know of no
 /// holder let them read. Cause: only a target that had come lately copied from the home before it, and these had been there all along.
 #[test]
-fn verify_targets_of_a_restored_zone_come_anew() {
+fn verify_targets_of_a_restored_zone_count_as_newly_joined() {
     let mut directory = Directory::default();
     directory.replace(ZERO, vec![put("one", "a", false), put("two", "b", false)]);
     let later = ZERO + Duration::from_secs(40);
-    directory.evacuations.apply(ZERO, begun("a"));
-    directory.evacuations.apply(later, ended("a"));
+    directory.evacuations.apply(ZERO, evacuated_change("a"));
+    directory.evacuations.apply(later, restored_change("a"));
     let came = |instance| {
         let key = directory.find(instance).expect("a target");
-        directory.came(key)
+        directory.joined_at(key)
     };
     assert_eq!(came("one"), Some(later));
     assert_eq!(came("two"), Some(ZERO));
 }
 
 #[test]
-fn verify_an_evacuated_zone_is_no_last_resort() {
+fn verify_an_evacuated_zone_is_not_a_last_resort() {
     let mut directory = Directory::default();
     directory.apply(ZERO, put("one", "a", false));
     directory.evacuations.replace(ZERO, ZERO, &zones(&["a"]));
     directory.store_lost();
-    directory.store_back(ZERO);
+    directory.store_recovered(ZERO);
     directory.replace(ZERO, Vec::new());
     assert!(directory.pool(ZERO, "pool").is_empty());
     let one = directory.find("one").expect("a target");
-    assert!(!directory.usable(ZERO, one));
+    assert!(!directory.is_usable(ZERO, one));
 }
--- a/crates/peppercrank-direct/tests/verify_knowledge.rs
+++ b/crates/peppercrank-direct/tests/verify_knowledge.rs
@@ -6,28 +6,28 @@
 use std::time::Duration;
 
 use peppercrank_core::time::Moment;
-use peppercrank_direct::desired::Allowed;
-use peppercrank_direct::desired::Applied;
-use peppercrank_direct::desired::CallerBounds;
+use peppercrank_direct::desired::Access;
+use peppercrank_direct::desired::ActiveConfiguration;
+use peppercrank_direct::desired::ApplyOutcome;
+use peppercrank_direct::desired::CallerLimits;
 use peppercrank_direct::desired::Desired;
-use peppercrank_direct::desired::InForce;
 use peppercrank_direct::desired::Index;
 use peppercrank_direct::desired::Organisation;
 use peppercrank_direct::desired::Pool;
 use peppercrank_direct::desired::PoolShare;
 use peppercrank_direct::desired::Route;
 use peppercrank_direct::desired::RouteKind;
-use peppercrank_direct::desired::spare;
+use peppercrank_direct::desired::max_idle_connections;
 use peppercrank_direct::directory::Change;
 use peppercrank_direct::directory::Directory;
 use peppercrank_direct::directory::Registration;
 use peppercrank_direct::directory::TargetKey;
-use peppercrank_direct::events::Events;
-use peppercrank_direct::freshness::DENIAL;
+use peppercrank_direct::events::EventBuffer;
+use peppercrank_direct::freshness::DENIAL_MAX_AGE;
+use peppercrank_direct::freshness::DISPATCH_TIME;
 use peppercrank_direct::freshness::Freshness;
-use peppercrank_direct::freshness::SENDING;
-use peppercrank_direct::freshness::SILENCE;
 use peppercrank_direct::freshness::Source;
+use peppercrank_direct::freshness::WATCH_DELAY;
 use peppercrank_direct::peers::Datagram;
 use peppercrank_direct::peers::Hint;
 use peppercrank_direct::peers::MOST_BYTES;
@@ -52,13 +52,13 @@
 }
 
 #[test]
-fn verify_keys_are_as_old_as_the_question() {
+fn verify_key_age_counts_from_the_question() {
     let revoke = Duration::from_secs(5);
     let mut freshness = Freshness::new(Some(revoke));
     assert!(!freshness.is_fresh(at(0)));
     // The answer came at 900 to a question of 100.
     freshness.confirm(at(100), Source::Store);
-    let limit = revoke.saturating_sub(SILENCE + SENDING);
+    let limit = revoke.saturating_sub(WATCH_DELAY + DISPATCH_TIME);
     let last = at(100) + limit.saturating_sub(Duration::from_millis(1));
     assert!(freshness.is_fresh(last));
     assert!(!freshness.is_fresh(at(100) + limit));
@@ -69,27 +69,27 @@
 }
 
 #[test]
-fn verify_without_a_bound_keys_hold_once_known() {
+fn verify_keys_do_not_expire_without_a_bound() {
     let mut freshness = Freshness::new(None);
     assert!(!freshness.is_fresh(at(0)));
     freshness.confirm(at(0), Source::Store);
     assert!(freshness.is_fresh(at(1_000_000)));
     // Routes are another matter: a refusal for good rests on what is young, whatever keys need.
-    let limit = at(0) + DENIAL;
+    let limit = at(0) + DENIAL_MAX_AGE;
     assert!(freshness.may_deny(at(100)));
     assert!(!freshness.may_deny(limit));
     assert!(!Freshness::new(None).may_deny(at(0)));
 }
 
-fn route(name: &str, host: &str, prefix: &str, open: bool) -> Route {
+fn route(name: &str, host: &str, prefix: &str, public: bool) -> Route {
     Route {
         name: name.into(),
         host: host.into(),
         prefix: prefix.into(),
         kind: RouteKind::Repeatable,
         timeout: Duration::from_secs(1),
-        goal: Duration::from_secs(1),
-        pause: None,
+        latency_goal: Duration::from_secs(1),
+        max_event_gap: None,
         priority: 1,
         pools: vec![
             PoolShare {
@@ -101,8 +101,8 @@
                 weight: 10,
             },
         ],
-        attempts: 1,
-        open,
+        max_targets: 1,
+        public,
         regions: Regions::Any,
     }
 }
@@ -116,11 +116,11 @@
             route("other", "b.example", "/", false),
         ],
         pools: Vec::new(),
-        bounds: CallerBounds {
-            head: 1,
-            body: 1,
-            head_time: Duration::ZERO,
-            idle: Duration::ZERO,
+        caller_limits: CallerLimits {
+            head_bytes: 1,
+            body_bytes: 1,
+            head_timeout: Duration::ZERO,
+            idle_timeout: Duration::ZERO,
         },
         organisations: vec![Organisation {
             name: "one".into(),
@@ -150,24 +150,24 @@
 }
 
 #[test]
-fn verify_who_may_call() {
+fn verify_access_by_key() {
     let index = Index::new(desired(1));
-    let shut = index.route("a.example", "/x/").expect("a route");
+    let keyed = index.route("a.example", "/x/").expect("a route");
     let open = index.route("a.example", "/x/y/").expect("a route");
-    assert!(matches!(index.allowed(shut, Some("key")), Allowed::Member(o) if &*o.name == "one"));
-    assert_eq!(index.allowed(shut, Some("no")), Allowed::Denied);
-    assert_eq!(index.allowed(shut, None), Allowed::Denied);
-    assert_eq!(index.allowed(open, Some("no")), Allowed::Anyone);
+    assert!(matches!(index.access(keyed, Some("key")), Access::Member(o) if &*o.name == "one"));
+    assert_eq!(index.access(keyed, Some("no")), Access::Denied);
+    assert_eq!(index.access(keyed, None), Access::Denied);
+    assert_eq!(index.access(open, Some("no")), Access::Anyone);
     let none = Desired {
         organisations: Vec::new(),
         ..desired(1)
     };
     let none = Index::new(none);
-    assert_eq!(none.allowed(shut, None), Allowed::Anyone);
+    assert_eq!(none.access(keyed, None), Access::Anyone);
 }
 
 #[test]
-fn verify_pools_are_drawn_by_weight_and_alike_each_time() {
+fn verify_pools_are_chosen_by_weight_and_deterministically() {
     let route = route("r", "a", "/", false);
     let draw = |n: u32| route.pool(&n.to_le_bytes()).expect("a pool").to_string();
     let few = (0..10_000).filter(|n| draw(*n) == "few").count();
@@ -177,13 +177,19 @@
 
 #[test]
 fn verify_versions_only_grow() {
-    let mut force = InForce::default();
-    assert_eq!(force.apply(Moment::ZERO, desired(5)), Applied::InForce);
-    assert_eq!(force.apply(Moment::ZERO, desired(4)), Applied::Older);
-    assert_eq!(force.apply(Moment::ZERO, desired(5)), Applied::Same);
+    let mut force = ActiveConfiguration::default();
+    assert_eq!(
+        force.apply(Moment::ZERO, desired(5)),
+        ApplyOutcome::Activated
+    );
+    assert_eq!(force.apply(Moment::ZERO, desired(4)), ApplyOutcome::Older);
+    assert_eq!(
+        force.apply(Moment::ZERO, desired(5)),
+        ApplyOutcome::Unchanged
+    );
     let later = Moment::from_millis(7);
-    assert_eq!(force.apply(later, desired(900)), Applied::InForce);
-    assert_eq!(force.since(), Some(later));
+    assert_eq!(force.apply(later, desired(900)), ApplyOutcome::Activated);
+    assert_eq!(force.activation_time(), Some(later));
     let version = force.index().map(|i| i.desired().version);
     assert_eq!(version, Some(900));
 }
@@ -199,7 +205,7 @@
             zone: "a".into(),
             slots: 4,
             leaving: false,
-            cold: Duration::ZERO,
+            cold_for: Duration::ZERO,
         };
         directory.apply(at(0), Change::Put(entry));
     }
@@ -208,7 +214,7 @@
 }
 
 #[test]
-fn verify_a_part_counts_only_after_all_before_it() {
+fn verify_a_prefix_part_counts_only_after_all_preceding_parts() {
     let (one, two) = two_keys();
     let parts = [(1, 100), (2, 200), (3, 300)].map(|(chain, tokens)| Part { chain, tokens });
     let mut prefixes = Prefixes::default();
@@ -223,7 +229,7 @@
 }
 
 #[test]
-fn verify_parts_remembered_are_bounded_and_the_newest_stay() {
+fn verify_remembered_parts_are_bounded_and_the_newest_are_kept() {
     let (one, _) = two_keys();
     let mut prefixes = Prefixes::default();
     let most = 3 * MOST as u64;
@@ -239,7 +245,7 @@
 }
 
 #[test]
-fn verify_speeds_are_learnt() {
+fn verify_rates_are_learnt() {
     let mut rates = Rates::default();
     for _ in 0..200 {
         rates.learn(0, Duration::from_millis(40));
@@ -260,12 +266,12 @@
 }
 
 #[test]
-fn verify_only_whole_events_pass_however_a_stream_is_cut() {
+fn verify_only_complete_events_are_passed_on() {
     fn holds(cuts: Vec<u8>, returns: bool) -> bool {
         let end = if returns { "\r\n\r\n" } else { "\n\n" };
         let stream = (1..20).map(|n| format!("id: {n}{}data: x{n}{end}", &end[..end.len() / 2]));
         let stream = stream.collect::<String>().into_bytes();
-        let mut events = Events::default();
+        let mut events = EventBuffer::default();
         let mut passed = Vec::new();
         let mut rest = stream.as_slice();
         for cut in cuts {
@@ -275,12 +281,12 @@
             let whole = passed.is_empty() || passed.ends_with(end.as_bytes());
             let named = String::from_utf8_lossy(&passed);
             let last = named.lines().rev().find_map(|l| l.strip_prefix("id: "));
-            if !whole || events.last() != last {
+            if !whole || events.last_event_id() != last {
                 return false;
             }
         }
         passed.extend(events.push(rest));
-        passed == stream && events.is_between()
+        passed == stream && events.is_at_boundary()
     }
     let generator = Gen::from_size_and_seed(200, 11);
     QuickCheck::new()
@@ -289,15 +295,15 @@
 }
 
 #[test]
-fn verify_a_half_event_is_dropped_before_another_run_goes_on() {
-    let mut events = Events::default();
+fn verify_a_partial_event_is_discarded_before_a_resume() {
+    let mut events = EventBuffer::default();
     assert_eq!(
         events.push(b"id: 1\ndata: a\n\nid: 2\nda"),
         b"id: 1\ndata: a\n\n"
     );
-    assert!(!events.is_between());
-    events.restart();
-    assert_eq!(events.last(), Some("1"));
+    assert!(!events.is_at_boundary());
+    events.discard_partial();
+    assert_eq!(events.last_event_id(), Some("1"));
     assert_eq!(events.push(b"id: 2\ndata: b\n\n"), b"id: 2\ndata: b\n\n");
 }
 
@@ -315,7 +321,7 @@
 }
 
 #[test]
-fn verify_only_the_newest_word_of_each_living_peer_counts() {
+fn verify_only_the_newest_summary_of_each_live_peer_counts() {
     let one = "10.0.0.1:1".parse().expect("an address");
     let two = "10.0.0.2:1".parse().expect("an address");
     let mut peers = Peers::default();
@@ -362,7 +368,7 @@
 /// expired: the number of a start was drawn at random, and a summary counted only with a greater one. Until then peers
 /// placed requests without their work, and none of them confirmed what they know of keys.
 #[test]
-fn verify_a_peer_that_starts_again_is_heard_at_once() {
+fn verify_summaries_of_a_restarted_peer_count_at_once() {
     let from = "10.0.0.1:7".parse().expect("an address");
     // A later start, and one whose clock was set back meanwhile.
     for again in [9, 3] {
@@ -388,7 +394,7 @@
 }
 
 #[test]
-fn verify_only_changed_sums_are_told_once() {
+fn verify_changed_sums_are_returned_once() {
     let one = "10.0.0.1:1".parse().expect("an address");
     let mut peers = Peers::default();
     assert!(peers.changed().is_empty());
@@ -405,7 +411,7 @@
 }
 
 #[test]
-fn verify_news_goes_round_once() {
+fn verify_each_hint_reaches_every_peer_once() {
     let peers = 28;
     let mut outbox = Outbox::default();
     let hint = |chain| Hint {
@@ -461,16 +467,16 @@
 }
 
 #[test]
-fn verify_kept_connections_fit_what_targets_take() {
-    let pool = |connections| Pool {
+fn verify_idle_connections_fit_the_targets_limits() {
+    let pool = |max_connections| Pool {
         name: "pool".into(),
-        connections,
-        memory: None,
+        max_connections,
+        prompt_cache: None,
         warm_up: None,
     };
     let pools = [pool(490), pool(230)];
-    assert_eq!(spare(&pools, 4, 8), 8);
-    assert_eq!(spare(&pools, 29, 8), 3);
-    assert_eq!(spare(&pools, 370, 8), 0);
-    assert_eq!(spare(&[], 0, 8), 8);
+    assert_eq!(max_idle_connections(&pools, 4, 8), 8);
+    assert_eq!(max_idle_connections(&pools, 29, 8), 3);
+    assert_eq!(max_idle_connections(&pools, 370, 8), 0);
+    assert_eq!(max_idle_connections(&[], 0, 8), 8);
 }
--- a/crates/peppercrank-direct/tests/verify_overcount.rs
+++ b/crates/peppercrank-direct/tests/verify_overcount.rs
@@ -52,12 +52,12 @@
     }
     Candidate {
         key,
-        name: u32::try_from(n).expect("a small number"),
+        placement_id: u32::try_from(n).expect("a small number"),
         slots: 64,
-        near: true,
-        held: 0,
-        fresh: false,
-        lag: Duration::from_millis(50),
+        same_zone: true,
+        held_tokens: 0,
+        recently_joined: false,
+        peers_lag: Duration::from_millis(50),
         stats,
     }
 }
@@ -74,7 +74,7 @@
             _ => candidate(key, n, TOLD, None),
         });
     }
-    pool[0].held = PROMPT;
+    pool[0].held_tokens = PROMPT;
     pool
 }
 
@@ -83,20 +83,20 @@
     let candidates = pool();
     let request = PlacementRequest {
         policy: Policy::Cost,
-        id: 7,
-        home: 7,
-        goal: Duration::from_secs(1),
-        cap: 2.0,
-        tokens: PROMPT + 500,
-        shared: PROMPT,
+        id_hash: 7,
+        home_hash: 7,
+        latency_goal: Duration::from_secs(1),
+        cap_factor: 2.0,
+        prompt_tokens: PROMPT + 500,
+        shared_tokens: PROMPT,
         size: 9_000,
-        copying: None,
+        copy_rate: None,
     };
     let attempt = Attempt {
         rank: Rank::default(),
-        goal: Duration::from_secs(1),
-        left: Duration::from_secs(6),
-        first: false,
+        pool_goal: Duration::from_secs(1),
+        time_left: Duration::from_secs(6),
+        is_first: false,
     };
     let mut admission = Admission::default();
     let rates = Rates::default();
--- a/crates/peppercrank-direct/tests/verify_place.rs
+++ b/crates/peppercrank-direct/tests/verify_place.rs
@@ -13,11 +13,11 @@
 use peppercrank_direct::place::Candidate;
 use peppercrank_direct::place::Choice;
 use peppercrank_direct::place::Holder;
-use peppercrank_direct::place::Placed;
+use peppercrank_direct::place::PlacementOutcome;
 use peppercrank_direct::place::PlacementRequest;
 use peppercrank_direct::place::Policy;
 use peppercrank_direct::place::place;
-use peppercrank_direct::place::rank;
+use peppercrank_direct::place::rendezvous_rank;
 use peppercrank_direct::rates::Rates;
 use peppercrank_direct::starts::Start;
 use peppercrank_direct::stats::Stats;
@@ -39,7 +39,7 @@
             zone: "a".into(),
             slots: 64,
             leaving: false,
-            cold: Duration::ZERO,
+            cold_for: Duration::ZERO,
         };
         directory.apply(NOW, Change::Put(entry));
     }
@@ -49,12 +49,12 @@
 fn idle(count: usize) -> Vec<Candidate> {
     let of = |(n, key): (usize, TargetKey)| Candidate {
         key,
-        name: u32::try_from(n).expect("a small number"),
+        placement_id: u32::try_from(n).expect("a small number"),
         slots: 64,
-        near: true,
-        held: 0,
-        fresh: false,
-        lag: Duration::ZERO,
+        same_zone: true,
+        held_tokens: 0,
+        recently_joined: false,
+        peers_lag: Duration::ZERO,
         stats: Stats::default(),
     };
     keys(count).into_iter().enumerate().map(of).collect()
@@ -64,34 +64,42 @@
 fn request() -> PlacementRequest {
     PlacementRequest {
         policy: Policy::Cost,
-        id: 1,
-        home: 7,
-        goal: Duration::from_secs(1),
-        cap: 2.0,
-        tokens: 11_000,
-        shared: 10_000,
+        id_hash: 1,
+        home_hash: 7,
+        latency_goal: Duration::from_secs(1),
+        cap_factor: 2.0,
+        prompt_tokens: 11_000,
+        shared_tokens: 10_000,
         size: 15_000,
-        copying: None,
+        copy_rate: None,
     }
 }
 
 fn choose(request: &PlacementRequest, candidates: &[Candidate]) -> Choice {
     match place(NOW, &Rates::default(), request, None, candidates, &[]) {
-        Placed::At(choice) => choice,
+        PlacementOutcome::Target(choice) => choice,
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn verify_routers_that_know_nothing_agree() {
+fn verify_routers_without_knowledge_agree_on_the_home() {
     let candidates = idle(9);
     let first = choose(&request(), &candidates);
     let mut turned = candidates.clone();
     turned.reverse();
     assert_eq!(choose(&request(), &turned), first);
     // Other prompts have other homes.
-    let homes =
-        (0..64).map(|home| choose(&PlacementRequest { home, ..request() }, &candidates).key);
+    let homes = (0..64).map(|home_hash| {
+        choose(
+            &PlacementRequest {
+                home_hash,
+                ..request()
+            },
+            &candidates,
+        )
+        .key
+    });
     let mut homes = homes.collect::<Vec<_>>();
     homes.sort();
     homes.dedup();
@@ -99,28 +107,28 @@
 }
 
 #[test]
-fn verify_a_prompt_goes_where_it_is_held_though_that_takes_longer() {
+fn verify_a_prompt_goes_to_its_holder_despite_a_longer_wait() {
     let mut candidates = idle(9);
     let home = choose(&request(), &candidates).key;
     let holder = candidates.iter().position(|c| c.key != home);
     let holder = holder.expect("another one");
-    candidates[holder].held = 10_000;
+    candidates[holder].held_tokens = 10_000;
     candidates[holder].stats.running = 1;
     // A few hundred milliseconds of reading wait there.
     candidates[holder].stats.reading = 10_000;
     let choice = choose(&request(), &candidates);
     assert_eq!(choice.key, candidates[holder].key);
-    assert_eq!(choice.reading, 1_000);
+    assert_eq!(choice.prefill_tokens, 1_000);
 }
 
 #[test]
-fn verify_a_request_that_would_be_late_is_read_again_elsewhere_if_it_is_short() {
+fn verify_a_short_request_that_would_be_late_is_prefilled_elsewhere() {
     let mut candidates = idle(3);
-    candidates[0].held = 500;
+    candidates[0].held_tokens = 500;
     candidates[0].stats.reading = 200_000;
     let short = PlacementRequest {
-        tokens: 600,
-        shared: 500,
+        prompt_tokens: 600,
+        shared_tokens: 500,
         size: 3_600,
         ..request()
     };
@@ -130,40 +138,41 @@
 /// The candidates with the request's home first.
 fn ranked(count: usize) -> Vec<Candidate> {
     let mut candidates = idle(count);
-    candidates.sort_by_key(|c| std::cmp::Reverse(rank(request().home, c.name)));
+    candidates
+        .sort_by_key(|c| std::cmp::Reverse(rendezvous_rank(request().home_hash, c.placement_id)));
     candidates
 }
 
 fn copying() -> PlacementRequest {
     PlacementRequest {
-        copying: Some(900.0),
+        copy_rate: Some(900.0),
         ..request()
     }
 }
 
 #[test]
-fn verify_an_engine_copies_what_another_holds() {
+fn verify_an_engine_copies_a_prefix_that_another_holds() {
     let mut candidates = ranked(3);
-    candidates[0].held = 10_000;
+    candidates[0].held_tokens = 10_000;
     candidates[0].stats.reading = 60_000;
     let choice = choose(&copying(), &candidates);
     assert_ne!(choice.key, candidates[0].key);
     assert_eq!(choice.copy, Some((candidates[0].key, 10_000)));
-    assert_eq!(choice.reading, 1_000);
-    assert!(!choice.unknown);
+    assert_eq!(choice.prefill_tokens, 1_000);
+    assert!(!choice.holder_unknown);
 }
 
 #[test]
-fn verify_the_next_home_copies_from_one_that_leaves() {
+fn verify_the_next_home_copies_from_a_leaving_home() {
     let mut candidates = ranked(4);
     let leaving = candidates.remove(0);
-    for held in [0, 10_000] {
+    for held_tokens in [0, 10_000] {
         let leaving = Holder {
             key: leaving.key,
-            name: leaving.name,
-            held,
-            copies: true,
-            counted: None,
+            placement_id: leaving.placement_id,
+            held_tokens,
+            copyable: true,
+            counted_stats: None,
         };
         let placed = place(
             NOW,
@@ -173,26 +182,26 @@
             &candidates,
             &[leaving],
         );
-        let Placed::At(choice) = placed else {
+        let PlacementOutcome::Target(choice) = placed else {
             panic!("{placed:?}");
         };
         assert_eq!(choice.key, candidates[0].key);
         assert_eq!(choice.copy, Some((leaving.key, 10_000)));
-        assert_eq!(choice.unknown, held == 0);
+        assert_eq!(choice.holder_unknown, held_tokens == 0);
     }
 }
 
 #[test]
-fn verify_what_an_evacuated_target_holds_is_copied_and_its_load_counts() {
+fn verify_an_evacuated_target_is_a_copy_source_and_counts_in_the_mean_load() {
     let mut candidates = ranked(4);
     let mut evacuated = candidates.remove(0);
-    evacuated.held = 10_000;
+    evacuated.held_tokens = 10_000;
     let holder = Holder {
         key: evacuated.key,
-        name: evacuated.name,
-        held: evacuated.held,
-        copies: true,
-        counted: Some(evacuated.stats),
+        placement_id: evacuated.placement_id,
+        held_tokens: evacuated.held_tokens,
+        copyable: true,
+        counted_stats: Some(evacuated.stats),
     };
     // With the idle one the mean is 8.25 where the home holds 17, which is too much; without it, it would be 11.
     for candidate in &mut candidates {
@@ -210,7 +219,7 @@
             &candidates,
             &holders,
         );
-        let Placed::At(choice) = placed else {
+        let PlacementOutcome::Target(choice) = placed else {
             panic!("{placed:?}");
         };
         assert_eq!(choice.copy, Some((evacuated.key, 10_000)));
@@ -223,14 +232,14 @@
 /// believe the loads of seconds ago, and send to the home of a prompt what it may hold by these. Cause: the share of the cap that was kept back for
 /// what is unseen was the same where all targets keep requests waiting, and what is unseen is most.
 #[test]
-fn verify_the_cap_is_tighter_where_all_targets_keep_requests_waiting() {
+fn verify_the_cap_is_tighter_where_all_targets_queue_requests() {
     let at_home = |mean: u32, home: u32| {
         let mut candidates = ranked(20);
         for candidate in &mut candidates {
             candidate.slots = 16;
             candidate.stats.running = mean;
         }
-        candidates[0].held = 10_000;
+        candidates[0].held_tokens = 10_000;
         candidates[0].stats.running = home;
         choose(&copying(), &candidates).key == candidates[0].key
     };
@@ -241,31 +250,31 @@
 }
 
 #[test]
-fn verify_a_fresh_home_copies_from_the_one_before() {
+fn verify_a_new_home_copies_from_the_previous_one() {
     let mut candidates = ranked(4);
-    candidates[0].fresh = true;
+    candidates[0].recently_joined = true;
     let choice = choose(&copying(), &candidates);
     assert_eq!(choice.key, candidates[0].key);
     assert_eq!(choice.copy, Some((candidates[1].key, 10_000)));
     // Whether it is there is not known, so it is not counted on.
-    assert_eq!(choice.reading, 11_000);
+    assert_eq!(choice.prefill_tokens, 11_000);
     // Where all came at once, as to a router that has just started, there was none before.
     for candidate in &mut candidates {
-        candidate.fresh = true;
+        candidate.recently_joined = true;
     }
     let choice = choose(&copying(), &candidates);
     assert_eq!((choice.key, choice.copy), (candidates[0].key, None));
-    assert!(choice.home);
+    assert!(choice.is_home);
 }
 
 #[test]
-fn verify_peers_reading_is_over_after_its_time() {
+fn verify_peers_prefill_work_expires() {
     let mut candidates = ranked(2);
     candidates[0].stats.peers_reading = 200_000;
     assert_ne!(choose(&copying(), &candidates).key, candidates[0].key);
     // At 50 tokens a millisecond it was read since they told of it.
     for candidate in &mut candidates {
-        candidate.lag = Duration::from_secs(4);
+        candidate.peers_lag = Duration::from_secs(4);
     }
     assert_eq!(choose(&copying(), &candidates).key, candidates[0].key);
 }
@@ -273,7 +282,7 @@
 #[test]
 fn verify_no_target_holds_more_than_its_multiple_of_the_mean() {
     let mut candidates = idle(9);
-    candidates[4].held = 10_000;
+    candidates[4].held_tokens = 10_000;
     for _ in 0..500 {
         let choice = choose(&request(), &candidates);
         let chosen = candidates.iter_mut().find(|c| c.key == choice.key);
@@ -286,7 +295,7 @@
 }
 
 #[test]
-fn verify_failures_in_a_row_eject_a_target_until_a_trial_succeeds() {
+fn verify_consecutive_failures_eject_a_target_until_a_trial_succeeds() {
     let mut candidates = idle(2);
     let home = choose(&request(), &candidates).key;
     let home = candidates.iter().position(|c| c.key == home);
@@ -307,7 +316,7 @@
         candidates,
         &[],
     ) {
-        Placed::At(choice) => choice.key,
+        PlacementOutcome::Target(choice) => choice.key,
         other => panic!("{other:?}"),
     };
     assert_eq!(at(&candidates), candidates[home].key);
@@ -318,7 +327,7 @@
 }
 
 #[test]
-fn verify_a_trial_that_ends_without_a_verdict_leaves_the_next_one() {
+fn verify_an_inconclusive_trial_allows_another_one() {
     let mut stats = Stats::default();
     for _ in 0..3 {
         stats.failed(NOW);
@@ -330,11 +339,11 @@
     candidates[0].stats.sent(later);
     candidates[0].stats.ended();
     let placed = place(later, &Rates::default(), &request(), None, &candidates, &[]);
-    assert!(matches!(placed, Placed::At(c) if c.key == candidates[0].key));
+    assert!(matches!(placed, PlacementOutcome::Target(c) if c.key == candidates[0].key));
 }
 
 #[test]
-fn verify_ejection_gives_way_where_all_are_ejected() {
+fn verify_ejected_targets_are_used_if_all_are_ejected() {
     let mut candidates = idle(3);
     for candidate in &mut candidates {
         for _ in 0..3 {
@@ -342,9 +351,9 @@
         }
     }
     let placed = place(NOW, &Rates::default(), &request(), None, &candidates, &[]);
-    assert!(matches!(placed, Placed::At(_)));
+    assert!(matches!(placed, PlacementOutcome::Target(_)));
     let none = place(NOW, &Rates::default(), &request(), None, &[], &[]);
-    assert_eq!(none, Placed::NoTarget);
+    assert_eq!(none, PlacementOutcome::NoTarget);
 }
 
 #[test]
@@ -360,15 +369,15 @@
 }
 
 #[test]
-fn verify_the_baselines_choose_as_they_say() {
+fn verify_baseline_policies() {
     let mut candidates = ranked(4);
     candidates[0].stats.running = 5;
     candidates[1].stats.running = 4;
     candidates[2].stats.running = 3;
     candidates[3].stats.running = 4;
-    let with = |policy, id| PlacementRequest {
+    let with = |policy, id_hash| PlacementRequest {
         policy,
-        id,
+        id_hash,
         ..request()
     };
     let home = choose(&with(Policy::Home, 1), &candidates);
@@ -383,7 +392,7 @@
 }
 
 #[test]
-fn verify_requests_whose_answers_were_lost_do_not_raise_the_cap() {
+fn verify_lost_answers_do_not_raise_the_cap() {
     // Each target ended what it had, and told so; the routers still count 40 on each.
     let mut candidates = ranked(9);
     for candidate in &mut candidates {
@@ -411,23 +420,23 @@
 }
 
 #[test]
-fn verify_a_home_copies_the_first_part_that_another_home_holds() {
+fn verify_a_home_copies_a_partial_prefix_from_another_target() {
     let mut candidates = ranked(9);
-    candidates[5].held = 2_500;
+    candidates[5].held_tokens = 2_500;
     let copying = PlacementRequest {
-        copying: Some(1_000.0),
+        copy_rate: Some(1_000.0),
         ..request()
     };
     let choice = choose(&copying, &candidates);
     assert_eq!(choice.key, candidates[0].key);
     assert_eq!(choice.copy, Some((candidates[5].key, 2_500)));
-    assert_eq!(choice.reading, copying.tokens - 2_500);
+    assert_eq!(choice.prefill_tokens, copying.prompt_tokens - 2_500);
     // What it holds itself is not copied.
-    candidates[0].held = 1_000;
+    candidates[0].held_tokens = 1_000;
     let choice = choose(&copying, &candidates);
     assert_eq!(choice.copy, Some((candidates[5].key, 1_500)));
-    candidates[0].held = 2_500;
+    candidates[0].held_tokens = 2_500;
     let choice = choose(&copying, &candidates);
     assert_eq!(choice.copy, None);
-    assert_eq!(choice.reading, copying.tokens - 2_500);
+    assert_eq!(choice.prefill_tokens, copying.prompt_tokens - 2_500);
 }
--- a/crates/peppercrank-direct/tests/verify_ranks.rs
+++ b/crates/peppercrank-direct/tests/verify_ranks.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use peppercrank_direct::desired::CallerBounds;
+use peppercrank_direct::desired::CallerLimits;
 use peppercrank_direct::desired::Desired;
 use peppercrank_direct::desired::Organisation;
 use peppercrank_direct::desired::PoolShare;
@@ -23,15 +23,15 @@
         prefix: format!("/{name}/").into(),
         kind: RouteKind::Stream { resumable: true },
         timeout: Duration::from_secs(6),
-        goal: Duration::from_millis(goal),
-        pause: None,
+        latency_goal: Duration::from_millis(goal),
+        max_event_gap: None,
         priority,
         pools: vec![PoolShare {
             pool: pool.into(),
             weight: 1,
         }],
-        attempts: 2,
-        open: false,
+        max_targets: 2,
+        public: false,
         regions: Regions::Any,
     }
 }
@@ -54,11 +54,11 @@
             route("plain", "services", 2, 150),
         ],
         pools: Vec::new(),
-        bounds: CallerBounds {
-            head: 16_384,
-            body: 1 << 20,
-            head_time: Duration::from_secs(3),
-            idle: Duration::from_secs(15),
+        caller_limits: CallerLimits {
+            head_bytes: 16_384,
+            body_bytes: 1 << 20,
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         },
         organisations,
     }
--- a/crates/peppercrank-direct/tests/verify_regions.rs
+++ b/crates/peppercrank-direct/tests/verify_regions.rs
@@ -12,20 +12,26 @@
 }
 
 #[test]
-fn verify_where_a_request_may_run() {
+fn verify_allowed_regions() {
     let rows = [
         (only(&[]), [true, true, true]),
         (only(&["north"]), [true, false, false]),
         (only(&["north", "south"]), [true, true, false]),
         (
-            only(&["north", "south"]).both(&only(&["south", "west"])),
+            only(&["north", "south"]).intersection(&only(&["south", "west"])),
             [false, true, false],
         ),
-        (only(&["north"]).both(&Regions::Any), [true, false, false]),
-        (Regions::Any.both(&only(&["north"])), [true, false, false]),
+        (
+            only(&["north"]).intersection(&Regions::Any),
+            [true, false, false],
+        ),
+        (
+            Regions::Any.intersection(&only(&["north"])),
+            [true, false, false],
+        ),
         // Both bind, so that two that have nothing in common allow nothing.
         (
-            only(&["north"]).both(&only(&["south"])),
+            only(&["north"]).intersection(&only(&["south"])),
             [false, false, false],
         ),
     ];
--- a/crates/peppercrank-direct/tests/verify_reports.rs
+++ b/crates/peppercrank-direct/tests/verify_reports.rs
@@ -17,7 +17,7 @@
 use peppercrank_direct::peers::Summary;
 use peppercrank_direct::peers::TargetId;
 use peppercrank_direct::place::Candidate;
-use peppercrank_direct::place::Placed;
+use peppercrank_direct::place::PlacementOutcome;
 use peppercrank_direct::place::PlacementRequest;
 use peppercrank_direct::place::Policy;
 use peppercrank_direct::place::place;
@@ -71,12 +71,12 @@
         }
         Candidate {
             key: keys.insert(()),
-            name: u32::try_from(n).expect("a small number"),
+            placement_id: u32::try_from(n).expect("a small number"),
             slots: 16,
-            near: true,
-            held: if n == 0 { 10_000 } else { 0 },
-            fresh: false,
-            lag: RECENT,
+            same_zone: true,
+            held_tokens: if n == 0 { 10_000 } else { 0 },
+            recently_joined: false,
+            peers_lag: RECENT,
             stats: stats.at(now(), lag, HOLD),
         }
     };
@@ -86,17 +86,17 @@
 fn goes_to_first(pool: &[Candidate]) -> bool {
     let request = PlacementRequest {
         policy: Policy::Cost,
-        id: 7,
-        home: 7,
-        goal: Duration::from_secs(1),
-        cap: 2.0,
-        tokens: 11_000,
-        shared: 10_000,
+        id_hash: 7,
+        home_hash: 7,
+        latency_goal: Duration::from_secs(1),
+        cap_factor: 2.0,
+        prompt_tokens: 11_000,
+        shared_tokens: 10_000,
         size: 15_000,
-        copying: None,
+        copy_rate: None,
     };
     match place(now(), &Rates::default(), &request, None, pool, &[]) {
-        Placed::At(choice) => choice.key == pool[0].key,
+        PlacementOutcome::Target(choice) => choice.key == pool[0].key,
         placed => panic!("{placed:?}"),
     }
 }
--- a/crates/peppercrank-direct/tests/verify_suspension.rs
+++ b/crates/peppercrank-direct/tests/verify_suspension.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn verify_each_suspension_is_noticed_once() {
+fn verify_each_suspension_is_reported_once() {
     let mut suspension = Suspension::default();
     assert_eq!(suspension.observe(Duration::ZERO), None);
     // Two clocks are not read at the same moment.
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn verify_short_ones_add_up() {
+fn verify_short_suspensions_add_up() {
     let mut suspension = Suspension::default();
     assert_eq!(suspension.observe(millis(60)), None);
     assert_eq!(suspension.observe(millis(120)), Some(millis(120)));
--- a/crates/peppercrank-direct/tests/verify_truncation.rs
+++ b/crates/peppercrank-direct/tests/verify_truncation.rs
@@ -10,47 +10,50 @@
 
 use std::time::Duration;
 
-use peppercrank_direct::truncation::GATHER;
-use peppercrank_direct::truncation::Length;
+use peppercrank_direct::truncation::AnswerSize;
+use peppercrank_direct::truncation::GATHER_PAUSE;
 use peppercrank_direct::truncation::Next;
 use peppercrank_direct::truncation::Truncation;
 
 /// Bytes of one change.
-const CHANGE: usize = 300;
+const CHANGE_BYTES: usize = 300;
 
 /// Time for a question and its answer.
-const CALL: Duration = Duration::from_millis(5);
+const CALL_TIME: Duration = Duration::from_millis(5);
 
 /// The usual pause between questions.
-const PACE: Duration = Duration::from_millis(750);
+const USUAL_PAUSE: Duration = Duration::from_millis(750);
 
 /// A store that cuts its answers at so many changes.
 struct Store {
-    cuts: usize,
+    max_changes: usize,
     pending: usize,
 }
 
 impl Store {
-    fn answer(&mut self) -> Length {
-        let changes = self.pending.min(self.cuts);
+    fn answer(&mut self) -> AnswerSize {
+        let changes = self.pending.min(self.max_changes);
         self.pending -= changes;
-        let bytes = 30 + changes * CHANGE;
-        Length { changes, bytes }
+        let bytes = 30 + changes * CHANGE_BYTES;
+        AnswerSize { changes, bytes }
     }
 }
 
 /// The time until all changes are known, and the calls that it takes.
-fn catch_up(truncation: &mut Truncation, cuts: usize, pending: usize) -> (Duration, usize) {
-    let mut store = Store { cuts, pending };
+fn catch_up(truncation: &mut Truncation, max_changes: usize, pending: usize) -> (Duration, usize) {
+    let mut store = Store {
+        max_changes,
+        pending,
+    };
     let (mut time, mut calls) = (Duration::ZERO, 0);
     while store.pending > 0 {
-        time += CALL;
+        time += CALL_TIME;
         calls += 1;
-        let next = truncation.next(store.answer());
+        let next = truncation.record_answer(store.answer());
         if store.pending > 0 {
             time += match next {
-                Next::Soon => GATHER,
-                Next::Paced => PACE,
+                Next::Soon => GATHER_PAUSE,
+                Next::Paced => USUAL_PAUSE,
             };
         }
     }
@@ -58,24 +61,27 @@
 }
 
 #[test]
-fn verify_what_comes_back_at_once_is_known_at_once_wherever_the_store_cuts() {
-    for cuts in [2, 3, 10, 100, 500] {
+fn verify_truncated_answers_are_followed_without_the_usual_pause() {
+    for max_changes in [2, 3, 10, 100, 500] {
         // What the router has seen of calm days: a change now and then, and nothing.
         let mut truncation = Truncation::default();
         for changes in [1, 0, 1, 1, 0, 2, 0] {
-            truncation.next(Length {
-                changes: changes.min(cuts),
-                bytes: changes * CHANGE,
+            truncation.record_answer(AnswerSize {
+                changes: changes.min(max_changes),
+                bytes: changes * CHANGE_BYTES,
             });
         }
-        let (time, calls) = catch_up(&mut truncation, cuts, 80);
-        assert!(time < Duration::from_secs(2), "{time:?}, cut at {cuts}");
-        assert_eq!(calls, 80_usize.div_ceil(cuts));
+        let (time, calls) = catch_up(&mut truncation, max_changes, 80);
+        assert!(
+            time < Duration::from_secs(2),
+            "{time:?}, cut at {max_changes}"
+        );
+        assert_eq!(calls, 80_usize.div_ceil(max_changes));
     }
 }
 
 #[test]
-fn verify_a_store_that_cuts_short_is_not_called_without_end() {
+fn verify_the_call_rate_is_bounded_for_short_answers() {
     let mut truncation = Truncation::default();
     let (time, calls) = catch_up(&mut truncation, 1, 1_000);
     let rate = 1_000.0 / time.as_secs_f64();
@@ -84,36 +90,36 @@
 }
 
 #[test]
-fn verify_changes_of_a_calm_day_are_left_to_gather() {
+fn verify_short_answers_keep_the_usual_pause() {
     // Once a longer answer was seen, shorter ones are whole: no call more than with pauses alone.
     let mut truncation = Truncation::default();
-    truncation.next(Length {
+    truncation.record_answer(AnswerSize {
         changes: 40,
-        bytes: 40 * CHANGE,
+        bytes: 40 * CHANGE_BYTES,
     });
     for changes in [1, 5, 20, 38, 0] {
-        let bytes = 30 + changes * CHANGE;
-        let next = truncation.next(Length { changes, bytes });
+        let bytes = 30 + changes * CHANGE_BYTES;
+        let next = truncation.record_answer(AnswerSize { changes, bytes });
         assert_eq!(next, Next::Paced, "{changes}");
     }
 }
 
 #[test]
-fn verify_an_answer_that_is_cut_by_its_bytes_is_followed_at_once() {
+fn verify_an_answer_truncated_by_bytes_is_followed_without_the_usual_pause() {
     const MOST: usize = 1_048_576;
     let mut truncation = Truncation::default();
-    truncation.next(Length {
+    truncation.record_answer(AnswerSize {
         changes: 500,
         bytes: 150_000,
     });
-    truncation.next(Length {
+    truncation.record_answer(AnswerSize {
         changes: 3,
         bytes: MOST - 10_000,
     });
     // Fewer changes and bytes than the longest, but one more change would not have fitted.
-    let cut = Length {
+    let cut = AnswerSize {
         changes: 2,
         bytes: MOST - 200_000,
     };
-    assert_eq!(truncation.next(cut), Next::Soon);
+    assert_eq!(truncation.record_answer(cut), Next::Soon);
 }
--- a/crates/peppercrank-direct/tests/verify_warm_up.rs
+++ b/crates/peppercrank-direct/tests/verify_warm_up.rs
@@ -18,12 +18,12 @@
 use peppercrank_direct::evacuations;
 use peppercrank_direct::starts::Start;
 use peppercrank_direct::warm_up::Allowance;
+use peppercrank_direct::warm_up::COLD_MARGIN;
 use peppercrank_direct::warm_up::Gate;
-use peppercrank_direct::warm_up::MARGIN;
-use peppercrank_direct::warm_up::Members;
 use peppercrank_direct::warm_up::Opens;
+use peppercrank_direct::warm_up::RouterSet;
 use peppercrank_direct::warm_up::WarmUp;
-use peppercrank_direct::warm_up::shared_out;
+use peppercrank_direct::warm_up::fleet_budget;
 use slotmap::SlotMap;
 
 const ZERO: Moment = Moment::ZERO;
@@ -31,7 +31,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 const WARM_UP: WarmUp = WarmUp {
-    lasts: Duration::from_secs(3),
+    duration: Duration::from_secs(3),
     rate: 10.0,
 };
 
@@ -51,29 +51,29 @@
 }
 
 /// What the router of this place knows of the others.
-fn members(names: &[String], own: usize) -> Members {
-    let mut members = Members::default();
+fn router_set(names: &[String], own: usize) -> RouterSet {
+    let mut routers = RouterSet::default();
     let others = names.iter().enumerate().filter(|(n, _)| *n != own);
-    members.set(&names[own], others.map(|(_, name)| name.as_str()));
-    members
+    routers.set(&names[own], others.map(|(_, name)| name.as_str()));
+    routers
 }
 
 /// The gate of the router of this place.
 fn gate(names: &[String], own: usize) -> Gate {
     let mut gate = Gate::default();
-    gate.members = members(names, own);
+    gate.routers = router_set(names, own);
     gate
 }
 
 fn shares(names: &[String], target: u32) -> Vec<usize> {
-    let requests = shared_out(&WARM_UP, &ALLOWANCE);
-    let share = |own| members(names, own).share(target, requests, names.len());
+    let requests = fleet_budget(&WARM_UP, &ALLOWANCE);
+    let share = |own| router_set(names, own).share(target, requests, names.len());
     (0..names.len()).map(share).collect()
 }
 
 #[test]
-fn verify_all_parts_together_are_what_is_shared_out() {
-    assert_eq!(shared_out(&WARM_UP, &ALLOWANCE), BOUND / 2);
+fn verify_shares_add_up_to_the_fleet_budget() {
+    assert_eq!(fleet_budget(&WARM_UP, &ALLOWANCE), BOUND / 2);
     for routers in FLEETS {
         for target in 0..20 {
             let sum = shares(&names(routers), target).iter().sum::<usize>();
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn verify_each_router_may_use_its_part_of_the_targets() {
+fn verify_each_router_may_use_some_of_the_cold_targets() {
     // Half again as many as the mean of 18.5 at the most, so that no router has nowhere to go while all targets are cold.
     let routers = names(30);
     let open = |own: usize| {
@@ -97,30 +97,30 @@
 }
 
 #[test]
-fn verify_lists_that_differ_stay_within_the_bound() {
+fn verify_differing_router_lists_stay_within_the_bound() {
     let all = names(34);
     for target in 0..50 {
         // A third of the routers has not heard of the last four, and knows one that has gone.
         let mut older = all[..30].to_vec();
         older.push("router-gone".to_owned());
-        let requests = shared_out(&WARM_UP, &ALLOWANCE);
-        let newer = (10..34).map(|own| members(&all, own).share(target, requests, 34));
-        let behind = (0..10).map(|own| members(&older, own).share(target, requests, 31));
+        let requests = fleet_budget(&WARM_UP, &ALLOWANCE);
+        let newer = (10..34).map(|own| router_set(&all, own).share(target, requests, 34));
+        let behind = (0..10).map(|own| router_set(&older, own).share(target, requests, 31));
         let sum = newer.chain(behind).sum::<usize>();
         assert!(sum <= BOUND, "target {target}: {sum}");
     }
 }
 
 #[test]
-fn verify_a_router_that_was_told_of_no_others_sends_nothing() {
-    assert_eq!(Members::default().share(1, 10, 1), 0);
+fn verify_a_router_without_a_list_sends_nothing() {
+    assert_eq!(RouterSet::default().share(1, 10, 1), 0);
 }
 
 #[test]
-fn verify_a_list_of_an_older_copy_of_the_store_does_not_multiply_the_rate() {
+fn verify_a_router_list_of_a_restored_store_does_not_multiply_the_rate() {
     // The copy knows four of thirty routers, each of which has heard of all the others.
     let all = names(30);
-    let requests = shared_out(&WARM_UP, &ALLOWANCE);
+    let requests = fleet_budget(&WARM_UP, &ALLOWANCE);
     for target in 0..50 {
         let share = |own: usize| {
             let mut listed = all[..4].to_vec();
@@ -128,7 +128,7 @@
                 listed.push(all[own].clone());
             }
             let place = own.min(4);
-            members(&listed, place).share(target, requests, all.len())
+            router_set(&listed, place).share(target, requests, all.len())
         };
         let sum = (0..all.len()).map(share).sum::<usize>();
         assert!(sum <= BOUND, "target {target}: {sum}");
@@ -137,9 +137,9 @@
 
 /// What each of the routers of a fleet does at a cold target that all want to send to: the most that it gets in any second, and all
 /// that it gets in `seconds`.
-fn rush(routers: usize, seconds: u64) -> (usize, usize) {
+fn burst(routers: usize, seconds: u64) -> (usize, usize) {
     let names = names(routers);
-    let requests = shared_out(&WARM_UP, &ALLOWANCE);
+    let requests = fleet_budget(&WARM_UP, &ALLOWANCE);
     let mut keys = SlotMap::<TargetKey, ()>::with_key();
     let key = keys.insert(());
     let mut gates = (0..routers)
@@ -150,7 +150,7 @@
         let now = ZERO + Duration::from_millis(step * 10);
         for gate in &mut gates {
             while gate.opens(now, (key, 7), requests, routers) == Opens::Now {
-                gate.sent(now, key);
+                gate.record_sent(now, key);
                 sent.push(now);
             }
         }
@@ -162,9 +162,9 @@
 }
 
 #[test]
-fn verify_a_rush_of_all_routers_stays_within_the_bound_and_uses_the_rate() {
+fn verify_a_burst_from_all_routers_stays_within_the_bound_and_uses_the_rate() {
     for routers in FLEETS {
-        let (most, all) = rush(routers, 5);
+        let (most, all) = burst(routers, 5);
         assert!(most <= BOUND, "{routers} routers: {most} in a second");
         assert!(all >= 5 * 8, "{routers} routers: {all} in five seconds");
     }
@@ -178,7 +178,7 @@
     let mut opens = |now| {
         let opens = gate.opens(now, (key, 7), 10, 5);
         if opens == Opens::Now {
-            gate.sent(now, key);
+            gate.record_sent(now, key);
         }
         opens
     };
@@ -189,7 +189,7 @@
     assert_eq!(opens(ZERO + SECOND), Opens::After(SECOND / 4));
 }
 
-fn entry(instance: &str, born: u64, cold: Duration) -> Change {
+fn entry(instance: &str, born: u64, cold_for: Duration) -> Change {
     Change::Put(Registration {
         instance: instance.into(),
         start: Start(Some(born)),
@@ -198,13 +198,13 @@
         zone: "a".into(),
         slots: 4,
         leaving: false,
-        cold,
+        cold_for,
     })
 }
 
 fn cold_until(directory: &Directory) -> Moment {
     let key = directory.find("one").expect("a target");
-    directory.cold_until(key, WARM_UP.lasts)
+    directory.cold_until(key, WARM_UP.duration)
 }
 
 #[test]
@@ -224,7 +224,7 @@
     told.apply(later, entry("one", 1, SECOND * 2));
     assert_eq!(cold_until(&told), later + SECOND * 2);
     // By another start under its name, and by a registration after the first list, whatever it says.
-    let unheard = later + WARM_UP.lasts + MARGIN;
+    let unheard = later + WARM_UP.duration + COLD_MARGIN;
     let mut restarted = warm();
     restarted.apply(later, entry("one", 2, Duration::ZERO));
     assert_eq!(cold_until(&restarted), unheard);
@@ -243,13 +243,13 @@
 }
 
 #[test]
-fn verify_not_heard_is_not_warm() {
+fn verify_targets_may_be_cold_without_recent_store_answers() {
     let mut gate = Gate::default();
-    assert!(gate.is_blind(ZERO, None));
-    gate.heard(ZERO);
-    assert!(!gate.is_blind(ZERO + SECOND * 7, None));
-    assert!(gate.is_blind(ZERO + SECOND * 8, None));
+    assert!(gate.is_stale(ZERO, None));
+    gate.store_answered(ZERO);
+    assert!(!gate.is_stale(ZERO + SECOND * 7, None));
+    assert!(gate.is_stale(ZERO + SECOND * 8, None));
     // Where the store is known not to answer, sooner.
-    assert!(!gate.is_blind(ZERO + SECOND * 2, Some(ZERO)));
-    assert!(gate.is_blind(ZERO + SECOND * 3, Some(ZERO)));
+    assert!(!gate.is_stale(ZERO + SECOND * 2, Some(ZERO)));
+    assert!(gate.is_stale(ZERO + SECOND * 3, Some(ZERO)));
 }
--- a/crates/peppercrank-gateway/src/admin.rs
+++ b/crates/peppercrank-gateway/src/admin.rs
@@ -40,7 +40,8 @@
         (Some(age), Some(keys)) => age < keys.revoke.mul_f64(READY_SHARE),
     };
     let in_touch = state.away.is_none_or(|since| now.since(since) < AWAY);
-    let listed = state.directory.listed().is_some() && state.directory.evacuations.is_listed();
+    let listed =
+        state.directory.first_listed_at().is_some() && state.directory.evacuations.is_listed();
     young && in_touch && listed && !gateway.stop.is_stopping()
 }
 
--- a/crates/peppercrank-gateway/src/attempt.rs
+++ b/crates/peppercrank-gateway/src/attempt.rs
@@ -126,7 +126,7 @@
     last_event: Option<&str>,
 ) -> Result<TargetAnswer, AttemptError> {
     let request = request(gateway, job, flight, last_event);
-    let reuse = if job.kind.repeats() {
+    let reuse = if job.kind.is_retryable() {
         Reuse::Allowed
     } else {
         Reuse::Never
--- a/crates/peppercrank-gateway/src/choose.rs
+++ b/crates/peppercrank-gateway/src/choose.rs
@@ -41,7 +41,7 @@
 
 /// Whether a target came lately to a fleet that was there before.
 fn is_fresh(state: &State, now: Moment, since: Moment) -> bool {
-    let first = state.directory.listed().unwrap_or(now);
+    let first = state.directory.first_listed_at().unwrap_or(now);
     since > first + FIRST && now.since(since) < FRESH
 }
 
@@ -93,20 +93,20 @@
     let holders = survey.holders(&eligible);
     let request = PlacementRequest {
         policy: policy(settings.placement),
-        id: job.own(),
-        home: job.home(),
-        goal: job.goal,
-        cap: settings.cap,
-        tokens: job.tokens,
-        shared: job.shared().iter().map(|p| p.tokens).sum(),
+        id_hash: job.own(),
+        home_hash: job.home(),
+        latency_goal: job.goal,
+        cap_factor: settings.cap,
+        prompt_tokens: job.tokens,
+        shared_tokens: job.shared().iter().map(|p| p.tokens).sum(),
         size: job.size(),
-        copying: job.copying,
+        copy_rate: job.copying,
     };
     let attempt = Attempt {
         rank: job.rank,
-        goal: job.pool_goal,
-        left: job.deadline.since(now),
-        first: tried.is_empty(),
+        pool_goal: job.pool_goal,
+        time_left: job.deadline.since(now),
+        is_first: tried.is_empty(),
     };
     let admission = state.admission.entry(Arc::clone(&job.pool)).or_default();
     let decision = decide(
@@ -120,8 +120,8 @@
     );
     let (reason, after) = match decision {
         Decision::Send(choice) => return Ok(choice),
-        Decision::Full { after } => (Reason::Full, after),
-        Decision::NoTarget { after } => (Reason::NoTarget, after),
+        Decision::Full { retry_after: after } => (Reason::Full, after),
+        Decision::NoTarget { retry_after: after } => (Reason::NoTarget, after),
     };
     Err(Rejection { reason, after })
 }
@@ -159,7 +159,7 @@
     let (instance, address) = (Arc::clone(&registration.instance), registration.address);
     let target = registration.id();
     state.sent(now, choice, target, job.shared());
-    state.gate.sent(now, key);
+    state.gate.record_sent(now, key);
     if let Some(own) = job.parts.last() {
         // Peers gain nothing from the last part, which is the request's own.
         state.prefixes.note(now, key, own.chain);
@@ -204,20 +204,20 @@
         let registration = &target.registration;
         Some(Candidate {
             key,
-            name: registration.draw(),
+            placement_id: registration.placement_id(),
             slots: registration.slots,
-            near: *registration.zone == *self.settings.zone,
-            held: state.prefixes.held(key, &self.job.parts),
-            fresh: is_fresh(state, *now, state.directory.came(key)?),
-            lag: now.since(state.heard),
+            same_zone: *registration.zone == *self.settings.zone,
+            held_tokens: state.prefixes.held(key, &self.job.parts),
+            recently_joined: is_fresh(state, *now, state.directory.joined_at(key)?),
+            peers_lag: now.since(state.heard),
             stats: state.board.get(key).at(*now, self.lag, self.hold),
         })
     }
 
     /// The targets that do not get the request and may hold its prompt, or count in the pool's mean load.
     fn holders(&self, eligible: &Eligible) -> Vec<Holder> {
-        let finishing = self.state.directory.finishing(self.now, &self.job.pool);
-        let finishing = finishing.map(|(key, why)| (key, why.serves_on()));
+        let finishing = self.state.directory.draining(self.now, &self.job.pool);
+        let finishing = finishing.map(|(key, why)| (key, why.keeps_serving()));
         let all = finishing.chain(eligible.withheld.iter().map(|key| (*key, true)));
         all.filter_map(|(key, counts)| self.hold(key, counts))
             .collect()
@@ -238,10 +238,10 @@
         };
         (counts || copies).then(|| Holder {
             key,
-            name: registration.draw(),
-            held,
-            copies,
-            counted,
+            placement_id: registration.placement_id(),
+            held_tokens: held,
+            copyable: copies,
+            counted_stats: counted,
         })
     }
 }
--- a/crates/peppercrank-gateway/src/eligible.rs
+++ b/crates/peppercrank-gateway/src/eligible.rs
@@ -8,10 +8,10 @@
 use peppercrank_core::time::Moment;
 use peppercrank_direct::admission::SOONEST;
 use peppercrank_direct::directory::TargetKey;
-use peppercrank_direct::directory::Withheld;
+use peppercrank_direct::directory::WithheldReason;
 use peppercrank_direct::warm_up::Allowance;
 use peppercrank_direct::warm_up::Opens;
-use peppercrank_direct::warm_up::shared_out;
+use peppercrank_direct::warm_up::fleet_budget;
 use peppercrank_settings::GatewaySettings;
 
 use crate::job::Job;
@@ -84,13 +84,13 @@
     settings: &GatewaySettings,
     others: bool,
 ) -> Option<Rejection> {
-    let finishing = state.directory.finishing(now, &job.pool);
+    let finishing = state.directory.draining(now, &job.pool);
     let finishing = finishing.collect::<Vec<_>>();
     let allowed = finishing
         .iter()
         .filter(|(key, _)| is_allowed(state, job, settings, *key));
     let pauses = allowed.filter_map(|(_, why)| match why {
-        Withheld::Paused(until) => Some(until.since(now)),
+        WithheldReason::Paused(until) => Some(until.since(now)),
         _ => None,
     });
     if let Some(after) = pauses.min() {
@@ -100,7 +100,9 @@
     if others {
         return Some(Rejection::now(Reason::NoRegion));
     }
-    let evacuated = finishing.iter().any(|(_, why)| *why == Withheld::Evacuated);
+    let evacuated = finishing
+        .iter()
+        .any(|(_, why)| *why == WithheldReason::Evacuated);
     evacuated.then(|| Rejection::now(Reason::Evacuated))
 }
 
@@ -130,19 +132,19 @@
         overage: settings.warm_up.overage,
         slack: settings.warm_up.slack,
     };
-    let requests = shared_out(&warm_up, &allowance);
-    let blind = state.gate.is_blind(now, state.away);
+    let requests = fleet_budget(&warm_up, &allowance);
+    let blind = state.gate.is_stale(now, state.away);
     let routers = state.sharers(now);
-    let mut soonest = warm_up.lasts;
+    let mut soonest = warm_up.duration;
     for key in allowed {
-        if !blind && now >= state.cold_until(key, warm_up.lasts) {
+        if !blind && now >= state.cold_until(key, warm_up.duration) {
             eligible.open.push(key);
             continue;
         }
         let Some(target) = state.directory.get(key) else {
             continue;
         };
-        let name = target.registration.draw();
+        let name = target.registration.placement_id();
         match state.gate.opens(now, (key, name), requests, routers) {
             Opens::Now => eligible.open.push(key),
             Opens::After(time) => {
--- a/crates/peppercrank-gateway/src/flight.rs
+++ b/crates/peppercrank-gateway/src/flight.rs
@@ -65,7 +65,11 @@
         self.notice = notice;
         let now = self.gateway.now();
         let key = self.counted.choice.key;
-        let noted = self.gateway.state().directory.noticed(now, key, notice);
+        let noted = self
+            .gateway
+            .state()
+            .directory
+            .apply_notice(now, key, notice);
         targets::note(&self.gateway, vec![noted], None);
     }
 
@@ -73,7 +77,7 @@
     pub fn lost(&self) {
         let now = self.gateway.now();
         let key = self.counted.choice.key;
-        let noted = self.gateway.state().directory.lost(now, key);
+        let noted = self.gateway.state().directory.mark_replaced(now, key);
         targets::note(&self.gateway, vec![noted], None);
     }
 
@@ -87,7 +91,7 @@
         let now = self.gateway.now();
         let key = self.counted.choice.key;
         if self.gateway.state().directory.get(key).is_some() {
-            self.gateway.state().gate.unreachable(now, key);
+            self.gateway.state().gate.mark_unreachable(now, key);
         }
     }
 
--- a/crates/peppercrank-gateway/src/follow.rs
+++ b/crates/peppercrank-gateway/src/follow.rs
@@ -10,11 +10,11 @@
 use peppercrank_core::events::Event as LogEvent;
 use peppercrank_core::time::Moment;
 use peppercrank_direct::catch_up::Proof;
-use peppercrank_direct::catch_up::Reading;
+use peppercrank_direct::catch_up::ReadMode;
 use peppercrank_direct::era::Era;
-use peppercrank_direct::era::Told;
-use peppercrank_direct::truncation::GATHER;
-use peppercrank_direct::truncation::Length;
+use peppercrank_direct::era::EraOrder;
+use peppercrank_direct::truncation::AnswerSize;
+use peppercrank_direct::truncation::GATHER_PAUSE;
 use peppercrank_direct::truncation::Next;
 use peppercrank_direct::truncation::Truncation;
 use peppercrank_log::Field;
@@ -142,28 +142,28 @@
             | Role::Evacuations(_) => {}
         }
         match self.reading() {
-            Reading::Snapshot => self.list().await,
-            Reading::Changes(revision) => self.watch(revision).await,
+            ReadMode::Snapshot => self.list().await,
+            ReadMode::Changes(revision) => self.watch(revision).await,
         }
     }
 
     /// What to ask the store for.
-    fn reading(&self) -> Reading {
+    fn reading(&self) -> ReadMode {
         if self.kind == Kind::Configuration {
             let now = self.gateway.now();
             let state = self.gateway.state();
-            return state.catch_up.reading(state.freshness.age(now));
+            return state.catch_up.next_read(state.freshness.age(now));
         }
         // Another follower may have been the first to hear of a new era.
         let counts = self.gateway.state().eras.newest() == self.era;
         let revision = self.intake.revision.filter(|_| counts);
-        revision.map_or(Reading::Snapshot, Reading::Changes)
+        revision.map_or(ReadMode::Snapshot, ReadMode::Changes)
     }
 
     /// The revision up to which the kind is known; of the configuration, to either of its followers.
     fn known(&self) -> Option<u64> {
         match self.kind {
-            Kind::Configuration => self.gateway.state().catch_up.known(),
+            Kind::Configuration => self.gateway.state().catch_up.revision(),
             Kind::Targets | Kind::Routers | Kind::Evacuations => self.intake.revision,
         }
     }
@@ -175,11 +175,11 @@
                 self.pace().await;
             }
             Turn::Again => {}
-            Turn::More => sleep(GATHER).await,
+            Turn::More => sleep(GATHER_PAUSE).await,
             Turn::Relist => {
                 self.intake.revision = None;
                 if self.kind == Kind::Configuration {
-                    self.gateway.state().catch_up.forget();
+                    self.gateway.state().catch_up.reset();
                 }
                 let fields = [("kind", Field::Text(self.kind.word()))];
                 self.gateway.log.write(LogEvent::Relisted, &fields);
@@ -220,7 +220,7 @@
             let Ok(page) = store::read_page(self.kind, &body) else {
                 return Turn::Failed("malformed list");
             };
-            self.truncation.listed(body.len());
+            self.truncation.record_list_page(body.len());
             entries.extend(page.entries);
             // Changes since the first page may have missed the later ones.
             let from = *first.get_or_insert(page.revision);
@@ -243,7 +243,7 @@
         if self.kind == Kind::Configuration {
             let events = entries.into_iter().map(Event::Put).collect();
             let changes = Changes { events, revision };
-            let proof = self.intake.configure(asked, Reading::Snapshot, changes);
+            let proof = self.intake.configure(asked, ReadMode::Snapshot, changes);
             return self.proven(proof);
         }
         self.intake.replace(asked, entries);
@@ -264,11 +264,11 @@
         };
         self.back();
         if self.kind == Kind::Configuration {
-            let reading = Reading::Changes(revision);
+            let reading = ReadMode::Changes(revision);
             let proof = self.intake.configure(asked, reading, changes);
             return self.proven(proof);
         }
-        let next = self.truncation.next(Length {
+        let next = self.truncation.record_answer(AnswerSize {
             changes: changes.events.len(),
             bytes: body.len(),
         });
@@ -312,10 +312,10 @@
         self.gateway.metrics.called(self.kind.word(), ended.code());
         self.note(wait, asked, &ended);
         match self.gateway.hear_era(era, asked_in) {
-            Told::Same => {}
+            EraOrder::Same => {}
             // What it tells, it tells of revisions that mean something else now.
-            Told::Newer => return Err(Turn::Relist),
-            Told::Older => return Err(Turn::Fine),
+            EraOrder::Newer => return Err(Turn::Relist),
+            EraOrder::Older => return Err(Turn::Fine),
         }
         match ended {
             Ended::Done(body) => {
@@ -367,7 +367,7 @@
     fn back(&self) {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
-        state.directory.store_back(now);
+        state.directory.store_recovered(now);
         state.away = None;
         drop(state);
         if self.outage.set(false) {
--- a/crates/peppercrank-gateway/src/gateway.rs
+++ b/crates/peppercrank-gateway/src/gateway.rs
@@ -15,10 +15,10 @@
 use peppercrank_core::time::Moment;
 use peppercrank_direct::attribution::Suspect;
 use peppercrank_direct::content::Fingerprint;
-use peppercrank_direct::desired::Applied;
+use peppercrank_direct::desired::ApplyOutcome;
 use peppercrank_direct::desired::Desired;
 use peppercrank_direct::era::Era;
-use peppercrank_direct::era::Told;
+use peppercrank_direct::era::EraOrder;
 use peppercrank_direct::freshness::Source;
 use peppercrank_log::Field;
 use peppercrank_log::Log;
@@ -167,10 +167,10 @@
     ///
     /// Both come at once: while the bounds came up to 200 ms later, a router that was ready refused
     /// long requests for good that the configuration in force allowed.
-    pub fn bring_in_force(&self, desired: Desired) -> Applied {
-        let bounds = desired.bounds;
+    pub fn bring_in_force(&self, desired: Desired) -> ApplyOutcome {
+        let bounds = desired.caller_limits;
         let applied = self.state().config.apply(self.now(), desired);
-        if applied == Applied::InForce {
+        if applied == ApplyOutcome::Activated {
             let limits = edge_limits(&self.settings(), bounds);
             self.limits.send_replace(Arc::new(limits));
         }
@@ -220,14 +220,14 @@
 
     /// `hear_era` takes in the era that an answer of the store tells, to a question that was `asked` in another one or the same.
     #[must_use]
-    pub fn hear_era(&self, era: Option<Era>, asked: Option<Era>) -> Told {
+    pub fn hear_era(&self, era: Option<Era>, asked: Option<Era>) -> EraOrder {
         let Some(era) = era else {
-            return Told::Same;
+            return EraOrder::Same;
         };
         let now = self.now();
         let mut state = self.state();
-        let told = state.eras.hear(now, era);
-        if told == Told::Newer {
+        let told = state.eras.observe(now, era);
+        if told == EraOrder::Newer {
             state.store_restored(now);
             drop(state);
             let fields = [("era", Field::Number(era.0))];
@@ -235,7 +235,7 @@
         }
         match told {
             // Another call was the first to hear of it.
-            Told::Same if asked.is_some_and(|asked| asked < era) => Told::Newer,
+            EraOrder::Same if asked.is_some_and(|asked| asked < era) => EraOrder::Newer,
             told => told,
         }
     }
@@ -260,7 +260,7 @@
             version: state.config.index().map_or(0, |i| i.desired().version),
             age: state.freshness.age(now),
             source: state.freshness.source(),
-            away: state.directory.is_away(),
+            away: state.directory.is_store_down(),
             targets: state.directory.len(),
         }
     }
--- a/crates/peppercrank-gateway/src/intake.rs
+++ b/crates/peppercrank-gateway/src/intake.rs
@@ -8,8 +8,8 @@
 use peppercrank_core::events::Event as LogEvent;
 use peppercrank_core::time::Moment;
 use peppercrank_direct::catch_up::Proof;
-use peppercrank_direct::catch_up::Reading;
-use peppercrank_direct::desired::Applied;
+use peppercrank_direct::catch_up::ReadMode;
+use peppercrank_direct::desired::ApplyOutcome;
 use peppercrank_direct::desired::Desired;
 use peppercrank_direct::directory::Change as TargetChange;
 use peppercrank_direct::evacuations::Change;
@@ -66,7 +66,7 @@
                 let listed = listed.collect();
                 let now = self.gateway.now();
                 let mut state = self.gateway.state();
-                state.gate.heard(now);
+                state.gate.store_answered(now);
                 let noted = state.directory.replace(now, listed);
                 drop(state);
                 targets::note(&self.gateway, noted, self.revision);
@@ -107,7 +107,7 @@
             Kind::Configuration => {}
             Kind::Targets => {
                 let now = self.gateway.now();
-                self.gateway.state().gate.heard(now);
+                self.gateway.state().gate.store_answered(now);
                 for event in events {
                     self.change(event);
                 }
@@ -141,7 +141,7 @@
                     evacuations::note(&self.gateway, news);
                 }
                 let mut state = self.gateway.state();
-                let settled = state.directory.evacuations.settle(now, asked);
+                let settled = state.directory.evacuations.end_missing(now, asked);
                 drop(state);
                 evacuations::note(&self.gateway, settled);
             }
@@ -152,14 +152,14 @@
     /// answer to a question of `asked` proves that it is the newest that can be read. One that cannot be read must not
     /// take the last good one out of use, which would refuse all callers.
     #[must_use]
-    pub fn configure(&mut self, asked: Moment, reading: Reading, changes: Changes) -> Proof {
+    pub fn configure(&mut self, asked: Moment, reading: ReadMode, changes: Changes) -> Proof {
         self.lines = 0;
         let versions = changes.events.len();
         let mut newer = false;
         for event in changes.events {
             match event {
                 Event::Put(Entry::Configuration(desired)) => {
-                    newer |= self.bring_in_force(desired) == Applied::InForce;
+                    newer |= self.bring_in_force(desired) == ApplyOutcome::Activated;
                 }
                 Event::Put(Entry::Malformed(name, e)) => self.malformed(&name, &e),
                 Event::Put(_) | Event::Removed(_) => {}
@@ -167,18 +167,20 @@
         }
         let mut state = self.gateway.state();
         let revision = changes.revision;
-        let proof = state.catch_up.read(reading, revision, versions, newer);
-        let vouches = state.eras.vouches(asked);
+        let proof = state
+            .catch_up
+            .record_read(reading, revision, versions, newer);
+        let vouches = state.eras.can_prove_newest(asked);
         if proof == Proof::Newest && vouches && state.config.index().is_some() {
             state.freshness.confirm(asked, Source::Store);
         }
         proof
     }
 
-    fn bring_in_force(&self, desired: Desired) -> Applied {
+    fn bring_in_force(&self, desired: Desired) -> ApplyOutcome {
         let version = desired.version;
         let applied = self.gateway.bring_in_force(desired);
-        if applied == Applied::InForce {
+        if applied == ApplyOutcome::Activated {
             self.gateway.metrics.in_force(version);
             let fields = [("version", Field::Number(version))];
             self.gateway.log.write(LogEvent::ConfigApplied, &fields);
--- a/crates/peppercrank-gateway/src/job.rs
+++ b/crates/peppercrank-gateway/src/job.rs
@@ -13,7 +13,7 @@
 use peppercrank_core::time::Moment;
 use peppercrank_direct::content::Content;
 use peppercrank_direct::content::Fingerprint;
-use peppercrank_direct::desired::Allowed;
+use peppercrank_direct::desired::Access;
 use peppercrank_direct::desired::Index;
 use peppercrank_direct::desired::Route;
 use peppercrank_direct::desired::RouteKind;
@@ -162,14 +162,14 @@
                 Reason::StaleRoutes
             });
         };
-        let allowed = index.allowed(route, said.key.as_deref());
-        if !freshness.is_fresh(now) && !route.open && allowed != Allowed::Anyone {
+        let allowed = index.access(route, said.key.as_deref());
+        if !freshness.is_fresh(now) && !route.public && allowed != Access::Anyone {
             return Err(Reason::StaleKeys);
         }
         let organisation = match allowed {
-            Allowed::Anyone => None,
-            Allowed::Member(organisation) => Some(organisation),
-            Allowed::Denied => return Err(Reason::Denied),
+            Access::Anyone => None,
+            Access::Member(organisation) => Some(organisation),
+            Access::Denied => return Err(Reason::Denied),
         };
         let pool = route.pool(said.id.as_bytes()).ok_or(Reason::NoTarget)?;
         peppercrank_wire::headers::strip(&mut head.headers);
@@ -177,23 +177,23 @@
         let CallHead { id, prompt, .. } = said;
         let prompt = prompt.unwrap_or_default();
         let settings = index.pool(pool);
-        let memory = settings.and_then(|p| p.memory);
+        let memory = settings.and_then(|p| p.prompt_cache);
         Ok(Self {
             pool: Arc::clone(pool),
             kind: route.kind,
             route: Arc::clone(&route.name),
-            attempts: route.attempts,
-            goal: route.goal,
-            pause: route.pause,
+            attempts: route.max_targets,
+            goal: route.latency_goal,
+            pause: route.max_event_gap,
             organisation: organisation.map(|o| Arc::clone(&o.name)),
             rank: index.ranks().rank(pool, route, organisation),
             pool_goal: index.ranks().goal(pool),
             tokens: prompt.tokens,
             output: prompt.output,
-            copying: memory.and_then(|m| m.copying()),
+            copying: memory.and_then(|m| m.copy_rate()),
             warm_up: settings.and_then(|p| p.warm_up),
             regions: match organisation {
-                Some(organisation) => route.regions.both(&organisation.regions),
+                Some(organisation) => route.regions.intersection(&organisation.regions),
                 None => route.regions.clone(),
             },
             parts: prompt.parts,
--- a/crates/peppercrank-gateway/src/metrics.rs
+++ b/crates/peppercrank-gateway/src/metrics.rs
@@ -360,7 +360,10 @@
         let now = gateway.now();
         let mut state = gateway.state();
         self.show_budget(&mut state, now);
-        let since = state.config.since().map(|at| now.since(at).as_millis());
+        let since = state
+            .config
+            .activation_time()
+            .map(|at| now.since(at).as_millis());
         self.config_age.set(since.map_or(-1, signed));
         self.dropped.set(signed(u128::from(gateway.log.dropped())));
         let age = state.freshness.age(now).map(|a| a.as_millis());
--- a/crates/peppercrank-gateway/src/relay.rs
+++ b/crates/peppercrank-gateway/src/relay.rs
@@ -12,7 +12,7 @@
 use http::StatusCode;
 use peppercrank_core::events::Event;
 use peppercrank_direct::desired::RouteKind;
-use peppercrank_direct::events::Events;
+use peppercrank_direct::events::EventBuffer;
 use peppercrank_direct::retries::After;
 use peppercrank_direct::retries::ExecutionState;
 use peppercrank_direct::silence::Heard;
@@ -47,7 +47,7 @@
     /// When the first part came, since the request did.
     began: Duration,
     /// Whole events only, of streams that may be resumed.
-    events: Option<Events>,
+    events: Option<EventBuffer>,
     silence: Silence,
 }
 
@@ -73,7 +73,7 @@
         rest: Some(rest),
         feed,
         began: run.held(),
-        events: resumable.then(Events::default),
+        events: resumable.then(EventBuffer::default),
         silence: Silence::new(run.gateway.now(), run.job.pause),
     };
     tokio::spawn(relay.go(first));
@@ -177,7 +177,7 @@
     }
 
     fn is_whole(&self) -> bool {
-        self.events.as_ref().is_none_or(Events::is_between)
+        self.events.as_ref().is_none_or(EventBuffer::is_at_boundary)
     }
 
     /// Goes on at another target after the last whole event.
@@ -203,14 +203,14 @@
             return false;
         };
         run.tried.push(flight.counted.choice.key);
-        let last = self.events.as_ref().and_then(Events::last);
+        let last = self.events.as_ref().and_then(EventBuffer::last_event_id);
         let last = last.map(str::to_owned);
         let until = run.patience(&flight);
         let sent = send(&run.gateway, &run.job, &mut flight, until, last.as_deref()).await;
         match sent {
             Ok(TargetAnswer::Stream { first, rest, .. }) => {
                 if let Some(events) = &mut self.events {
-                    events.restart();
+                    events.discard_partial();
                 }
                 let fields = [
                     ("request", Field::Text(&run.job.id)),
--- a/crates/peppercrank-gateway/src/run.rs
+++ b/crates/peppercrank-gateway/src/run.rs
@@ -227,7 +227,7 @@
             continue;
         };
         let routers = gateway.state().sharers(gateway.now());
-        let spare = desired::spare(&index.desired().pools, routers, SPARE);
+        let spare = desired::max_idle_connections(&index.desired().pools, routers, SPARE);
         gateway.client.set_spare(spare);
     }
 }
--- a/crates/peppercrank-gateway/src/serve.rs
+++ b/crates/peppercrank-gateway/src/serve.rs
@@ -79,7 +79,7 @@
     let mut run = Run {
         open: Arc::new(Open::new(gateway, &job)),
         gateway: Arc::clone(gateway),
-        plan: Plan::new(job.kind.repeats(), job.attempts),
+        plan: Plan::new(job.kind.is_retryable(), job.attempts),
         tried: Vec::new(),
         after: SOONEST,
         attribution: Attribution::default(),
@@ -196,14 +196,15 @@
     /// `patience` is how long this attempt may take to its answer's first part.
     #[must_use]
     pub fn patience(&self, flight: &Flight) -> Moment {
-        let more = self.job.kind.repeats() && self.plan.sends() + 1 < self.job.attempts;
+        let more = self.job.kind.is_retryable() && self.plan.sends() + 1 < self.job.attempts;
         // An attempt that nothing may follow is waited for: its answer may still come.
         if !more || !self.could_repeat() {
             return self.job.deadline;
         }
         let wanted = self.job.goal.mul_f64(PATIENCE);
-        let predicted =
-            Duration::from_secs_f64(flight.counted.choice.first.max(0.0) * SLACK / 1_000.0);
+        let predicted = Duration::from_secs_f64(
+            flight.counted.choice.predicted_first_ms.max(0.0) * SLACK / 1_000.0,
+        );
         (flight.counted.sent + wanted.max(predicted)).min(self.job.deadline)
     }
 
@@ -373,7 +374,7 @@
             ),
             (
                 "predicted_ms",
-                Field::Number(whole(flight.counted.choice.first)),
+                Field::Number(whole(flight.counted.choice.predicted_first_ms)),
             ),
             ("held_ms", Field::Millis(self.held())),
         ];
@@ -389,19 +390,25 @@
             ("status", Field::Number(u64::from(status.as_u16()))),
             ("attempts", Field::Number(u64::from(self.plan.sends()) + 1)),
             ("version", Field::Number(self.job.version)),
-            ("reading", Field::Number(flight.counted.choice.reading)),
+            (
+                "reading",
+                Field::Number(flight.counted.choice.prefill_tokens),
+            ),
             (
                 "copy",
                 Field::Number(flight.counted.choice.copy.map_or(0, |(_, tokens)| tokens)),
             ),
             (
                 "unknown",
-                Field::Number(u64::from(flight.counted.choice.unknown)),
+                Field::Number(u64::from(flight.counted.choice.holder_unknown)),
+            ),
+            (
+                "home",
+                Field::Number(u64::from(flight.counted.choice.is_home)),
             ),
-            ("home", Field::Number(u64::from(flight.counted.choice.home))),
             (
                 "predicted_ms",
-                Field::Number(whole(flight.counted.choice.first)),
+                Field::Number(whole(flight.counted.choice.predicted_first_ms)),
             ),
             ("leaving", Field::Number(u64::from(flight.notice.leaving))),
             ("first_ms", Field::Millis(first)),
--- a/crates/peppercrank-gateway/src/state.rs
+++ b/crates/peppercrank-gateway/src/state.rs
@@ -12,11 +12,11 @@
 use peppercrank_direct::admission::Admission;
 use peppercrank_direct::catch_up::CatchUp;
 use peppercrank_direct::confirm::Asked;
-use peppercrank_direct::desired::InForce;
+use peppercrank_direct::desired::ActiveConfiguration;
 use peppercrank_direct::directory::Directory;
 use peppercrank_direct::directory::Registration;
 use peppercrank_direct::directory::TargetKey;
-use peppercrank_direct::era::Eras;
+use peppercrank_direct::era::EraTracker;
 use peppercrank_direct::freshness::Freshness;
 use peppercrank_direct::peers::Hint;
 use peppercrank_direct::peers::Outbox;
@@ -31,8 +31,8 @@
 use peppercrank_direct::retries::Terms;
 use peppercrank_direct::starts::Start;
 use peppercrank_direct::stats::Board;
+use peppercrank_direct::warm_up::COLD_MARGIN;
 use peppercrank_direct::warm_up::Gate;
-use peppercrank_direct::warm_up::MARGIN;
 use peppercrank_settings::GatewaySettings;
 use slotmap::SecondaryMap;
 use slotmap::SlotMap;
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 pub struct State {
     /// The configuration in force.
-    pub config: InForce,
+    pub config: ActiveConfiguration,
     /// How old the knowledge of keys is.
     pub freshness: Freshness,
     /// The question to another router that is on its way.
@@ -52,7 +52,7 @@
     /// How far the configuration was read.
     pub catch_up: CatchUp,
     /// The store's eras.
-    pub eras: Eras,
+    pub eras: EraTracker,
     /// The targets there are.
     pub directory: Directory,
     /// Since when the store does not answer this router.
@@ -143,11 +143,11 @@
     #[must_use]
     pub fn new(now: Moment, settings: &GatewaySettings) -> Self {
         Self {
-            config: InForce::default(),
+            config: ActiveConfiguration::default(),
             freshness: Freshness::new(settings.keys.map(|k| k.revoke)),
             asked: None,
             catch_up: CatchUp::default(),
-            eras: Eras::default(),
+            eras: EraTracker::default(),
             directory: Directory::default(),
             away: None,
             heard: now,
@@ -171,7 +171,7 @@
     /// `store_restored` notes that the store has come back from an older copy, so that no revision counts any more.
     pub fn store_restored(&mut self, now: Moment) {
         self.directory.store_restored(now);
-        self.catch_up.forget();
+        self.catch_up.reset();
         for router in self.routers.values_mut() {
             // Its entry's revision names another state of it; until it is read anew none is removed by it.
             router.heard = now;
@@ -202,15 +202,15 @@
     /// `routers_changed` notes that other routers registered or went.
     pub fn routers_changed(&mut self, own: &str) {
         let others = self.routers.keys().map(|name| &**name);
-        self.gate.members.set(own, others);
+        self.gate.routers.set(own, others);
     }
 
     /// `cold_until` is until when a target counts as cold, in a pool whose targets warm up for so long.
     #[must_use]
     pub fn cold_until(&self, key: TargetKey, lasts: Duration) -> Moment {
         let told = self.directory.cold_until(key, lasts);
-        let unreachable = self.gate.was_unreachable(key);
-        unreachable.map_or(told, |at| told.max(at + lasts + MARGIN))
+        let unreachable = self.gate.last_unreachable(key);
+        unreachable.map_or(told, |at| told.max(at + lasts + COLD_MARGIN))
     }
 
     /// `sharers` is how many routers share the retry budget: those registered, those heard of,
--- a/crates/peppercrank-gateway/src/targets.rs
+++ b/crates/peppercrank-gateway/src/targets.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use peppercrank_core::events::Event as LogEvent;
-use peppercrank_direct::directory::Noted;
+use peppercrank_direct::directory::TargetEvent;
 use peppercrank_direct::directory::TargetKey;
 use peppercrank_log::Field;
 use tokio::time::sleep;
@@ -16,20 +16,20 @@
 use crate::state::Label;
 
 /// `note` notes what changes of the targets meant, as told by a revision of the store.
-pub fn note(gateway: &Gateway, noted: Vec<Noted>, revision: Option<u64>) {
+pub fn note(gateway: &Gateway, noted: Vec<TargetEvent>, revision: Option<u64>) {
     let told = |event, key| tell(gateway, event, &label(gateway, key), revision);
     for noted in noted {
         match noted {
-            Noted::Joined(key) => {
+            TargetEvent::Joined(key) => {
                 joined(gateway, key);
                 told(LogEvent::TargetJoined, key);
             }
-            Noted::Gone(key) => {
+            TargetEvent::Gone(key) => {
                 let label = label(gateway, key);
                 gone(gateway, key, &label);
                 tell(gateway, LogEvent::TargetGone, &label, revision);
             }
-            Noted::Restarted { old, new } => {
+            TargetEvent::Restarted { old, new } => {
                 gateway.state().terminations.terminate(old);
                 let label = label(gateway, old);
                 gone(gateway, old, &label);
@@ -40,17 +40,17 @@
                 joined(gateway, new);
                 told(LogEvent::TargetRestarted, new);
             }
-            Noted::Left(key) => {
+            TargetEvent::MarkedLeaving(key) => {
                 let label = label(gateway, key);
                 tell(gateway, LogEvent::Leaving, &label, revision);
                 // Its end is told by the same name, also of one that was leaving when it came.
                 gateway.state().labels.insert(key, label);
             }
-            Noted::Paused(key) => paused(gateway, key),
-            Noted::Missing(key) => told(LogEvent::TargetMissing, key),
-            Noted::InDoubt(key) => told(LogEvent::TargetInDoubt, key),
-            Noted::Unreadable(key) => told(LogEvent::TargetUnreadable, key),
-            Noted::Nothing => {}
+            TargetEvent::Paused(key) => paused(gateway, key),
+            TargetEvent::Missing(key) => told(LogEvent::TargetMissing, key),
+            TargetEvent::InDoubt(key) => told(LogEvent::TargetInDoubt, key),
+            TargetEvent::Unreadable(key) => told(LogEvent::TargetUnreadable, key),
+            TargetEvent::NoChange => {}
         }
     }
 }
@@ -78,12 +78,12 @@
         .state()
         .directory
         .get(key)
-        .and_then(|t| t.pause(now));
+        .and_then(|t| t.pause_end(now));
     let pause = until.map(|until| until.since(now)).unwrap_or_default();
     let label = label(gateway, key);
     let fields = [
         ("target", Field::Text(&label.instance)),
-        ("born", Field::Number(label.start.millis())),
+        ("born", Field::Number(label.start.unix_millis())),
         ("pause_ms", Field::Millis(pause)),
     ];
     gateway.log.write(LogEvent::TargetPaused, &fields);
@@ -108,7 +108,7 @@
 fn tell(gateway: &Gateway, event: LogEvent, label: &Label, revision: Option<u64>) {
     let fields = [
         ("target", Field::Text(&label.instance)),
-        ("born", Field::Number(label.start.millis())),
+        ("born", Field::Number(label.start.unix_millis())),
         ("revision", Field::Number(revision.unwrap_or(0))),
     ];
     gateway.log.write(event, &fields);
