--- a/crates/peppercrank-spec/src/cold.rs
+++ b/crates/peppercrank-spec/src/cold.rs
@@ -16,7 +16,7 @@
 use peppercrank_direct::warm_up::Gate;
 use peppercrank_direct::warm_up::Opens;
 use peppercrank_direct::warm_up::WarmUp;
-use peppercrank_direct::warm_up::shared_out;
+use peppercrank_direct::warm_up::fleet_budget;
 use slotmap::SlotMap;
 
 use crate::search::Model;
@@ -32,7 +32,7 @@
 
 /// How the target warms up.
 const WARM_UP: WarmUp = WarmUp {
-    lasts: Duration::from_secs(3),
+    duration: Duration::from_secs(3),
     rate: 2.0,
 };
 
@@ -136,7 +136,7 @@
             Flaw::None | Flaw::TakesSilence => &ROUTERS[..registered],
         };
         let others = others.iter().copied();
-        self.gates[router].members.set(ROUTERS[router], others);
+        self.gates[router].routers.set(ROUTERS[router], others);
     }
 
     /// Starts a router again, which knows nothing.
@@ -145,7 +145,7 @@
         self.shape.known[router] = 0;
         let mut gate = Gate::default();
         if flaw == Flaw::TakesSilence {
-            gate.members.set(ROUTERS[router], std::iter::empty());
+            gate.routers.set(ROUTERS[router], std::iter::empty());
         }
         self.gates[router] = gate;
     }
@@ -153,7 +153,7 @@
     /// Whether a router may send.
     fn opens(&mut self, router: usize, flaw: Flaw) -> bool {
         let now = self.now();
-        let requests = shared_out(&WARM_UP, &ALLOWANCE);
+        let requests = fleet_budget(&WARM_UP, &ALLOWANCE);
         let heard = match flaw {
             Flaw::TakesAll => 1,
             Flaw::None | Flaw::TakesSilence => self.shape.known[router],
@@ -174,7 +174,7 @@
             }
             Step::Send(router) if next.opens(router, self.flaw) => {
                 let now = next.now();
-                next.gates[router].sent(now, next.key);
+                next.gates[router].record_sent(now, next.key);
                 next.shape.sent.push(next.shape.strides);
             }
             Step::Start(router) if next.shape.starts < self.starts => {
--- a/crates/peppercrank-spec/src/eras.rs
+++ b/crates/peppercrank-spec/src/eras.rs
@@ -5,7 +5,7 @@
 //!
 //! The target registers, leaves, says so in an answer, and ends; a copy of the store is taken at any moment, and the store comes back from it in a new
 //! era: its revisions go back and are given out again. A target that lives writes its entry again within a stride, that of a dead one lapses within
-//! two. The router reads now and then, and decides with the real [`peppercrank_direct::era::Eras`] and
+//! two. The router reads now and then, and decides with the real [`peppercrank_direct::era::EraTracker`] and
 //! [`peppercrank_direct::directory::Directory`].
 
 use std::hash::Hash;
@@ -17,8 +17,8 @@
 use peppercrank_direct::directory::Directory;
 use peppercrank_direct::directory::Registration;
 use peppercrank_direct::era::Era;
-use peppercrank_direct::era::Eras;
-use peppercrank_direct::era::Told;
+use peppercrank_direct::era::EraOrder;
+use peppercrank_direct::era::EraTracker;
 use peppercrank_direct::notice::Notice;
 use peppercrank_direct::starts::Start;
 
@@ -118,7 +118,7 @@
 #[derive(Debug, Clone)]
 pub struct State {
     directory: Directory,
-    eras: Eras,
+    eras: EraTracker,
     shape: Shape,
 }
 
@@ -178,8 +178,8 @@
     fn read(&mut self, flaw: Flaw) {
         let now = self.now();
         let era = self.shape.era;
-        let told = self.eras.hear(now, Era(era));
-        if told == Told::Newer && flaw != Flaw::TrustsCopy {
+        let told = self.eras.observe(now, Era(era));
+        if told == EraOrder::Newer && flaw != Flaw::TrustsCopy {
             self.directory.store_restored(now);
         }
         let held = self.directory.find("one").is_some();
@@ -197,7 +197,7 @@
         }
         self.shape.position = Some((era, revision));
         self.shape.heard.gone |= held && self.directory.find("one").is_none();
-        self.shape.heard.leaving |= self.directory.finishing(now, "pool").next().is_some();
+        self.shape.heard.leaving |= self.directory.draining(now, "pool").next().is_some();
     }
 
     /// Lets time pass: what is owed by then is written.
@@ -230,7 +230,7 @@
         };
         let known = self.directory.find("one");
         if let Some(key) = known.filter(|_| flaw != Flaw::DropsNotices) {
-            let _noted = self.directory.noticed(now, key, notice);
+            let _noted = self.directory.apply_notice(now, key, notice);
         }
     }
 
@@ -250,7 +250,7 @@
             zone: "a".into(),
             slots: 1,
             leaving,
-            cold: Duration::ZERO,
+            cold_for: Duration::ZERO,
         }),
     }
 }
@@ -334,7 +334,7 @@
     fn start(&self) -> State {
         State {
             directory: Directory::default(),
-            eras: Eras::default(),
+            eras: EraTracker::default(),
             shape: Shape {
                 strides: 0,
                 changes: 0,
--- a/crates/peppercrank-spec/src/evacuations.rs
+++ b/crates/peppercrank-spec/src/evacuations.rs
@@ -5,7 +5,7 @@
 //!
 //! An operator evacuates the zone and restores it; the store may come back from a copy that lacks either, and the operator writes
 //! its own word again within a stride. The router lists, follows the history, loses touch for any time and starts again with
-//! nothing. It decides with the real [`peppercrank_direct::era::Eras`] and [`peppercrank_direct::evacuations::Evacuations`].
+//! nothing. It decides with the real [`peppercrank_direct::era::EraTracker`] and [`peppercrank_direct::evacuations::Evacuations`].
 
 use std::hash::Hash;
 use std::hash::Hasher;
@@ -14,8 +14,8 @@
 
 use peppercrank_core::time::Moment;
 use peppercrank_direct::era::Era;
-use peppercrank_direct::era::Eras;
-use peppercrank_direct::era::Told;
+use peppercrank_direct::era::EraOrder;
+use peppercrank_direct::era::EraTracker;
 use peppercrank_direct::evacuations::Change;
 use peppercrank_direct::evacuations::Evacuations;
 
@@ -97,7 +97,7 @@
 #[derive(Debug, Clone)]
 pub struct State {
     known: Evacuations,
-    eras: Eras,
+    eras: EraTracker,
     shape: Shape,
 }
 
@@ -156,7 +156,7 @@
     fn read(&mut self, flaw: Flaw) {
         let now = self.now();
         let era = self.shape.era;
-        if self.eras.hear(now, Era(era)) == Told::Newer && flaw != Flaw::TrustsCopy {
+        if self.eras.observe(now, Era(era)) == EraOrder::Newer && flaw != Flaw::TrustsCopy {
             self.known.store_restored(now);
         }
         let revision = self.shape.stored.len();
@@ -165,7 +165,7 @@
             for evacuated in &self.shape.stored[from..] {
                 let _news = self.known.apply(now, change(*evacuated));
             }
-            let _settled = self.known.settle(now, now);
+            let _settled = self.known.end_missing(now, now);
         } else {
             let listed = is_evacuated(&self.shape.stored).then(|| Arc::from(ZONE));
             let listed = listed.into_iter().collect::<Vec<_>>();
@@ -181,7 +181,7 @@
         self.shape.write();
         if flaw == Flaw::EndsByTime {
             let now = self.now();
-            let _ended = self.known.settle(now, now);
+            let _ended = self.known.end_missing(now, now);
         }
     }
 
@@ -247,7 +247,7 @@
                 shape.told = false;
                 shape.position = None;
                 next.known = Evacuations::default();
-                next.eras = Eras::default();
+                next.eras = EraTracker::default();
             }
             Step::Read => next.read(self.flaw),
             Step::Stride => next.pass(self.flaw),
@@ -268,7 +268,7 @@
     fn start(&self) -> State {
         State {
             known: Evacuations::default(),
-            eras: Eras::default(),
+            eras: EraTracker::default(),
             shape: Shape {
                 strides: 0,
                 changes: 0,
--- a/crates/peppercrank-spec/src/starts.rs
+++ b/crates/peppercrank-spec/src/starts.rs
@@ -144,7 +144,7 @@
         let key = self.directory.find("one");
         let target = key.and_then(|k| self.directory.get(k));
         let known = target.map(|t| start_of(&t.registration));
-        let rival = target.and_then(|t| t.rival());
+        let rival = target.and_then(|t| t.conflicting_start());
         let rival = rival.map(|(entry, from)| (start_of(entry), millis(from)));
         let owner = key.zip(known);
         if let (Some((before, start)), Some((now, known))) = (self.owner, owner) {
@@ -211,7 +211,7 @@
         zone: "a".into(),
         slots: start.into(),
         leaving: false,
-        cold: Duration::ZERO,
+        cold_for: Duration::ZERO,
     }
 }
 
