--- a/crates/peppercrank-direct/src/catch_up.rs
+++ b/crates/peppercrank-direct/src/catch_up.rs
@@ -1,55 +1,55 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! How a router reads the configuration anew, and what an answer proves.
+//! How a router catches up with the configuration, and what an answer of the store proves.
 //!
-//! Only the newest version matters, and each change in the store's history holds a whole one. So the
-//! changes are read while they are few, and otherwise a snapshot, which is one version whatever was missed.
-//! With 44 versions of 54 KB in a row, routers on links of 10 Mbit/s that came back into touch
-//! read up to 1.18 MB a second for 8 s by the history.
+//! Only the newest version matters, and each change in the store's history holds a whole version.
+//! So the router reads changes while they are few, and otherwise a snapshot, which is a single
+//! version however many were missed. With 44 consecutive versions of 54 KB, routers on links of 10
+//! Mbit/s that reconnected and read the history transferred up to 1.18 MB per second for 8 s.
 
 use std::time::Duration;
 
-/// Age of what is known from which the changes since may be many. Knowledge that another router confirms
-/// in a calm fleet is at most 2.1 s old: the pause between confirmations and the oldest age
-/// that is taken over.
+/// Age of the known configuration from which the changes since then may be many. In a fleet without
+/// faults, a configuration that another router confirms is at most 2.1 s old: the pause between
+/// confirmations plus the greatest age at which one is accepted.
 pub const CHANGES_MAX_AGE: Duration = Duration::from_millis(2_500);
 
-/// `Reading` is what to ask the store for.
+/// `ReadMode` is how to query the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadMode {
-    /// The changes after this revision.
+    /// Read the changes after this revision.
     Changes(u64),
-    /// A snapshot: the state as it is.
+    /// Read a snapshot of the current state.
     Snapshot,
 }
 
-/// `Proof` is what an answer proves of the version that is then in force.
+/// `Proof` is what an answer proves of the version that is in force after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Proof {
-    /// It was the newest when the question was sent.
+    /// It was the newest when the query was sent.
     Newest,
-    /// Nothing: there may be newer ones.
+    /// There may be newer versions.
     Nothing,
 }
 
-/// `CatchUp` is how far the configuration was read.
+/// `CatchUp` tracks how far the configuration has been read.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CatchUp {
-    /// The revision of the store up to which it is known.
+    /// Revision of the store up to which the configuration is known.
     known_revision: Option<u64>,
-    /// Whether versions come faster than they are read.
+    /// Whether versions are written faster than they are read.
     frequent_versions: bool,
 }
 
 impl CatchUp {
-    /// `known` is the revision of the store up to which the configuration is known.
+    /// Returns the revision of the store up to which the configuration is known.
     #[must_use]
     pub const fn revision(&self) -> Option<u64> {
         self.known_revision
     }
 
-    /// `reading` is what to ask for, where what is known is of this age.
+    /// Returns how to query the store next, where `age` is the age of the known configuration.
     #[must_use]
     pub fn next_read(&self, age: Option<Duration>) -> ReadMode {
         let few = age.is_some_and(|age| age < CHANGES_MAX_AGE) && !self.frequent_versions;
@@ -59,12 +59,12 @@
         }
     }
 
-    /// `read` notes an answer: the revision that it shows, the versions that it holds, and whether it
-    /// brought a newer one in force.
+    /// Records an answer: the revision that it shows, the number of versions that it holds, and
+    /// whether it brought a newer one into force.
     ///
-    /// Changes prove nothing unless there are none. The store cuts a long answer and does not say so, and
-    /// a router that took a cut one for the newest was ready with a version that had been replaced
-    /// four seconds before, and refused routes that had been added.
+    /// Changes prove nothing unless there are none. The store truncates long answers without saying
+    /// so. A router that took a truncated answer for the newest state became ready with a version
+    /// that had been replaced four seconds earlier, and refused routes that had been added.
     pub fn record_read(
         &mut self,
         reading: ReadMode,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// `forget` notes that the history after the known revision is gone.
+    /// Records that the history after the known revision is no longer available.
     pub const fn reset(&mut self) {
         self.known_revision = None;
     }
--- a/crates/peppercrank-direct/src/decide.rs
+++ b/crates/peppercrank-direct/src/decide.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Whether a request is sent, where to, and when its caller should return if not.
+//! Decision whether a request is sent and to which target, and when its caller should retry if not.
 
 use std::time::Duration;
 
@@ -19,40 +19,40 @@
 use crate::ranks::Rank;
 use crate::rates::Rates;
 
-/// `Attempt` is one attempt of a request, for admission.
+/// `Attempt` holds the properties of an attempt that admission depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct Attempt {
-    /// How urgent the request is among those of its pool.
+    /// Urgency of the request among those of its pool.
     pub rank: Rank,
-    /// The shortest goal of the requests for its pool.
+    /// Shortest latency goal of the requests for the pool.
     pub pool_goal: Duration,
-    /// The time that its caller still waits.
+    /// Time for which the caller still waits.
     pub time_left: Duration,
-    /// Whether it is the request's first.
+    /// Whether it is the first attempt of the request.
     pub is_first: bool,
 }
 
-/// `Decision` is what becomes of an attempt.
+/// `Decision` is the result of admitting and placing an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Decision {
-    /// It is sent.
+    /// The attempt is sent to this target.
     Send(Choice),
-    /// No target can serve it in time.
+    /// No target can serve the attempt in time.
     Full {
-        /// When its caller should return.
+        /// Delay after which the caller should retry.
         retry_after: Duration,
     },
-    /// There are no targets.
+    /// The pool has no targets.
     NoTarget {
-        /// When its caller should return.
+        /// Delay after which the caller should retry.
         retry_after: Duration,
     },
 }
 
-/// `decide` admits an attempt and chooses its target, or refuses it.
+/// Admits an attempt and chooses its target, or refuses it.
 ///
-/// A request is admitted once: its further attempts count as the most urgent, since work was spent
-/// on it.
+/// A request is admitted only once. Its later attempts count as most urgent, since work has already
+/// been spent on it.
 pub fn decide(
     now: Moment,
     admission: &mut Admission,
--- a/crates/peppercrank-direct/src/desired.rs
+++ b/crates/peppercrank-direct/src/desired.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The operators' configuration: routes, pools, organisations and bounds on callers.
+//! The operators' configuration: routes, pools, organisations and limits on callers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,10 +14,10 @@
 use crate::regions::Regions;
 use crate::warm_up::WarmUp;
 
-/// Seed of the hash that draws one of a route's pools.
+/// Seed of the hash that selects one of a route's pools.
 const POOL_SEED: u64 = 0x706f_6f6c;
 
-/// `RouteKind` is what a route's requests allow.
+/// `RouteKind` is how often requests of a route may run, and whether they are streamed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// Requests may run more than once.
@@ -26,13 +26,13 @@
     Once,
     /// Answers are streams of events.
     Stream {
-        /// Whether a stream may be continued by another run.
+        /// Whether another run may continue an interrupted stream.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// `code` is the kind's stable name in metrics.
+    /// Returns the stable name of the kind in metrics.
     #[must_use]
     pub const fn code(self) -> &'static str {
         match self {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// `repeats` tells whether a request may run again while nothing of its answer was passed on.
+    /// Returns whether a request may run again as long as no part of its answer was passed on.
     #[must_use]
     pub const fn is_retryable(self) -> bool {
         match self {
@@ -54,46 +54,48 @@
     }
 }
 
-/// `PoolShare` is one of the pools that a route's requests are spread over.
+/// `PoolShare` is one of the pools among which a route's requests are split.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PoolShare {
-    /// The pool's name.
+    /// Name of the pool.
     pub pool: Arc<str>,
-    /// Its weight among the route's pools.
+    /// Weight of the pool among those of the route.
     pub weight: u32,
 }
 
-/// `Route` tells where requests of one host and path go and what they allow.
+/// `Route` describes where requests for one host and path prefix go, and how they are handled.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// The route's name.
+    /// Name of the route.
     pub name: Arc<str>,
-    /// The host that it serves, in lower case.
+    /// Host that it serves, in lower case.
     pub host: Arc<str>,
-    /// The path that it serves, with a slash at both ends.
+    /// Path prefix that it serves, with a slash at both ends.
     pub prefix: Arc<str>,
-    /// What its requests allow.
+    /// How often its requests may run.
     pub kind: RouteKind,
-    /// The longest time that a request is kept.
+    /// Longest time that a request may take.
     pub timeout: Duration,
-    /// The time within which an answer is wanted.
+    /// Time within which the first part of an answer is wanted.
     pub latency_goal: Duration,
-    /// The longest pause between two events of an answer that is on time, where that is named.
+    /// Longest pause between two events of a stream that counts as on time; `None` if there is no
+    /// goal.
     pub max_event_gap: Option<Duration>,
-    /// Its priority; 0 is the most urgent.
+    /// Priority of its requests; 0 is the most urgent.
     pub priority: u8,
-    /// Its pools.
+    /// Pools among which its requests are split.
     pub pools: Vec<PoolShare>,
-    /// Targets that one request may run on.
+    /// Number of targets that one request may run on.
     pub max_targets: u32,
     /// Whether requests need no key.
     pub public: bool,
-    /// The regions in which its requests may run.
+    /// Regions in which its requests may run.
     pub regions: Regions,
 }
 
 impl Route {
-    /// `pool` is the pool of the request with this id; the same for each of its attempts.
+    /// Returns the pool of the request with this id. All attempts of a request get the same pool.
+    /// `None` if the weights add up to zero.
     #[must_use]
     pub fn pool(&self, id: &[u8]) -> Option<&Arc<str>> {
         let total = self.pools.iter().map(|p| u64::from(p.weight)).sum::<u64>();
@@ -109,32 +111,33 @@
     }
 }
 
-/// `Pool` is a set of targets that serve alike.
+/// `Pool` is a set of interchangeable targets.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Pool {
-    /// The pool's name.
+    /// Name of the pool.
     pub name: Arc<str>,
-    /// Connections that one of its targets takes from all callers.
+    /// Connections that each target accepts from all callers together.
     pub max_connections: u32,
-    /// The memory of its engines; none for plain services.
+    /// Prompt cache of the pool's engines; `None` for plain services.
     pub prompt_cache: Option<PromptCache>,
-    /// How its targets warm up, where they do.
+    /// How its targets warm up; `None` if they do not.
     pub warm_up: Option<WarmUp>,
 }
 
-/// `Memory` is what one engine of a pool keeps of prompts.
+/// `PromptCache` describes the prompt cache of one engine of a pool.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PromptCache {
-    /// Tokens that it keeps.
+    /// Tokens that it can hold.
     pub capacity_tokens: u64,
-    /// Bytes of one token.
+    /// Size of one token, in bytes.
     pub bytes_per_token: f64,
-    /// Bytes that it copies to another engine in a millisecond.
+    /// Rate at which it is copied to another engine, in bytes per millisecond.
     pub bytes_per_ms: f64,
 }
 
 impl PromptCache {
-    /// `copying` is how many tokens it copies in a millisecond; none where it cannot.
+    /// Returns the rate at which it is copied, in tokens per millisecond; `None` if it cannot be
+    /// copied.
     #[must_use]
     pub fn copy_rate(&self) -> Option<f64> {
         let rate = self.bytes_per_ms / self.bytes_per_token;
@@ -142,11 +145,10 @@
     }
 }
 
-/// Part of a target's connections that routers may keep unused, over all of them.
+/// Divisor of a target's connections that gives how many all routers together may keep idle.
 const IDLE_DIVISOR: usize = 2;
 
-/// `spare` is how many unused connections each of so many routers may keep to one target, `most` at
-/// the most.
+/// Returns how many idle connections each of `routers` may keep to one target, at most `most`.
 #[must_use]
 pub fn max_idle_connections(pools: &[Pool], routers: usize, most: usize) -> usize {
     let fewest = pools.iter().map(|p| p.max_connections).min();
@@ -154,48 +156,48 @@
     (fewest / IDLE_DIVISOR / routers.max(1)).min(most)
 }
 
-/// `CallerBounds` bound what callers may send and how long they may take.
+/// `CallerLimits` bounds the size of requests and the time that callers may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The longest request head, in bytes.
+    /// Longest request head, in bytes.
     pub head_bytes: usize,
-    /// The longest request body, in bytes.
+    /// Longest request body, in bytes.
     pub body_bytes: u64,
-    /// Time from a head's first byte to its last.
+    /// Time from the first byte of a request head to its last.
     pub head_timeout: Duration,
-    /// Time that a connection may stay without a request.
+    /// Time for which a connection may stay open without a request.
     pub idle_timeout: Duration,
 }
 
-/// `Organisation` is one whose callers hold keys.
+/// `Organisation` is an organisation whose callers hold keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Organisation {
-    /// The organisation's name.
+    /// Name of the organisation.
     pub name: Arc<str>,
-    /// Its priority, which goes before the route's; 0 is the most urgent.
+    /// Priority of its requests, which overrides the route's; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// The keys of its callers.
+    /// Keys of its callers.
     pub keys: Vec<Arc<str>>,
-    /// The regions in which its callers' requests may run.
+    /// Regions in which its callers' requests may run.
     pub regions: Regions,
 }
 
 /// `Desired` is one version of the whole configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Desired {
-    /// The version, which only grows.
+    /// Version number; it only increases.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
     /// All pools.
     pub pools: Vec<Pool>,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub caller_limits: CallerLimits,
-    /// Organisations; without any, requests need no keys.
+    /// All organisations. If there are none, requests need no keys.
     pub organisations: Vec<Organisation>,
 }
 
-/// `Index` finds routes and organisations of one configuration.
+/// `Index` looks up the routes, pools and organisations of one configuration.
 #[derive(Debug)]
 pub struct Index {
     desired: Desired,
@@ -203,23 +205,23 @@
     hosts: HashMap<Arc<str>, Vec<usize>>,
     /// Organisations by key.
     keys: HashMap<Arc<str>, usize>,
-    /// How urgent requests are.
+    /// Urgency of requests.
     ranks: Ranks,
 }
 
-/// `Allowed` is whether a request may run, and for whom.
+/// `Access` is whether a request may run, and for whom.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Access<'a> {
-    /// For anyone: the route is open, or there are no organisations.
+    /// The request may run for anyone: the route is public, or there are no organisations.
     Anyone,
-    /// For a caller of this organisation.
+    /// The request may run for a caller of this organisation.
     Member(&'a Organisation),
-    /// The key is missing or nobody's.
+    /// The key is missing or unknown.
     Denied,
 }
 
 impl Index {
-    /// `new` indexes a configuration.
+    /// Indexes a configuration.
     #[must_use]
     pub fn new(desired: Desired) -> Self {
         let mut hosts: HashMap<Arc<str>, Vec<usize>> = HashMap::new();
@@ -243,19 +245,20 @@
         }
     }
 
-    /// `desired` is the indexed configuration.
+    /// Returns the indexed configuration.
     #[must_use]
     pub const fn desired(&self) -> &Desired {
         &self.desired
     }
 
-    /// `ranks` tells how urgent requests are.
+    /// Returns the ranks by which the urgency of requests is compared.
     #[must_use]
     pub const fn ranks(&self) -> &Ranks {
         &self.ranks
     }
 
-    /// `route` is the route of the longest prefix that begins `path`.
+    /// Returns the route with the longest prefix of `path`. The host may have a port, in any case
+    /// of letters.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let name = host.rsplit_once(':').map_or(host, |(name, _port)| name);
@@ -267,7 +270,7 @@
         routes.find(|r| path.starts_with(&*r.prefix))
     }
 
-    /// `allowed` tells for whom a request with this key may run.
+    /// Returns for whom a request with this key may run.
     #[must_use]
     pub fn access(&self, route: &Route, key: Option<&str>) -> Access<'_> {
         if self.desired.organisations.is_empty() {
@@ -280,34 +283,34 @@
         }
     }
 
-    /// `pool` is the pool of this name.
+    /// Returns the pool with this name.
     #[must_use]
     pub fn pool(&self, name: &str) -> Option<&Pool> {
         self.desired.pools.iter().find(|p| &*p.name == name)
     }
 }
 
-/// `InForce` holds the highest version seen; it never goes back.
+/// `ActiveConfiguration` holds the highest version read so far. It never goes back to a lower one.
 #[derive(Debug, Clone, Default)]
 pub struct ActiveConfiguration {
     index: Option<Arc<Index>>,
-    /// When it came in force.
+    /// Time at which the version came into force.
     activated_at: Option<Moment>,
 }
 
-/// `Applied` is what became of a version that was read.
+/// `ApplyOutcome` is the result of applying a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It is in force.
+    /// The version has come into force.
     Activated,
-    /// It was in force already.
+    /// The version was in force already.
     Unchanged,
-    /// It is older than the one in force and was dropped.
+    /// The version is older than the one in force and was dropped.
     Older,
 }
 
 impl ActiveConfiguration {
-    /// `apply` brings a version in force unless it is older.
+    /// Brings a version into force unless it is older than the current one.
     pub fn apply(&mut self, now: Moment, desired: Desired) -> ApplyOutcome {
         let current = self.index.as_ref().map(|i| i.desired.version);
         match current {
@@ -321,13 +324,13 @@
         }
     }
 
-    /// `since` is when the configuration came in force.
+    /// Returns the time at which the current version came into force; `None` before the first.
     #[must_use]
     pub const fn activation_time(&self) -> Option<Moment> {
         self.activated_at
     }
 
-    /// `index` is the configuration in force; none before the first was read.
+    /// Returns the index of the current version; `None` before the first was read.
     #[must_use]
     pub const fn index(&self) -> Option<&Arc<Index>> {
         self.index.as_ref()
--- a/crates/peppercrank-direct/src/directory.rs
+++ b/crates/peppercrank-direct/src/directory.rs
@@ -1,13 +1,16 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The targets there are, as they register themselves in the platform's store.
+//! Directory of the targets that have registered themselves in the platform's store.
 //!
-//! A target that is marked as leaving, that says so in an answer ([`crate::notice`]), or whose entry is removed, takes no more work at once.
-//! One that asked for a pause takes none until its end.
-//! Entries expire while the store is away although their targets live, so an entry that is
-//! missing right after an outage is used for a grace period if its pool has no other. A target that
-//! started again is another one ([`crate::starts`]); one whose entry cannot be read takes no work until it can.
+//! A target gets no new work as soon as it is marked as leaving, says so in an answer
+//! ([`crate::notice`]) or has its entry removed. A target that asked for a pause gets none until
+//! the pause ends.
+//!
+//! Entries expire while the store is unavailable, although their targets are alive. So an entry
+//! that is missing right after an outage is still used for a grace period if its pool has no other.
+//! A target that started again is a different one ([`crate::starts`]). A target whose entry cannot
+//! be read gets no work until it can be.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -30,86 +33,89 @@
 use crate::starts::Start;
 use crate::warm_up::COLD_MARGIN;
 
-/// Time after the store's return in which living targets register again; the platform's figure
-/// is about two seconds.
+/// Time after an outage of the store in which live targets register again. The platform specifies
+/// about two seconds.
 pub const RETURN_GRACE: Duration = Duration::from_secs(2);
 
-/// Time for which it is remembered that a target is gone, and that it was leaving: longer than any copy of the store is old,
-/// and than a leaving target goes on.
+/// Time for which a departed target and its leaving mark are remembered. It is longer than the age
+/// of any copy of the store, and than a leaving target keeps running.
 const DEPARTED_RETENTION: Duration = Duration::from_secs(60);
 
-/// `HELD` is the time for which entries of gone targets are held in a store that has come back from an older copy: until a dead
-/// one's entry has lapsed, after three heartbeats of 1.2 s, and that was read, up to 0.9 s later.
+/// Time for which entries of departed targets are held back after the store was restored from an
+/// older copy. By then the entry of a dead target has expired, after three heartbeats of 1.2 s, and
+/// that has been read, up to 0.9 s later.
 pub const RESTORE_HOLD: Duration = Duration::from_secs(6);
 
-/// `Directory` holds the targets.
+/// `Directory` holds the registered targets.
 #[derive(Debug, Clone, Default)]
 pub struct Directory {
     targets: SlotMap<TargetKey, Target>,
     instances: HashMap<Arc<str>, TargetKey>,
     pools: HashMap<Arc<str>, Vec<TargetKey>>,
-    /// Whether the store does not answer.
+    /// Whether the store is unavailable.
     store_down: bool,
-    /// Until when missing entries may be back.
+    /// End of the grace period for missing entries.
     grace_until: Option<Moment>,
-    /// The targets that went lately.
+    /// Targets that departed recently.
     departed: HashMap<Arc<str>, Departed>,
-    /// Entries of gone targets in a store that came back from an older copy; they stand where they are still there then.
+    /// Entries of departed targets in a store that was restored from an older copy. They are
+    /// accepted if they are still there at the end of the hold.
     held_entries: HashMap<Arc<str>, Registration>,
-    /// Until when such entries are held.
+    /// End of the hold.
     held_until: Option<Moment>,
-    /// The availability zones whose targets get no new work.
+    /// Availability zones whose targets get no new work.
     pub evacuations: Evacuations,
-    /// When the whole list was first taken in.
+    /// Time at which the first whole list was read.
     first_listed: Option<Moment>,
 }
 
-/// `Departed` is what stays known of a target that went, as its entry may be written again while it lives.
+/// `Departed` is what is remembered of a departed target, since its entry may be written again
+/// while it is alive.
 #[derive(Debug, Clone, Copy)]
 struct Departed {
     start: Start,
     removed_at: Moment,
     /// Whether it was leaving.
     leaving: bool,
-    /// Until when it wants no work from this router.
+    /// End of the pause that it asked for.
     paused_until: Option<Moment>,
 }
 
-/// `Noted` is what a change meant.
+/// `TargetEvent` is the effect of a change on a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetEvent {
-    /// A target came.
+    /// A target joined.
     Joined(TargetKey),
     /// A target was marked as leaving.
     MarkedLeaving(TargetKey),
     /// A target is gone.
     Gone(TargetKey),
-    /// A target started again: `old` has ended, and `new` takes its place.
+    /// A target started again.
     Restarted {
         /// The start that has ended.
         old: TargetKey,
-        /// The new one.
+        /// The start that replaces it.
         new: TargetKey,
     },
-    /// Another start of the target was told of, which may be an earlier one.
+    /// The store holds another start of the target, which may be an earlier one.
     InDoubt(TargetKey),
-    /// A target's entry cannot be read any more.
+    /// The target's entry can no longer be read.
     Unreadable(TargetKey),
-    /// A target's entry is missing after an outage.
+    /// The target's entry is missing after an outage.
     Missing(TargetKey),
-    /// A target asked for a pause.
+    /// The target asked for a pause.
     Paused(TargetKey),
-    /// Nothing that matters here.
+    /// The change has no effect on any target.
     NoChange,
 }
 
 impl Directory {
-    /// `store_lost` notes that the store does not answer.
+    /// Records that the store is unavailable.
     pub const fn store_lost(&mut self) {
         self.store_down = true;
     }
 
-    /// `store_back` notes that the store answers; after an outage a grace period begins.
+    /// Records that the store is available. After an outage this starts a grace period.
     pub fn store_recovered(&mut self, now: Moment) {
         if self.store_down {
             self.store_down = false;
@@ -117,8 +123,8 @@
         }
     }
 
-    /// `store_restored` notes that the store has come back from an older copy. What is missing there may be written again, and what it
-    /// shows of targets that are gone may be as old as the copy.
+    /// Records that the store was restored from an older copy. Missing entries may be written
+    /// again, and entries of departed targets may be as old as the copy.
     pub fn store_restored(&mut self, now: Moment) {
         self.store_down = false;
         self.grace_until = Some(now + RETURN_GRACE);
@@ -126,13 +132,13 @@
         self.evacuations.store_restored(now);
     }
 
-    /// `is_away` tells whether the store does not answer.
+    /// Returns whether the store is unavailable.
     #[must_use]
     pub const fn is_store_down(&self) -> bool {
         self.store_down
     }
 
-    /// `replace` takes in the whole list: what is there, readable or not.
+    /// Replaces all entries, readable or not, by a whole list.
     pub fn replace(&mut self, now: Moment, listed: Vec<Change>) -> Vec<TargetEvent> {
         self.first_listed.get_or_insert(now);
         let named = listed.iter().map(|c| Arc::clone(c.instance()));
@@ -148,7 +154,7 @@
             .collect()
     }
 
-    /// `apply` takes in one change.
+    /// Applies one change.
     pub fn apply(&mut self, now: Moment, change: Change) -> TargetEvent {
         match change {
             Change::Put(entry) => self.put(now, entry),
@@ -185,21 +191,21 @@
         }
     }
 
-    /// Whether an entry is of a start that is known to be gone, and may be as old as the store's copy.
+    /// Returns whether an entry is of a departed start, and may be as old as the restored copy.
     fn must_hold(&self, now: Moment, entry: &Registration) -> bool {
         let held = self.held_until.is_some_and(|until| now < until);
         let gone = self.departed.get(&entry.instance);
         held && gone.is_some_and(|d| d.start.relation(entry.start) != Relation::Newer)
     }
 
-    /// What is known of an entry's start, if it went lately.
+    /// Returns what is remembered of the entry's start, if it departed recently.
     fn find_departed(&self, entry: &Registration) -> Option<&Departed> {
         let gone = self.departed.get(&entry.instance);
         gone.filter(|d| d.start.relation(entry.start) == Relation::Same)
     }
 
-    /// Takes in that a target's entry cannot be read. A mark of leaving holds on, as the target may have been told
-    /// that it was heard.
+    /// Records that a target's entry cannot be read. A leaving mark stays, since the target may
+    /// have been told that routers know of it.
     fn mark_unreadable(&mut self, instance: &Arc<str>) -> TargetEvent {
         self.held_entries.remove(instance);
         let Some(key) = self.instances.get(instance).copied() else {
@@ -208,7 +214,7 @@
         let Some(target) = self.targets.get_mut(key) else {
             return TargetEvent::NoChange;
         };
-        // What was told before this entry is no more the store's last word.
+        // A conflicting entry from before this one is no longer the latest in the store.
         target.conflicting = None;
         match target.state {
             State::Leaving | State::Unreadable => TargetEvent::NoChange,
@@ -219,7 +225,7 @@
         }
     }
 
-    /// Puts a new start in the place of one that has ended.
+    /// Replaces a start that has ended by a new one.
     fn restart(&mut self, now: Moment, old: TargetKey, entry: Registration) -> TargetEvent {
         self.forget(old);
         match self.join(now, entry) {
@@ -278,7 +284,7 @@
         self.depart(now, key)
     }
 
-    /// Takes out a target that is gone, and remembers it for a while.
+    /// Removes a target that is gone, and remembers it for a while.
     fn depart(&mut self, now: Moment, key: TargetKey) -> TargetEvent {
         if let Some(target) = self.targets.get(key) {
             let instance = Arc::clone(&target.registration.instance);
@@ -301,7 +307,8 @@
         }
     }
 
-    /// Takes a target out of a pool's list, and the list away with its last one, as other writers may name any pool.
+    /// Removes a target from the list of a pool, and the list itself once it is empty, as other
+    /// writers can name any pool.
     fn remove_from_pool(&mut self, pool: &Arc<str>, key: TargetKey) {
         if let Some(list) = self.pools.get_mut(pool) {
             list.retain(|k| *k != key);
@@ -311,12 +318,12 @@
         }
     }
 
-    /// `lost` notes that another instance answers at a target's address: it takes no more work.
+    /// Records that another instance answers at the target's address. The target gets no more work.
     pub fn mark_replaced(&mut self, now: Moment, key: TargetKey) -> TargetEvent {
         self.mark_leaving(now, key)
     }
 
-    /// `noticed` takes in what a target said of new work in an answer.
+    /// Applies what a target said of new work in an answer.
     pub fn apply_notice(&mut self, now: Moment, key: TargetKey, notice: Notice) -> TargetEvent {
         if notice.leaving {
             return self.mark_leaving(now, key);
@@ -339,13 +346,13 @@
         match std::mem::replace(&mut target.state, State::Leaving) {
             State::Leaving => TargetEvent::NoChange,
             State::Ready | State::Unreadable => TargetEvent::MarkedLeaving(key),
-            // Nothing would tell later that it is gone.
+            // No later change would report that it is gone.
             State::Missing(_) => self.depart(now, key),
         }
     }
 
-    /// `expire` drops the targets that did not return in time, and lets what the store tells of other starts, and of targets that
-    /// were gone, stand.
+    /// Removes the targets whose entries did not return within the grace period, and accepts
+    /// conflicting starts and held entries whose time has come.
     pub fn expire(&mut self, now: Moment) -> Vec<TargetEvent> {
         let late = |t: &Target| matches!(t.state, State::Missing(until) if now >= until);
         let late = self.targets.iter().filter(|(_, t)| late(t));
@@ -371,13 +378,14 @@
         noted
     }
 
-    /// `listed` is when the whole list was first taken in.
+    /// Returns the time at which the first whole list was read.
     #[must_use]
     pub const fn first_listed_at(&self) -> Option<Moment> {
         self.first_listed
     }
 
-    /// `came` is when a target came, or came back as its zone was restored: until then others were the homes of its prompts.
+    /// Returns the time at which a target joined, or at which its zone was restored if that is
+    /// later. Until then other targets were the homes of its prompts.
     #[must_use]
     pub fn joined_at(&self, key: TargetKey) -> Option<Moment> {
         let target = self.targets.get(key)?;
@@ -385,7 +393,8 @@
         Some(restored.map_or(target.first_seen, |at| at.max(target.first_seen)))
     }
 
-    /// `cold_until` is until when a target counts as cold by what the store told, in a pool whose targets warm up for so long.
+    /// Returns the time until which a target counts as cold by the store's entries, in a pool whose
+    /// targets warm up for `lasts`.
     #[must_use]
     pub fn cold_until(&self, key: TargetKey, lasts: Duration) -> Moment {
         let Some(target) = self.targets.get(key) else {
@@ -400,19 +409,20 @@
         unheard.map_or(target.cold_until, |until| until.max(target.cold_until))
     }
 
-    /// `get` is the target with this key, until it is gone.
+    /// Returns the target with this key, `None` once it is gone.
     #[must_use]
     pub fn get(&self, key: TargetKey) -> Option<&Target> {
         self.targets.get(key)
     }
 
-    /// `find` is the key of this instance.
+    /// Returns the key of an instance.
     #[must_use]
     pub fn find(&self, instance: &str) -> Option<TargetKey> {
         self.instances.get(instance).copied()
     }
 
-    /// `withheld` is why the target gets no new work at this moment; none where it may get some, or is gone.
+    /// Returns why the target gets no new work at this moment. `None` if it may get some, or is
+    /// gone.
     #[must_use]
     pub fn withheld_reason(&self, now: Moment, key: TargetKey) -> Option<WithheldReason> {
         let target = self.targets.get(key)?;
@@ -422,14 +432,14 @@
         target.withheld_reason(now).or(evacuated).or(paused)
     }
 
-    /// `usable` tells whether the target may be sent work at this moment.
+    /// Returns whether the target may be sent new work at this moment.
     #[must_use]
     pub fn is_usable(&self, now: Moment, key: TargetKey) -> bool {
         self.targets.contains_key(key) && self.withheld_reason(now, key).is_none()
     }
 
-    /// `pool` lists the targets of a pool that take work; those whose entries are missing or whose start is
-    /// in doubt only if there are no others.
+    /// Returns the targets of a pool that take new work. Targets whose entries are missing or whose
+    /// start is in doubt are returned only if there are no others.
     #[must_use]
     pub fn pool(&self, now: Moment, name: &str) -> Vec<TargetKey> {
         let usable = self.members(name).filter(|k| self.is_usable(now, *k));
@@ -439,7 +449,8 @@
         if found.is_empty() { usable } else { found }
     }
 
-    /// `finishing` lists the targets of a pool that get no new work and finish what they have, with the reason.
+    /// Returns the targets of a pool that get no new work but finish what they have, with the
+    /// reason.
     pub fn draining(
         &self,
         now: Moment,
@@ -453,18 +464,18 @@
         })
     }
 
-    /// `members` lists all targets of a pool.
+    /// Returns all targets of a pool.
     fn members(&self, name: &str) -> impl Iterator<Item = TargetKey> + use<'_> {
         self.pools.get(name).into_iter().flatten().copied()
     }
 
-    /// `len` is how many targets there are.
+    /// Returns the number of targets.
     #[must_use]
     pub fn len(&self) -> usize {
         self.targets.len()
     }
 
-    /// `is_empty` tells whether there are none.
+    /// Returns whether there are no targets.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
--- a/crates/peppercrank-direct/src/era.rs
+++ b/crates/peppercrank-direct/src/era.rs
@@ -1,19 +1,21 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Which life of the store an answer tells of.
+//! Eras of the store: which instance of its history an answer belongs to.
 //!
-//! A store that comes back from an older copy lacks what it acknowledged last, and gives its revisions out again: a
-//! router that went on from one heard of other changes without any error, or of none. It tells by its era, which rises each time. So a
-//! revision counts only within its era, and what is known is read anew in a new one. What was acknowledged before stays binding:
+//! A store that is restored from an older copy lacks the writes that it acknowledged last, and
+//! assigns their revisions again. A router that continued from an old revision would read other
+//! changes, or none, without any error. The store therefore reports its era, which increases with
+//! each restore. A revision is valid only within its era, and everything is read again in a new
+//! era. What was acknowledged before remains binding:
 //!
-//! | what the copy shows | what holds |
+//! | what the copy shows | what applies |
 //! | --- | --- |
 //! | an older configuration | the newest that was ever in force |
-//! | a target that serves though it was told to leave | it leaves |
-//! | a target that was told to be gone | it is gone, unless it is still registered when a dead one's entry would have lapsed |
-//! | no entry of a target that is known | it is missing for as long as after an outage |
-//! | nothing newer than what is known | no proof that there is nothing newer, until all have written theirs again |
+//! | a leaving target as serving | it is leaving |
+//! | an entry of a departed target | it is gone, unless it is still registered when the entry of a dead target would have expired |
+//! | no entry of a known target | it is missing for as long as after an outage |
+//! | nothing newer than what is known | no proof that there is nothing newer, until all writers have written their entries again |
 
 use std::time::Duration;
 
@@ -21,40 +23,41 @@
 
 use crate::directory::RETURN_GRACE;
 
-/// Time after a store's return in which operators and targets write again what it lacks.
+/// Time after a restore of the store in which operators and targets write again what it lacks.
 const REWRITE_PERIOD: Duration = RETURN_GRACE;
 
-/// `Era` is one life of the store.
+/// `Era` is the number of an era; later ones are greater.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Era(pub u64);
 
-/// `Told` is which era an answer is of.
+/// `EraOrder` is how the era of an answer compares with the newest known one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EraOrder {
-    /// The one that is known.
+    /// It is the newest known era.
     Same,
-    /// A newer one: what was read before counts no more.
+    /// It is newer. What was read before is no longer valid.
     Newer,
-    /// An older one: the answer comes late and changes nothing.
+    /// It is older. The answer is late and must be ignored.
     Older,
 }
 
-/// `Eras` is what is known of the store's eras.
+/// `EraTracker` keeps the newest era of the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EraTracker {
     newest: Option<Era>,
-    /// When the newest was first heard of, where another was known before.
+    /// Time at which the newest era was first seen; `None` if it is the first one.
     newest_since: Option<Moment>,
 }
 
 impl EraTracker {
-    /// `newest` is the newest era that was heard of; none before the first answer, or of a store that tells none.
+    /// Returns the newest era; `None` before the first answer, or if the store does not report
+    /// eras.
     #[must_use]
     pub const fn newest(&self) -> Option<Era> {
         self.newest
     }
 
-    /// `hear` takes in the era of an answer.
+    /// Records the era of an answer, and compares it with the newest one.
     pub fn observe(&mut self, now: Moment, era: Era) -> EraOrder {
         let Some(newest) = self.newest else {
             self.newest = Some(era);
@@ -71,8 +74,9 @@
         EraOrder::Newer
     }
 
-    /// `vouches` tells whether an answer to a question of this moment can show that nothing is newer: a key may have
-    /// been taken away by what the copy lacks, so that a router which trusted it would serve that key past its bound.
+    /// Returns whether the answer to a query sent at `asked` can prove that nothing is newer. In a
+    /// restored store, the revocation of a key may be missing, and a router that trusted the answer
+    /// would accept the key beyond its time limit.
     #[must_use]
     pub fn can_prove_newest(&self, asked: Moment) -> bool {
         self.newest_since
--- a/crates/peppercrank-direct/src/evacuations.rs
+++ b/crates/peppercrank-direct/src/evacuations.rs
@@ -1,12 +1,14 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The availability zones that operators have evacuated: their targets get no new work until the zone is restored.
+//! Availability zones that operators have evacuated. Their targets get no new work until the zone
+//! is restored.
 //!
-//! An evacuation that was read stays in force while the store does not answer, and until the store's own word ends it. A
-//! store that came back from an older copy may lack one that it acknowledged, so that one which is missing there holds until
-//! operators have had the time to write it again and the store was asked after that. Nothing is known before the first list,
-//! which is not the same as that there are none.
+//! An evacuation stays in force while the store is unavailable, and until the store reports its
+//! end. A store that was restored from an older copy may lack an evacuation that it had
+//! acknowledged. One that is missing there stays in force until operators have had the time to
+//! write it again and the store was queried after that. Before the first list nothing is known,
+//! which differs from an empty list.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,24 +22,25 @@
 /// Seed of the digest of evacuated zones.
 const DIGEST_SEED: u64 = 0x6576_6163;
 
-/// Time for which it is remembered when a zone was restored: longer than targets stay cold.
+/// Time for which the restoration of a zone is remembered: longer than targets stay cold.
 const RESTORED_RETENTION: Duration = Duration::from_secs(300);
 
 /// `Change` is one change of the evacuated zones.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// This zone is evacuated.
+    /// The zone was evacuated.
     Evacuated(Arc<str>),
-    /// This zone takes work again.
+    /// The zone was restored and takes work again.
     Restored(Arc<str>),
 }
 
-/// `Evidence` is by what a zone is held to be evacuated.
+/// Evidence for the evacuation of a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Evidence {
-    /// The store's newest word.
+    /// The latest answer of the store.
     Store,
-    /// It was acknowledged, and is missing in an older copy; questions from then on count again.
+    /// The evacuation was acknowledged but is missing in a restored store. Queries from this time
+    /// on decide.
     Missing(Moment),
 }
 
@@ -45,16 +48,17 @@
 #[derive(Debug, Clone, Default)]
 pub struct Evacuations {
     zones: HashMap<Arc<str>, Evidence>,
-    /// When zones were restored lately.
+    /// Times at which zones were restored recently.
     restorations: HashMap<Arc<str>, Moment>,
-    /// Whether the list was read once.
+    /// Whether a list has been read.
     listed: bool,
-    /// Until when a copy of the store may lack what was acknowledged.
+    /// Time until which a restored store may lack acknowledged evacuations.
     hold_until: Option<Moment>,
 }
 
 impl Evacuations {
-    /// `replace` takes in the whole list, of which the store was `asked` at a moment, and returns what that changes.
+    /// Applies the whole list, read by a query that was sent at `asked`, and returns what it
+    /// changes.
     pub fn replace(&mut self, now: Moment, asked: Moment, listed: &[Arc<str>]) -> Vec<Change> {
         self.listed = true;
         let missing = self.zones.keys().filter(|z| !listed.contains(z));
@@ -69,7 +73,7 @@
         changes
     }
 
-    /// `apply` takes in one change, and returns it if it is news.
+    /// Applies one change, and returns it if it has an effect.
     pub fn apply(&mut self, now: Moment, change: Change) -> Option<Change> {
         let news = match &change {
             Change::Evacuated(zone) => {
@@ -87,7 +91,7 @@
         news.then_some(change)
     }
 
-    /// Takes in that a zone is not in the list.
+    /// Handles the absence of an evacuated zone from a list.
     fn mark_missing(&mut self, now: Moment, asked: Moment, zone: Arc<str>) -> Option<Change> {
         match (self.zones.get_mut(&zone), self.hold_until) {
             (Some(evidence), Some(until)) if asked < until => {
@@ -98,12 +102,13 @@
         }
     }
 
-    /// `store_restored` notes that the store has come back from an older copy.
+    /// Records that the store was restored from an older copy.
     pub fn store_restored(&mut self, now: Moment) {
         self.hold_until = Some(now + RESTORE_HOLD);
     }
 
-    /// `settle` ends what was still missing when the store answered a question of this moment.
+    /// Ends the evacuations that were still missing when the store answered a query sent at
+    /// `asked`, and returns them.
     pub fn end_missing(&mut self, now: Moment, asked: Moment) -> Vec<Change> {
         let late = |e: &Evidence| matches!(e, Evidence::Missing(until) if asked >= *until);
         let late = self.zones.iter().filter(|(_, evidence)| late(evidence));
@@ -112,44 +117,46 @@
         ended.filter_map(|c| self.apply(now, c)).collect()
     }
 
-    /// Notes when a zone was restored, and forgets what was long ago.
+    /// Records that a zone was restored, and drops old records.
     fn record_restored(&mut self, now: Moment, zone: &Arc<str>) {
         self.restorations
             .retain(|_, at| now.since(*at) < RESTORED_RETENTION);
         self.restorations.insert(Arc::clone(zone), now);
     }
 
-    /// `restored` is when a zone was restored, if that was lately: its targets may have become cold meanwhile.
+    /// Returns the time at which a zone was restored, if that was recent. Its targets may have
+    /// become cold while it was evacuated.
     #[must_use]
     pub fn restored_at(&self, zone: &str) -> Option<Moment> {
         self.restorations.get(zone).copied()
     }
 
-    /// `contains` tells whether a zone is evacuated.
+    /// Returns whether a zone is evacuated.
     #[must_use]
     pub fn contains(&self, zone: &str) -> bool {
         self.zones.contains_key(zone)
     }
 
-    /// `is_listed` tells whether the evacuated zones are known at all.
+    /// Returns whether a list of evacuated zones has been read.
     #[must_use]
     pub const fn is_listed(&self) -> bool {
         self.listed
     }
 
-    /// `len` is how many zones are evacuated.
+    /// Returns the number of evacuated zones.
     #[must_use]
     pub fn len(&self) -> usize {
         self.zones.len()
     }
 
-    /// `is_empty` tells whether none is.
+    /// Returns whether no zone is evacuated.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.zones.is_empty()
     }
 
-    /// `digest` stands for the set of evacuated zones, so that two routers can tell whether they know the same; 0 for none.
+    /// Returns a digest of the set of evacuated zones, by which routers compare what they know. 0
+    /// if there are none.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let hashes = self.zones.keys().map(|z| hash64(DIGEST_SEED, z.as_bytes()));
--- a/crates/peppercrank-direct/src/events.rs
+++ b/crates/peppercrank-direct/src/events.rs
@@ -1,13 +1,13 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The events of a stream that may be resumed: only whole ones are passed on, and the last one's
-//! id is known.
+//! Events of resumable streams. Only complete events are passed on, and the id of the last one is
+//! known.
 
-/// The longest event that makes sense, in bytes; a longer one is passed on in parts.
+/// Longest buffered event, in bytes. A longer one is passed on in parts.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// `Events` cuts a stream's bytes into whole events.
+/// `EventBuffer` splits the bytes of a stream into complete events.
 #[derive(Debug, Default)]
 pub struct EventBuffer {
     partial: Vec<u8>,
@@ -15,7 +15,7 @@
 }
 
 impl EventBuffer {
-    /// `push` takes bytes in and returns the events that they complete.
+    /// Appends bytes and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<u8> {
         self.partial.extend_from_slice(bytes);
         let end = complete_len(&self.partial);
@@ -30,26 +30,25 @@
         events
     }
 
-    /// `is_between` tells whether no event has begun and not ended.
+    /// Returns whether no partial event is buffered.
     #[must_use]
     pub const fn is_at_boundary(&self) -> bool {
         self.partial.is_empty()
     }
 
-    /// `last` is the id of the last whole event.
+    /// Returns the id of the last complete event.
     #[must_use]
     pub fn last_event_id(&self) -> Option<&str> {
         self.last_event_id.as_deref()
     }
 
-    /// `restart` drops an event that has begun, before another run goes on after the last whole
-    /// one.
+    /// Discards a partial event, before another run continues after the last complete one.
     pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 }
 
-/// The length of all whole events.
+/// Returns the length of all complete events.
 fn complete_len(bytes: &[u8]) -> usize {
     let mut end = bytes.len();
     while end > 0 {
@@ -62,7 +61,7 @@
     0
 }
 
-/// The id of the last event that has one.
+/// Returns the id of the last event that has one.
 fn find_last_id(events: &[u8]) -> Option<String> {
     let lines = events.split(|b| *b == b'\n').rev();
     let id = lines
--- a/crates/peppercrank-direct/src/place.rs
+++ b/crates/peppercrank-direct/src/place.rs
@@ -1,16 +1,18 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Which target a request goes to: the one where it costs the fleet least.
+//! Target selection: a request goes to the target where it costs the fleet least.
 //!
-//! Costs are counted in tokens. Reading shared parts of a prompt again that another target holds
-//! costs engine time; an answer that is predicted to come late loses the request's worth, which
-//! grows with its size. Within the wanted time a little later costs next to nothing, so a request
-//! waits for the target that holds its prompt rather than have it read twice.
+//! Costs are counted in tokens. Prefilling the shared part of a prompt again, although another
+//! target holds it in its prompt cache, costs engine time. An answer that is predicted to be late
+//! loses the value of the request, which grows with its size. Within the latency goal, a little
+//! more latency costs next to nothing, so a request waits for the target that holds its prompt
+//! rather than have it prefilled twice.
 //!
-//! Where nobody is known to hold a prompt, its home, the first of its pool by rendezvous hash,
-//! counts as holder, so that routers that know nothing agree without a word. A home that came or
-//! became one lately copies from the target that was the home before it.
+//! Where no target is known to hold a prompt, its home is assumed to: the first target of the pool
+//! by rendezvous hashing. Routers without any knowledge thus choose the same target without
+//! coordination. A home that joined or became the home recently copies the prompt from the previous
+//! home.
 
 use std::time::Duration;
 
@@ -26,155 +28,165 @@
 /// Seed of the rendezvous hash.
 const HOME_SEED: u64 = 0x686f_6d65;
 
-/// Tokens of a request's size that reading one token again costs: it takes engine time from all that run there.
+/// Cost in tokens of a request's size of prefilling one token again. It is above 1 because prefill
+/// takes engine time from all requests that run on the target.
 const PREFILL_COST: f64 = 2.3;
 
-/// Tokens that copying one token from another engine costs, by the users' prices for memory moved.
+/// Cost in tokens of copying one token from another engine, by the users' price of transferred
+/// cache memory.
 const COPY_COST: f64 = 0.4;
 
-/// How likely a home holds a prompt that this router knows of nobody to hold. A slow or full home
-/// must not cost more than the request is worth.
+/// Probability that a home holds a prompt that no target is known to hold. A slow or full home must
+/// not cost more than the request is worth.
 const HOME_HIT_PROBABILITY: f64 = 0.5;
 
-/// Part of the wanted time from which an answer counts as endangered, and by how much more of it
-/// it counts as lost: predictions are off by as much.
+/// Fraction of the latency goal from which an answer may be late, and the further fraction at which
+/// it counts as lost. The ramp is as wide as the error of predictions.
 const LATE_RAMP: (f64, f64) = (0.4, 0.7);
 
-/// Part of a request's size that the whole wanted time costs while it is not endangered.
+/// Fraction of a request's size that using up the whole latency goal costs, without any risk of
+/// being late.
 const LATENCY_COST: f64 = 0.05;
 
-/// Part of a request's size that another availability zone costs: the price of the bytes.
+/// Fraction of a request's size that sending it to another availability zone costs: the price of
+/// the transferred bytes.
 const CROSS_ZONE_COST: f64 = 0.012;
 
-/// Part of a request's size that the pool's mean load costs; it keeps loads even.
+/// Fraction of a request's size that the pool's mean load costs. It keeps loads even.
 const LOAD_COST: f64 = 0.03;
 
-/// Part of a request's size that a target other than its home costs: prompts that keep to their homes are found by routers
-/// that were told nothing.
+/// Fraction of a request's size that a target other than its home costs. Routers that have received
+/// no hints find prompts that stay at their homes.
 const NON_HOME_COST: f64 = 0.3;
 
-/// The same for a request without a prompt, where it only breaks ties.
+/// Like `NON_HOME_COST`, for a request without a shared prompt, where it only breaks ties.
 const NON_HOME_TIE_COST: f64 = 0.005;
 
-/// Requests over the multiple of the mean that a target may hold, so that a hot prompt of a pool at rest is not copied.
+/// Requests that a target may hold over the multiple of the mean, so that a hot prompt in an idle
+/// pool is not copied.
 const CAP_SLACK: f64 = 2.0;
 
-/// Part of the allowed multiple of the mean that is used: peers' loads are known with a lag.
+/// Fraction of the allowed multiple of the mean that is used, since the peers' loads are known with
+/// a delay.
 const CAP_FRACTION: f64 = 0.85;
 
-/// The same where the pool's targets hold more than they run at once: a request waits there anyway, so that a target which holds its prompt
-/// gains it little.
+/// Like `CAP_FRACTION`, where the pool's targets hold more requests than they run at once. A
+/// request has to wait there anyway, so a target that holds its prompt saves it little.
 const CAP_FRACTION_SATURATED: f64 = 0.6;
 
-/// Multiple of what is usually unseen of a target's load that its cap leaves free.
+/// Multiple of the usual error of a target's known load that is kept free below its cap.
 const UNSEEN_MARGIN: f64 = 0.25;
 
-/// Part of a request's size that a sure failure costs: it is lost, or runs twice.
+/// Fraction of a request's size that a certain failure costs: the request is lost or runs twice.
 const FAILURE_COST: f64 = 1.2;
 
-/// `Candidate` is a target as one request sees it.
+/// `Candidate` is a target that may get the request.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate {
-    /// The target.
+    /// Key of the target.
     pub key: TargetKey,
-    /// Its short name, for the rendezvous hash.
+    /// Identifier for rendezvous hashing, derived from the target's name.
     pub placement_id: u32,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
-    /// Whether it stands in the router's availability zone.
+    /// Whether it is in the router's availability zone.
     pub same_zone: bool,
     /// Leading tokens of the prompt that it is known to hold.
     pub held_tokens: u64,
-    /// Whether it came so lately that others were the homes of its prompts until now.
+    /// Whether it joined so recently that other targets were the homes of its prompts until now.
     pub recently_joined: bool,
-    /// Time since peers told of their work.
+    /// Age of the peers' reports of their work.
     pub peers_lag: Duration,
-    /// What is known of it.
+    /// Load, speed and failures of the target.
     pub stats: Stats,
 }
 
-/// `Holder` is a target of the pool that does not get the request and may hold its prompt.
+/// `Holder` is a target of the pool that cannot get the request but may hold its prompt.
 #[derive(Debug, Clone, Copy)]
 pub struct Holder {
-    /// The target.
+    /// Key of the target.
     pub key: TargetKey,
-    /// Its short name, for the rendezvous hash.
+    /// Identifier for rendezvous hashing, derived from the target's name.
     pub placement_id: u32,
     /// Leading tokens of the prompt that it is known to hold.
     pub held_tokens: u64,
-    /// Whether its memory of the prompt may be copied from.
+    /// Whether other targets may copy the prompt from its cache.
     pub copyable: bool,
-    /// What is known of it where it counts in the pool's mean load: it serves on, and only new work is kept from it.
+    /// Statistics of a target that counts in the pool's mean load, since it keeps serving and only
+    /// new work is withheld from it; `None` for others.
     pub counted_stats: Option<Stats>,
 }
 
-/// `Policy` is how a target is chosen; all but the first are baselines to measure it against.
+/// `Policy` is how a target is chosen. All but the first are baselines for measurements.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Policy {
-    /// Where it costs the fleet least.
+    /// The target with the least cost for the fleet.
     #[default]
     Cost,
-    /// Anywhere, evenly.
+    /// An even spread over all targets.
     Spread,
-    /// Where the least work is known.
+    /// The target with the least known load.
     LeastLoad,
-    /// At the home of its prompt, or the next one with room.
+    /// The home of the prompt, or the next target in rendezvous order that has room.
     Home,
 }
 
-/// `PlacementRequest` is what placement needs to know of a request.
+/// `PlacementRequest` holds the properties of a request that placement depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementRequest {
-    /// How the target is chosen.
+    /// Policy by which the target is chosen.
     pub policy: Policy,
-    /// A hash of its own id.
+    /// Hash of the request's id.
     pub id_hash: u64,
-    /// The hash that its home is drawn by: its prompt's shared parts, or its own id.
+    /// Hash that selects the home: of the prompt's shared part, or of the request's id if there is
+    /// none.
     pub home_hash: u64,
-    /// The time within which its answer is wanted.
+    /// Time within which the first part of the answer is wanted.
     pub latency_goal: Duration,
-    /// The multiple of the pool's mean load that a target may hold.
+    /// Multiple of the pool's mean load that a target may hold.
     pub cap_factor: f64,
-    /// Tokens of its prompt.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u64,
-    /// Tokens of its prompt that other requests share.
+    /// Length of the leading part of the prompt that other requests share, in tokens.
     pub shared_tokens: u64,
-    /// Its size in tokens, with those of its answer by their weight.
+    /// Size of the prompt and the weighted answer, in tokens.
     pub size: u64,
-    /// Tokens that engines copy from each other in a millisecond; none where they do not.
+    /// Rate at which engines copy cached prompts from each other, in tokens per millisecond; `None`
+    /// if they do not.
     pub copy_rate: Option<f64>,
 }
 
-/// `Placed` is where a request goes.
+/// `PlacementOutcome` is the result of choosing a target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PlacementOutcome {
-    /// To this target.
+    /// The request goes to this target.
     Target(Choice),
-    /// Nowhere: at all of them it would wait too long.
+    /// The request would wait too long at all targets.
     Full,
-    /// Nowhere: there are no targets.
+    /// There are no targets.
     NoTarget,
 }
 
-/// `Choice` is a target and what is expected of it.
+/// `Choice` is a chosen target and what the router predicts for it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Choice {
-    /// The target.
+    /// Key of the target.
     pub key: TargetKey,
-    /// The predicted time to the answer's first part, in milliseconds.
+    /// Predicted time to the first part of the answer, in milliseconds.
     pub predicted_first_ms: f64,
-    /// Tokens of the prompt that it is expected to read.
+    /// Tokens of the prompt that the target is expected to prefill.
     pub prefill_tokens: u64,
-    /// The target that it should copy the prompt's shared parts from, and how many tokens.
+    /// Target to copy the prompt's shared part from, and the number of tokens; `None` if nothing is
+    /// to be copied.
     pub copy: Option<(TargetKey, u64)>,
-    /// Whether no target was known to hold the prompt's shared parts.
+    /// Whether no target was known to hold the whole shared part of the prompt.
     pub holder_unknown: bool,
-    /// Whether it is the request's home, where others look for the prompt first.
+    /// Whether it is the request's home, where routers without hints send the prompt.
     pub is_home: bool,
 }
 
-/// `place` chooses among the candidates; where the pool is overloaded, among those at which the
-/// request waits behind other work for no longer than `limit`.
+/// Chooses a target among the candidates. In an overloaded pool, `limit` is the longest time that
+/// the request may wait behind other work.
 #[must_use]
 pub fn place(
     now: Moment,
@@ -212,13 +224,14 @@
         pick = view.best(fitting);
     }
     if pick.is_none() {
-        // A bounded part is ejected: where all that have room are, evidence gives way to room.
+        // The share of ejected targets is bounded: if all targets with room are ejected, they are
+        // used in spite of their failures.
         pick = view.best(candidates.iter().filter(fits));
     }
     pick.map_or(PlacementOutcome::Full, PlacementOutcome::Target)
 }
 
-/// How many requests a target may hold, in a pool of this mean load.
+/// Returns the number of requests that a target may hold in a pool with this mean load.
 fn max_load(cap: f64, mean: f64, candidates: &[Candidate]) -> f64 {
     let slots = candidates.iter().map(|c| c.slots).min().unwrap_or(1);
     let used = if mean > f64::from(slots) {
@@ -229,7 +242,7 @@
     (mean * cap * used + CAP_SLACK).max(1.0)
 }
 
-/// `rank` is a target's rank for a home's hash; the highest is the home.
+/// Returns a target's rank for the hash of a home. The target with the highest rank is the home.
 #[must_use]
 pub fn rendezvous_rank(home: u64, name: u32) -> u64 {
     hash64(HOME_SEED ^ home, &name.to_le_bytes())
@@ -242,16 +255,17 @@
     home.map_or_else(TargetKey::default, |c| c.key)
 }
 
-/// Where the prompt's shared parts are held.
+/// Where the shared part of the prompt is held.
 #[derive(Debug, Clone, Copy)]
 enum PrefixSource {
-    /// Targets are known to hold them; this is one.
+    /// This target is known to hold all of it.
     Known(TargetKey),
-    /// Nobody is known to, so the home is taken to, which may have them of the home before it.
+    /// No target is known to hold all of it, so the home is assumed to. The home may copy it from
+    /// the previous home.
     Home {
-        /// The home before it.
+        /// The previous home.
         previous: Option<TargetKey>,
-        /// The target that is known to hold most of their first part, and how many tokens.
+        /// The target that is known to hold most of the leading tokens, and how many.
         partial: Option<(TargetKey, u64)>,
     },
 }
@@ -274,7 +288,7 @@
     }
 }
 
-/// The target that was the home until another one came or it was told to leave.
+/// Returns the target that was the home until another one joined or it was marked as leaving.
 fn previous_home(
     request: &PlacementRequest,
     candidates: &[Candidate],
@@ -291,36 +305,36 @@
     previous.filter(|key| *key != home(request, candidates))
 }
 
-/// What a candidate lacks of a prompt's shared parts.
+/// Part of the prompt's shared prefix that a candidate does not hold.
 struct MissingPrefix {
-    /// Leading tokens that it will not have to read.
+    /// Leading tokens that it does not have to prefill.
     held_tokens: u64,
-    /// Where it should copy from, and how many tokens.
+    /// Target to copy from, and the number of tokens.
     copy: Option<(TargetKey, u64)>,
-    /// What that costs, in tokens.
+    /// Cost of copying or prefilling the missing part, in tokens.
     cost: f64,
 }
 
-/// What one request sees of its pool.
+/// Computes the costs of one request at the targets of its pool.
 struct Scorer<'a> {
     rates: &'a Rates,
     request: &'a PlacementRequest,
     source: PrefixSource,
-    /// The request's home.
+    /// Home of the request.
     home: TargetKey,
-    /// The pool's mean load.
+    /// Mean load of the pool.
     mean_load: f64,
 }
 
 impl<'a> Scorer<'a> {
-    /// The candidate of the least cost.
+    /// Returns the candidate with the least cost.
     fn best(&self, candidates: impl Iterator<Item = &'a Candidate>) -> Option<Choice> {
         let costs = candidates.map(|c| self.score(c));
         let best = costs.min_by(|a, b| a.0.total_cmp(&b.0))?;
         Some(best.1)
     }
 
-    /// The cost of a candidate, in tokens, and what is expected of it.
+    /// Returns the cost of a candidate in tokens, and its predictions.
     fn score(&self, candidate: &Candidate) -> (f64, Choice) {
         let request = self.request;
         let missing = self.missing(candidate);
@@ -349,7 +363,7 @@
         (cost, choice)
     }
 
-    /// What a candidate lacks of the prompt's shared parts.
+    /// Returns what a candidate lacks of the prompt's shared part.
     fn missing(&self, candidate: &Candidate) -> MissingPrefix {
         let request = self.request;
         let gap = request.shared_tokens.saturating_sub(candidate.held_tokens);
@@ -361,7 +375,7 @@
                 copy: copy(from),
                 cost: as_f64(gap) * if copies { COPY_COST } else { PREFILL_COST },
             },
-            // A copy that is only assumed to be there is not counted on.
+            // A copy that is only assumed to exist does not reduce the predicted prefill.
             PrefixSource::Home {
                 previous: Some(previous),
                 ..
@@ -371,7 +385,8 @@
                 cost: 0.0,
             },
             PrefixSource::Home { partial, .. } if candidate.key == self.home => {
-                // Prompts begin alike, so that another home may hold the first part.
+                // Prompts often begin alike, so the home of another prompt may hold the leading
+                // tokens.
                 let more = partial.filter(|(_, held)| copies && *held > candidate.held_tokens);
                 let copy = more.map(|(from, held)| (from, held - candidate.held_tokens));
                 MissingPrefix {
@@ -388,7 +403,7 @@
         }
     }
 
-    /// What speaks against a candidate, as a part of the request's size.
+    /// Returns the costs other than the missing prompt, as a fraction of the request's size.
     fn penalty(&self, candidate: &Candidate, predicted_first_ms: f64) -> f64 {
         let stats = &candidate.stats;
         let goal_fraction =
@@ -413,7 +428,7 @@
     }
 }
 
-/// `least_wait` is the wait at the target that has the least of it, in milliseconds.
+/// Returns the shortest wait among the targets that are not ejected, in milliseconds.
 #[must_use]
 pub fn shortest_wait_ms(now: Moment, rates: &Rates, candidates: &[Candidate]) -> f64 {
     let healthy = candidates.iter().filter(|c| !c.stats.is_ejected(now));
@@ -422,13 +437,13 @@
         .fold(f64::INFINITY, f64::min)
 }
 
-/// The wait behind a target's other work, in milliseconds.
+/// Returns the wait behind a target's other work, in milliseconds.
 fn queue_wait_ms(rates: &Rates, candidate: &Candidate) -> f64 {
     predict_first_ms(rates, candidate, 0) - rates.base() * candidate.stats.speed
 }
 
-/// The predicted time to the answer's first part, in milliseconds, for a prompt of which a target
-/// has to read so many tokens.
+/// Returns the predicted time to the first part of the answer, in milliseconds, if the target has
+/// to prefill `prefill_tokens` of the prompt.
 #[must_use]
 pub fn predict_first_ms(rates: &Rates, candidate: &Candidate, prefill_tokens: u64) -> f64 {
     let stats = &candidate.stats;
--- a/crates/peppercrank-direct/src/regions.rs
+++ b/crates/peppercrank-direct/src/regions.rs
@@ -1,25 +1,25 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! In which regions a request may run.
+//! Regions in which a request may run.
 //!
-//! A route and an organisation may each name regions; where both do, a request may run only where both allow it. A target whose
-//! region is not known is in none that is named.
+//! A route and an organisation may each list regions. If both do, a request may run only where both
+//! allow it. A target whose region is unknown is in none of the listed ones.
 
 use std::sync::Arc;
 
-/// `Regions` are those in which a request may run.
+/// `Regions` is the set of regions in which a request may run.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub enum Regions {
-    /// It may run in any.
+    /// All regions.
     #[default]
     Any,
-    /// It may run in these.
+    /// These regions only.
     Only(Arc<[Arc<str>]>),
 }
 
 impl Regions {
-    /// `of` are those that a list names; an empty list names none, and so allows any.
+    /// Returns the regions of a list. An empty list allows any region.
     #[must_use]
     pub fn of(named: Vec<Arc<str>>) -> Self {
         if named.is_empty() {
@@ -28,7 +28,7 @@
         Self::Only(named.into())
     }
 
-    /// `both` are those that this and another list allow.
+    /// Returns the regions that both sets allow.
     #[must_use]
     pub fn intersection(&self, other: &Self) -> Self {
         let (Self::Only(own), Self::Only(others)) = (self, other) else {
@@ -41,7 +41,8 @@
         Self::Only(common.collect())
     }
 
-    /// `allows` tells whether a request may run at a target of this region; none where it is not known.
+    /// Returns whether a request may run at a target in this region; `None` if its region is
+    /// unknown.
     #[must_use]
     pub fn allows(&self, region: Option<&str>) -> bool {
         match self {
--- a/crates/peppercrank-direct/src/registration.rs
+++ b/crates/peppercrank-direct/src/registration.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What targets tell of themselves in the platform's store, and how that changes.
+//! Entries that targets write about themselves to the platform's store, and their changes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,36 +10,36 @@
 use crate::peers::TargetId;
 use crate::starts::Start;
 
-/// `Registration` is what a target tells of itself.
+/// `Registration` is the content of a target's entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Registration {
-    /// The target's name.
+    /// Name of the target.
     pub instance: Arc<str>,
-    /// Which of its starts it is.
+    /// Start of the target that wrote the entry.
     pub start: Start,
-    /// The pool that it serves.
+    /// Pool that it serves.
     pub pool: Arc<str>,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
     /// Whether it takes no new work.
     pub leaving: bool,
-    /// Time for which it stays cold after it told.
+    /// Time for which it stays cold after it wrote the entry.
     pub cold_for: Duration,
 }
 
 impl Registration {
-    /// `id` is the short name of this start on datagrams.
+    /// Returns the identifier of this start in datagrams.
     #[must_use]
     pub fn id(&self) -> TargetId {
         TargetId::of(&self.instance, self.start)
     }
 
-    /// `draw` is the number by which homes are drawn: of the name alone, so that the prompts of a target that
-    /// starts again keep their home, also at routers that have not heard of it.
+    /// Returns the identifier by which homes are chosen. It depends on the name alone, so that
+    /// prompts keep their home when a target starts again, also at routers that do not know yet.
     #[must_use]
     pub fn placement_id(&self) -> u32 {
         TargetId::of(&self.instance, Start::default()).0
@@ -49,7 +49,7 @@
 /// `Change` is one change of the registered targets.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// An entry is new or was changed.
+    /// An entry was created or changed.
     Put(Registration),
     /// The entry of this instance was rewritten and cannot be read.
     Unreadable(Arc<str>),
@@ -58,7 +58,7 @@
 }
 
 impl Change {
-    /// `instance` is the name of the target that it is about.
+    /// Returns the name of the target whose entry changed.
     #[must_use]
     pub const fn instance(&self) -> &Arc<str> {
         match self {
--- a/crates/peppercrank-direct/src/suspension.rs
+++ b/crates/peppercrank-direct/src/suspension.rs
@@ -1,24 +1,27 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Whether the machine was suspended, as the clocks tell.
+//! Detection of machine suspensions.
 //!
-//! Ages and promises count suspended time by their clock. What goes by timers does not: it is woken once a suspension is noticed.
+//! The router's clock includes suspended time, so ages and time limits account for it. Timers do not:
+//! whatever waits for one is woken when a suspension is detected.
 
 use std::time::Duration;
 
-/// The shortest suspension that is noticed: a tenth of the shortest bounds. Below it clocks differ by the time between two reads.
+/// Shortest suspension that is reported: a tenth of the shortest time limits. Below it, clocks
+/// differ by the time between two reads.
 const MIN_SUSPENSION: Duration = Duration::from_millis(100);
 
-/// `Suspension` notices suspensions.
+/// `Suspension` detects suspensions.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Suspension {
-    /// The suspended time in all that was noticed.
+    /// Total suspended time of all reported suspensions.
     total_seen: Duration,
 }
 
 impl Suspension {
-    /// `observe` takes in how long the machine was suspended in all, and returns the part that is new; none where it was not.
+    /// Returns the suspended time since the last report, given the total that the machine has been
+    /// suspended. `None` if the machine was not suspended for long enough.
     pub fn observe(&mut self, suspended: Duration) -> Option<Duration> {
         let new = suspended.saturating_sub(self.total_seen);
         if new < MIN_SUSPENSION {
--- a/crates/peppercrank-direct/src/target.rs
+++ b/crates/peppercrank-direct/src/target.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One registered target: whether it takes new work, and why not.
+//! A registered target: whether it takes new work, and why not.
 
 use peppercrank_core::time::Moment;
 use slotmap::new_key_type;
@@ -11,27 +11,28 @@
 use crate::starts::OLDER_START_DELAY;
 
 new_key_type! {
-    /// `TargetKey` names one start of one target.
+    /// `TargetKey` identifies one start of one target.
     pub struct TargetKey;
 }
 
-/// `State` is whether a target may get work.
+/// `State` is whether a target takes new work, by its entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It takes work.
+    /// It takes new work.
     Ready,
-    /// It finishes what it has.
+    /// It takes no new work and finishes what it has.
     Leaving,
-    /// Its entry was missing after an outage; it is gone unless it returns by then.
+    /// Its entry is missing after an outage. Unless the entry returns by this time, the target is
+    /// gone.
     Missing(Moment),
-    /// Its entry cannot be read, so that it names no target to use.
+    /// Its entry cannot be read.
     Unreadable,
 }
 
-/// `Withheld` is why a target gets no new work.
+/// `WithheldReason` is why a target gets no new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WithheldReason {
-    /// It finishes what it has.
+    /// It is leaving, and finishes what it has.
     Leaving,
     /// Its entry cannot be read.
     Unreadable,
@@ -39,12 +40,12 @@
     Missing,
     /// Its availability zone is evacuated.
     Evacuated,
-    /// It wants none from this router until then.
+    /// It asked this router for a pause until this time.
     Paused(Moment),
 }
 
 impl WithheldReason {
-    /// `serves_on` tells whether it goes on with what it has, so that it counts in its pool's load.
+    /// Returns whether the target keeps serving what it has, so that it counts in its pool's load.
     #[must_use]
     pub const fn keeps_serving(self) -> bool {
         matches!(self, Self::Evacuated | Self::Paused(_))
@@ -54,22 +55,22 @@
 /// `Target` is one registered target.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// What it told of itself last.
+    /// Its latest entry.
     pub registration: Registration,
-    /// Whether it may get work.
+    /// Whether it takes new work.
     pub state: State,
-    /// When it came to be known.
+    /// Time at which the router first learnt of it.
     pub first_seen: Moment,
-    /// Until when it is cold by its own word.
+    /// Time until which it is cold, by its entry.
     pub cold_until: Moment,
-    /// Until when it wants no work from this router.
+    /// End of the pause that it asked this router for.
     pub(crate) paused_until: Option<Moment>,
-    /// What the store tells of another start, and from when on that stands.
+    /// Entry of another start in the store, and the time from which it is accepted.
     pub(crate) conflicting: Option<(Registration, Moment)>,
 }
 
 impl Target {
-    /// Takes in word of the start that is known.
+    /// Applies a new entry of the known start.
     pub(crate) fn refresh(
         &mut self,
         now: Moment,
@@ -92,7 +93,8 @@
         TargetEvent::NoChange
     }
 
-    /// Takes in word of another start, which stands when it was the store's last word for long enough.
+    /// Records an entry of another start, which is accepted once it has been the latest in the
+    /// store for long enough.
     pub(crate) fn record_conflicting(
         &mut self,
         now: Moment,
@@ -108,7 +110,7 @@
         TargetEvent::InDoubt(key)
     }
 
-    /// `rival` is what the store tells of another start, and from when on that stands.
+    /// Returns the entry of another start in the store, and the time from which it is accepted.
     #[must_use]
     pub fn conflicting_start(&self) -> Option<(&Registration, Moment)> {
         self.conflicting
@@ -116,7 +118,7 @@
             .map(|(entry, from)| (entry, *from))
     }
 
-    /// `withheld` is why its own entry keeps it from new work; none where it may get some.
+    /// Returns why its entry keeps it from new work; `None` if it may get some.
     #[must_use]
     pub fn withheld_reason(&self, now: Moment) -> Option<WithheldReason> {
         match self.state {
@@ -127,13 +129,13 @@
         }
     }
 
-    /// `pause` is until when it wants no work from this router; none where it wants some.
+    /// Returns the end of its pause; `None` if it is not paused.
     #[must_use]
     pub fn pause_end(&self, now: Moment) -> Option<Moment> {
         self.paused_until.filter(|until| now < *until)
     }
 
-    /// Whether it takes work, and nothing speaks against its start.
+    /// Returns whether it takes new work and no other start conflicts with it.
     pub(crate) const fn is_certain(&self) -> bool {
         matches!(self.state, State::Ready) && self.conflicting.is_none()
     }
--- a/crates/peppercrank-direct/src/truncation.rs
+++ b/crates/peppercrank-direct/src/truncation.rs
@@ -1,48 +1,54 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Whether the store may have cut an answer of changes, so that the rest is asked for without the usual pause.
+//! Detection of truncated answers to watches, so that the rest is requested without the usual
+//! pause.
 //!
-//! The store cuts long answers and does not say so, and where it cuts is not known. It is learnt: an answer that is shorter
-//! than one seen before was not cut for its length, and one that is as long as the longest may have been. One that is longer
-//! than all before is left to the usual pause, which a store that cuts costs once. With a fixed guess of 100 changes, a store
-//! that cut at three was read at three changes every 0.75 s: 80 targets that came back together were known after 20 s, and
-//! callers were refused meanwhile.
+//! The store truncates long answers without saying so, and its limit is not known, so it is learnt.
+//! An answer that is shorter than an earlier one was not truncated for its length, and one that is
+//! as long as the longest may have been. An answer that is longer than all before is followed by
+//! the usual pause; a store that truncates costs that pause once. With a fixed guess of 100
+//! changes, a store that truncated at three changes was read at three changes every 0.75 s: 80
+//! targets that returned together were known only after 20 s, and callers were refused in the
+//! meantime.
 
 use std::time::Duration;
 
-/// `GATHER` is the pause before what may have been cut off an answer is asked for. Entries that are written in a row gather in
-/// it, as all routers of a fleet start.
+/// Pause before the rest of an answer that may be truncated is requested. It batches entries that
+/// are written in quick succession, as when all routers of a fleet start.
 pub const GATHER_PAUSE: Duration = Duration::from_millis(20);
 
-/// Questions in a row that are asked without the usual pause. It bounds the calls to a store that cuts short while
-/// changes go on: 3,000 targets that come back at once take 30 answers where it cuts at 100.
+/// Greatest number of consecutive queries without the usual pause. It bounds the calls to a store
+/// with a low limit while changes go on: 3,000 targets that return at once take 30 answers where it
+/// truncates at 100.
 const MAX_CONSECUTIVE: u32 = 64;
 
-/// Part of an answer, as a divisor, by which answers with as many entries of one kind differ. Without it, one change looked as
-/// long as two, and 68 routers made 500 more calls on a day on which targets come and go.
+/// Divisor of an answer's size that gives by how much answers with the same number of entries of
+/// one kind differ. Without it one change looked as long as two, and 68 routers made 500 more calls
+/// on a day on which targets come and go.
 const SIZE_DIVISOR: usize = 8;
 
-/// `Next` is when to ask for what comes after an answer.
+/// `Next` is when to send the next query after an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// After `GATHER`: there may be more.
+    /// After `GATHER_PAUSE`, as there may be more.
     Soon,
-    /// After the usual pause, in which changes gather.
+    /// After the usual pause, so that changes are batched.
     Paced,
 }
 
-/// `Length` is how long an answer is.
+/// `AnswerSize` is the size of an answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AnswerSize {
-    /// Changes that it holds.
+    /// Number of changes.
     pub changes: usize,
-    /// Its bytes.
+    /// Length in bytes.
     pub bytes: usize,
 }
 
 impl AnswerSize {
-    /// Whether an answer that ends here may have reached a limit that the longest one kept to.
+    /// Returns whether an answer of this size may have reached the limit that bounded the longest
+    /// one.
     fn may_reach(self, longest: Self) -> bool {
         if self.changes >= longest.changes {
             return self.changes == longest.changes;
@@ -52,22 +58,22 @@
     }
 }
 
-/// `Truncation` tells which answers of one kind of entries may have been cut.
+/// `Truncation` tracks which answers about one kind of entry may have been truncated.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Truncation {
-    /// The most changes and the most bytes of an answer so far; the store does not cut below either.
+    /// Most changes and most bytes of an answer so far. The store does not truncate below either.
     longest: AnswerSize,
-    /// Questions asked without the usual pause since the last one.
+    /// Number of consecutive queries without the usual pause.
     consecutive: u32,
 }
 
 impl Truncation {
-    /// `listed` notes a page of a list, which shows that the store does not cut answers of fewer bytes.
+    /// Records a page of a list, which shows that the store does not truncate shorter answers.
     pub fn record_list_page(&mut self, bytes: usize) {
         self.longest.bytes = self.longest.bytes.max(bytes);
     }
 
-    /// `next` notes an answer and tells when to ask for what comes after it.
+    /// Records an answer and returns when to send the next query.
     pub fn record_answer(&mut self, answer: AnswerSize) -> Next {
         let whole = answer.changes == 0 || !answer.may_reach(self.longest);
         self.longest.changes = self.longest.changes.max(answer.changes);
--- a/crates/peppercrank-direct/src/warm_up.rs
+++ b/crates/peppercrank-direct/src/warm_up.rs
@@ -1,21 +1,25 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Targets that are cold: for a while they bear only so many requests a second from all routers together, and end under more.
+//! Rate limit for cold targets, which for a while can take only a certain number of requests per
+//! second from all routers together and crash under more.
 //!
-//! No router knows what the others send at this moment, so the rate is shared out without a word. Of the registered routers a few
-//! are drawn for each cold target, by rendezvous hash, and each of them may send it so many requests in a window; the others send
-//! it none. All draw from the same list, and lists that differ by a few routers draw the same but for as many. Half of
-//! what a target bears is shared out, and the other half is for lists that differ.
+//! No router knows what the others are sending at the moment, so the rate is divided without
+//! communication. For each cold target, a few of the registered routers are selected by rendezvous
+//! hashing. Each of them may send it a fixed number of requests per window, and the others send it
+//! none. All routers select from the same list; lists that differ by a few routers differ by at
+//! most as many of the selected ones. Half of the allowed rate is divided, and the other half is
+//! reserved for differing lists.
 //!
-//! A target counts as cold by its own word, and where it may have become cold unheard:
+//! A target counts as cold according to its own entry, and where it may have become cold without
+//! the router having learnt of it:
 //!
 //! | what is known | cold until |
 //! | --- | --- |
-//! | its entry tells how long it stays cold | then |
-//! | it registered after the first list | the pool's time after that |
-//! | its availability zone was restored after an evacuation | the pool's time after that |
-//! | a connection to it was refused or not answered | the pool's time after the last one |
+//! | its entry tells how long it stays cold | the end of that time |
+//! | it registered after the first list | the pool's warm-up time after that |
+//! | its availability zone was restored after an evacuation | the pool's warm-up time after that |
+//! | a connection to it was refused or timed out | the pool's warm-up time after the last one |
 //! | nothing new, as the store has not answered for a while | the store answers |
 
 use std::collections::VecDeque;
@@ -27,44 +31,45 @@
 
 use crate::target::TargetKey;
 
-/// Seed of the hash that draws a cold target's routers.
+/// Seed of the hash that selects the routers for a cold target.
 const SEED: u64 = 0x7761_726d;
 
-/// Time in which what a target bears is counted.
+/// Window over which the requests to a cold target are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Part of what a target bears that is shared out.
+/// Fraction of the allowed rate that is divided among routers.
 const SHARED_PART: f64 = 0.5;
 
-/// Time for a target to count as cold beyond what is known: its entry is read late.
+/// Additional time for which a target counts as cold, since its entry is read with a delay.
 pub const COLD_MARGIN: Duration = Duration::from_millis(500);
 
-/// Time without an answer of the store after which targets may have become cold unheard: beyond a watch that waits in vain, the
-/// pause after it and its answer.
+/// Time without an answer from the store after which targets may have become cold unnoticed. It
+/// covers a watch that times out, the pause after it and the next answer.
 const STALE_AFTER: Duration = Duration::from_millis(7_500);
 
-/// The same where the store is known not to answer.
+/// Like `STALE_AFTER`, while the store is known to be unavailable.
 const STALE_AFTER_OUTAGE: Duration = Duration::from_secs(3);
 
-/// `WarmUp` is how targets of a pool warm up.
+/// `WarmUp` describes how the targets of a pool warm up.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WarmUp {
     /// Time for which a target is cold.
     pub duration: Duration,
-    /// Requests a second that a cold target bears.
+    /// Requests per second that a cold target can take.
     pub rate: f64,
 }
 
-/// `Allowance` is how far a cold target may be driven over its rate.
+/// `Allowance` is how far the requests to a cold target may exceed its rate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allowance {
     /// Multiple of the rate.
     pub overage: f64,
-    /// Requests besides.
+    /// Number of requests on top of the multiple.
     pub slack: f64,
 }
 
-/// `shared_out` is how many requests all routers together may send a cold target in a window.
+/// Returns the number of requests per window that all routers together may send to a cold target.
+/// At least 1.
 #[must_use]
 #[expect(
     clippy::cast_possible_truncation,
@@ -76,21 +81,21 @@
     (bound * SHARED_PART).min(warm_up.rate).max(1.0) as usize
 }
 
-/// `Members` are the routers that share a cold target's rate.
+/// `RouterSet` holds the registered routers, among which the rate of each cold target is divided.
 #[derive(Debug, Clone, Default)]
 pub struct RouterSet {
-    /// Hashes of the names of the registered ones, this one among them.
+    /// Hashes of the names of all registered routers, including this one.
     hashes: Vec<u64>,
-    /// This router's.
+    /// Hash of this router's name.
     own: u64,
-    /// Whether they were listed at all.
+    /// Whether a list of routers has been received.
     listed: bool,
-    /// Grows with each change.
+    /// Incremented with each change.
     version: u64,
 }
 
 impl RouterSet {
-    /// `set` notes who is registered, and which of them this router is.
+    /// Sets the registered routers; `own` is the name of this one.
     pub fn set<'a>(&mut self, own: &str, others: impl Iterator<Item = &'a str>) {
         self.own = hash(own);
         self.hashes = others.map(hash).collect();
@@ -101,8 +106,9 @@
         self.version += 1;
     }
 
-    /// `share` is how many of `requests` in a window this router may send a target of this short name, in a fleet in which so
-    /// many routers are `heard` or registered.
+    /// Returns how many of the `requests` per window this router may send to the target with the
+    /// placement id `target`. `heard` is the number of routers known from the list or from their
+    /// messages, whichever is greater.
     #[must_use]
     pub fn share(&self, target: u32, requests: usize, heard: usize) -> usize {
         if !self.listed {
@@ -111,7 +117,8 @@
         let known = self.hashes.len();
         let own = router_rank(self.own, target);
         if known * 4 < heard * 3 {
-            // Those that the list lacks draw as well, each by itself, so that fewer are let draw.
+            // The list lacks many routers, which select themselves too. Each router then decides
+            // independently, and fewer are selected.
             let each = u64::MAX / heard as u64;
             let most = each.saturating_mul(requests.div_ceil(2) as u64);
             return usize::from(own < most);
@@ -124,12 +131,12 @@
     }
 }
 
-/// The hash of a router's name.
+/// Returns the hash of a router's name.
 fn hash(name: &str) -> u64 {
     hash64(SEED, name.as_bytes())
 }
 
-/// A router's rank for a target.
+/// Returns a router's rank for a target.
 fn router_rank(name: u64, target: u32) -> u64 {
     hash64(name, &target.to_le_bytes())
 }
@@ -137,25 +144,26 @@
 /// `Opens` is when a cold target may be sent a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Opens {
-    /// Now.
+    /// Immediately.
     Now,
-    /// After this time.
+    /// After this delay.
     After(Duration),
-    /// Not by this router while the target is cold.
+    /// Never by this router while the target is cold.
     Never,
 }
 
-/// What this router knows of one cold target.
+/// Requests that this router sent to one cold target.
 #[derive(Debug, Clone, Default)]
 struct SendHistory {
-    /// The version of the members and the number of routers heard by which its share was found, and that share.
+    /// Cached share, with the version of the router set and the number of known routers that it was
+    /// computed for.
     share: Option<(u64, usize, usize)>,
-    /// When it was sent requests within the last window.
+    /// Times of the requests within the last window.
     times: VecDeque<Moment>,
 }
 
 impl SendHistory {
-    /// Forgets what was sent before the last window.
+    /// Drops the requests that are older than the window.
     fn expire(&mut self, now: Moment) {
         while self
             .times
@@ -167,24 +175,25 @@
     }
 }
 
-/// `Gate` keeps requests from cold targets.
+/// `Gate` limits the requests that this router sends to cold targets.
 #[derive(Debug, Clone, Default)]
 pub struct Gate {
-    /// The routers that share the targets' rates.
+    /// Routers among which the rates of cold targets are divided.
     pub routers: RouterSet,
     history: SecondaryMap<TargetKey, SendHistory>,
     unreachable_at: SecondaryMap<TargetKey, Moment>,
-    /// When the store answered a question for targets last.
+    /// Time of the store's last answer about targets.
     last_answer: Option<Moment>,
 }
 
 impl Gate {
-    /// `heard` notes that the store told what changed of the targets.
+    /// Records that the store answered a query for changes of targets.
     pub const fn store_answered(&mut self, now: Moment) {
         self.last_answer = Some(now);
     }
 
-    /// `is_blind` tells whether targets may have become cold unheard by a router that has not reached the store since `away`.
+    /// Returns whether targets may have become cold unnoticed. `away` is the time since which the
+    /// router has not reached the store, `None` while it does.
     #[must_use]
     pub fn is_stale(&self, now: Moment, away: Option<Moment>) -> bool {
         let Some(heard) = self.last_answer else {
@@ -194,19 +203,19 @@
         long_away || now.since(heard) >= STALE_AFTER
     }
 
-    /// `unreachable` notes that a connection to a target was refused or not answered.
+    /// Records that a connection to a target was refused or timed out.
     pub fn mark_unreachable(&mut self, now: Moment, key: TargetKey) {
         self.unreachable_at.insert(key, now);
     }
 
-    /// `was_unreachable` is when that happened last.
+    /// Returns when a connection to the target last was refused or timed out.
     #[must_use]
     pub fn last_unreachable(&self, key: TargetKey) -> Option<Moment> {
         self.unreachable_at.get(key).copied()
     }
 
-    /// `opens` is when a cold target of this short name may be sent a request, of so many that all routers together may send it in
-    /// a window, in a fleet in which so many routers are `heard` or registered.
+    /// Returns when a cold target may be sent a request. `name` is its placement id, `requests` the
+    /// fleet's budget per window ([`fleet_budget`]), and `heard` the number of known routers.
     pub fn opens(
         &mut self,
         now: Moment,
@@ -234,7 +243,7 @@
         }
     }
 
-    /// `sent` notes that a cold target was sent a request.
+    /// Records that a cold target was sent a request.
     pub fn record_sent(&mut self, now: Moment, key: TargetKey) {
         if let Some(sent) = self.history.get_mut(key) {
             sent.expire(now);
@@ -242,7 +251,7 @@
         }
     }
 
-    /// `forget` drops what is known of a target that is gone.
+    /// Removes the state of a target that is gone.
     pub fn forget(&mut self, key: TargetKey) {
         self.history.remove(key);
         self.unreachable_at.remove(key);
