--- a/crates/peppercrank-direct/src/catch_up.rs
+++ b/crates/peppercrank-direct/src/catch_up.rs
@@ -52,9 +52,9 @@
     /// Returns how to query the store next, where `age` is the age of the known configuration.
     #[must_use]
     pub fn next_read(&self, age: Option<Duration>) -> ReadMode {
-        let few = age.is_some_and(|age| age < CHANGES_MAX_AGE) && !self.frequent_versions;
+        let few_changes = age.is_some_and(|age| age < CHANGES_MAX_AGE) && !self.frequent_versions;
         match self.known_revision {
-            Some(known) if few => ReadMode::Changes(known),
+            Some(known) if few_changes => ReadMode::Changes(known),
             Some(_) | None => ReadMode::Snapshot,
         }
     }
@@ -67,13 +67,13 @@
     /// that had been replaced four seconds earlier, and refused routes that had been added.
     pub fn record_read(
         &mut self,
-        reading: ReadMode,
+        mode: ReadMode,
         revision: u64,
         versions: usize,
         newer: bool,
     ) -> Proof {
         self.known_revision = self.known_revision.max(Some(revision));
-        match reading {
+        match mode {
             ReadMode::Snapshot => {
                 self.frequent_versions = self.frequent_versions && newer;
                 Proof::Newest
--- a/crates/peppercrank-direct/src/directory.rs
+++ b/crates/peppercrank-direct/src/directory.rs
@@ -354,11 +354,11 @@
     /// Removes the targets whose entries did not return within the grace period, and accepts
     /// conflicting starts and held entries whose time has come.
     pub fn expire(&mut self, now: Moment) -> Vec<TargetEvent> {
-        let late = |t: &Target| matches!(t.state, State::Missing(until) if now >= until);
-        let late = self.targets.iter().filter(|(_, t)| late(t));
-        let late = late.map(|(k, _)| k).collect::<Vec<_>>();
+        let overdue = |t: &Target| matches!(t.state, State::Missing(until) if now >= until);
+        let overdue = self.targets.iter().filter(|(_, t)| overdue(t));
+        let overdue = overdue.map(|(k, _)| k).collect::<Vec<_>>();
         let mut noted = Vec::new();
-        for key in late {
+        for key in overdue {
             noted.push(self.depart(now, key));
         }
         self.departed
@@ -394,19 +394,21 @@
     }
 
     /// Returns the time until which a target counts as cold by the store's entries, in a pool whose
-    /// targets warm up for `lasts`.
+    /// targets stay cold for `warm_up`.
     #[must_use]
-    pub fn cold_until(&self, key: TargetKey, lasts: Duration) -> Moment {
+    pub fn cold_until(&self, key: TargetKey, warm_up: Duration) -> Moment {
         let Some(target) = self.targets.get(key) else {
             return Moment::ZERO;
         };
-        let came_later = self
+        let joined_later = self
             .first_listed
             .is_some_and(|listed| target.first_seen > listed);
-        let came = came_later.then_some(target.first_seen);
+        let joined = joined_later.then_some(target.first_seen);
         let restored = self.evacuations.restored_at(&target.registration.zone);
-        let unheard = came.max(restored).map(|since| since + lasts + COLD_MARGIN);
-        unheard.map_or(target.cold_until, |until| until.max(target.cold_until))
+        let unreported = joined
+            .max(restored)
+            .map(|since| since + warm_up + COLD_MARGIN);
+        unreported.map_or(target.cold_until, |until| until.max(target.cold_until))
     }
 
     /// Returns the target with this key, `None` once it is gone.
@@ -444,8 +446,8 @@
     pub fn pool(&self, now: Moment, name: &str) -> Vec<TargetKey> {
         let usable = self.members(name).filter(|k| self.is_usable(now, *k));
         let usable = usable.collect::<Vec<_>>();
-        let sure = |k: &&TargetKey| self.targets[**k].is_certain();
-        let found = usable.iter().filter(sure).copied().collect::<Vec<_>>();
+        let certain = |k: &&TargetKey| self.targets[**k].is_certain();
+        let found = usable.iter().filter(certain).copied().collect::<Vec<_>>();
         if found.is_empty() { usable } else { found }
     }
 
--- a/crates/peppercrank-direct/src/evacuations.rs
+++ b/crates/peppercrank-direct/src/evacuations.rs
@@ -75,7 +75,7 @@
 
     /// Applies one change, and returns it if it has an effect.
     pub fn apply(&mut self, now: Moment, change: Change) -> Option<Change> {
-        let news = match &change {
+        let changed = match &change {
             Change::Evacuated(zone) => {
                 let known = self.zones.insert(Arc::clone(zone), Evidence::Store);
                 known.is_none()
@@ -88,7 +88,7 @@
                 known
             }
         };
-        news.then_some(change)
+        changed.then_some(change)
     }
 
     /// Handles the absence of an evacuated zone from a list.
@@ -110,10 +110,12 @@
     /// Ends the evacuations that were still missing when the store answered a query sent at
     /// `asked`, and returns them.
     pub fn end_missing(&mut self, now: Moment, asked: Moment) -> Vec<Change> {
-        let late = |e: &Evidence| matches!(e, Evidence::Missing(until) if asked >= *until);
-        let late = self.zones.iter().filter(|(_, evidence)| late(evidence));
-        let late = late.map(|(zone, _)| Arc::clone(zone)).collect::<Vec<_>>();
-        let ended = late.into_iter().map(Change::Restored);
+        let overdue = |e: &Evidence| matches!(e, Evidence::Missing(until) if asked >= *until);
+        let overdue = self.zones.iter().filter(|(_, evidence)| overdue(evidence));
+        let overdue = overdue
+            .map(|(zone, _)| Arc::clone(zone))
+            .collect::<Vec<_>>();
+        let ended = overdue.into_iter().map(Change::Restored);
         ended.filter_map(|c| self.apply(now, c)).collect()
     }
 
--- a/crates/peppercrank-direct/src/place.rs
+++ b/crates/peppercrank-direct/src/place.rs
@@ -211,7 +211,7 @@
     if !candidates.iter().any(|c| within_limit(&c)) {
         return PlacementOutcome::Full;
     }
-    let view = Scorer {
+    let scorer = Scorer {
         rates,
         request,
         source: prefix_source(request, candidates, holders),
@@ -219,14 +219,14 @@
         mean_load,
     };
     let fitting = candidates.iter().filter(fits).filter(healthy);
-    let mut pick = view.best(fitting.clone().filter(within_limit));
+    let mut pick = scorer.best(fitting.clone().filter(within_limit));
     if pick.is_none() {
-        pick = view.best(fitting);
+        pick = scorer.best(fitting);
     }
     if pick.is_none() {
         // The share of ejected targets is bounded: if all targets with room are ejected, they are
         // used in spite of their failures.
-        pick = view.best(candidates.iter().filter(fits));
+        pick = scorer.best(candidates.iter().filter(fits));
     }
     pick.map_or(PlacementOutcome::Full, PlacementOutcome::Target)
 }
--- a/crates/peppercrank-direct/src/suspension.rs
+++ b/crates/peppercrank-direct/src/suspension.rs
@@ -23,11 +23,11 @@
     /// Returns the suspended time since the last report, given the total that the machine has been
     /// suspended. `None` if the machine was not suspended for long enough.
     pub fn observe(&mut self, suspended: Duration) -> Option<Duration> {
-        let new = suspended.saturating_sub(self.total_seen);
-        if new < MIN_SUSPENSION {
+        let unreported = suspended.saturating_sub(self.total_seen);
+        if unreported < MIN_SUSPENSION {
             return None;
         }
         self.total_seen = suspended;
-        Some(new)
+        Some(unreported)
     }
 }
--- a/crates/peppercrank-direct/src/truncation.rs
+++ b/crates/peppercrank-direct/src/truncation.rs
@@ -53,8 +53,8 @@
         if self.changes >= longest.changes {
             return self.changes == longest.changes;
         }
-        let each = self.bytes.div_ceil(self.changes.max(1));
-        self.bytes + each > longest.bytes + longest.bytes / SIZE_DIVISOR
+        let change_bytes = self.bytes.div_ceil(self.changes.max(1));
+        self.bytes + change_bytes > longest.bytes + longest.bytes / SIZE_DIVISOR
     }
 }
 
@@ -75,10 +75,10 @@
 
     /// Records an answer and returns when to send the next query.
     pub fn record_answer(&mut self, answer: AnswerSize) -> Next {
-        let whole = answer.changes == 0 || !answer.may_reach(self.longest);
+        let complete = answer.changes == 0 || !answer.may_reach(self.longest);
         self.longest.changes = self.longest.changes.max(answer.changes);
         self.longest.bytes = self.longest.bytes.max(answer.bytes);
-        if whole || self.consecutive >= MAX_CONSECUTIVE {
+        if complete || self.consecutive >= MAX_CONSECUTIVE {
             self.consecutive = 0;
             return Next::Paced;
         }
--- a/crates/peppercrank-direct/src/warm_up.rs
+++ b/crates/peppercrank-direct/src/warm_up.rs
@@ -106,27 +106,30 @@
         self.version += 1;
     }
 
-    /// Returns how many of the `requests` per window this router may send to the target with the
-    /// placement id `target`. `heard` is the number of routers known from the list or from their
+    /// Returns how many of the `requests` per window this router may send to the target with this
+    /// placement id. `known_routers` is the number of routers known from the list or from their
     /// messages, whichever is greater.
     #[must_use]
-    pub fn share(&self, target: u32, requests: usize, heard: usize) -> usize {
+    pub fn share(&self, placement_id: u32, requests: usize, known_routers: usize) -> usize {
         if !self.listed {
             return 0;
         }
-        let known = self.hashes.len();
-        let own = router_rank(self.own, target);
-        if known * 4 < heard * 3 {
+        let count = self.hashes.len();
+        let own = router_rank(self.own, placement_id);
+        if count * 4 < known_routers * 3 {
             // The list lacks many routers, which select themselves too. Each router then decides
             // independently, and fewer are selected.
-            let each = u64::MAX / heard as u64;
+            let each = u64::MAX / known_routers as u64;
             let most = each.saturating_mul(requests.div_ceil(2) as u64);
             return usize::from(own < most);
         }
-        if known <= requests {
-            return requests / known;
+        if count <= requests {
+            return requests / count;
         }
-        let ranks = self.hashes.iter().map(|name| router_rank(*name, target));
+        let ranks = self
+            .hashes
+            .iter()
+            .map(|name| router_rank(*name, placement_id));
         usize::from(ranks.filter(|r| *r > own).count() < requests)
     }
 }
@@ -137,8 +140,8 @@
 }
 
 /// Returns a router's rank for a target.
-fn router_rank(name: u64, target: u32) -> u64 {
-    hash64(name, &target.to_le_bytes())
+fn router_rank(name: u64, placement_id: u32) -> u64 {
+    hash64(name, &placement_id.to_le_bytes())
 }
 
 /// `Opens` is when a cold target may be sent a request.
@@ -196,11 +199,11 @@
     /// router has not reached the store, `None` while it does.
     #[must_use]
     pub fn is_stale(&self, now: Moment, away: Option<Moment>) -> bool {
-        let Some(heard) = self.last_answer else {
+        let Some(answered) = self.last_answer else {
             return true;
         };
         let long_away = away.is_some_and(|since| now.since(since) >= STALE_AFTER_OUTAGE);
-        long_away || now.since(heard) >= STALE_AFTER
+        long_away || now.since(answered) >= STALE_AFTER
     }
 
     /// Records that a connection to a target was refused or timed out.
@@ -214,14 +217,14 @@
         self.unreachable_at.get(key).copied()
     }
 
-    /// Returns when a cold target may be sent a request. `name` is its placement id, `requests` the
-    /// fleet's budget per window ([`fleet_budget`]), and `heard` the number of known routers.
+    /// Returns when a cold target may be sent a request. `requests` is the fleet's budget per window
+    /// ([`fleet_budget`]), and `known_routers` the number of known routers.
     pub fn opens(
         &mut self,
         now: Moment,
-        (key, name): (TargetKey, u32),
+        (key, placement_id): (TargetKey, u32),
         requests: usize,
-        heard: usize,
+        known_routers: usize,
     ) -> Opens {
         let Some(entry) = self.history.entry(key) else {
             return Opens::Never;
@@ -229,10 +232,10 @@
         let sent = entry.or_default();
         let version = self.routers.version;
         let share = match sent.share {
-            Some((of, among, share)) if (of, among) == (version, heard) => share,
-            _ => self.routers.share(name, requests, heard),
+            Some((of, among, share)) if (of, among) == (version, known_routers) => share,
+            _ => self.routers.share(placement_id, requests, known_routers),
         };
-        sent.share = Some((version, heard, share));
+        sent.share = Some((version, known_routers, share));
         sent.expire(now);
         match (share, sent.times.front()) {
             (0, _) => Opens::Never,
--- a/crates/peppercrank-direct/tests/verify_catch_up.rs
+++ b/crates/peppercrank-direct/tests/verify_catch_up.rs
@@ -17,7 +17,7 @@
 use quickcheck::QuickCheck;
 
 /// A moment ago.
-const YOUNG: Option<Duration> = Some(Duration::from_millis(900));
+const RECENT: Option<Duration> = Some(Duration::from_millis(900));
 
 /// A store with one entry whose version is its revision, and a router that reads it.
 #[derive(Debug, Default)]
@@ -68,14 +68,14 @@
 #[test]
 fn verify_a_snapshot_is_read_where_changes_may_be_many() {
     let mut catch_up = CatchUp::default();
-    assert_eq!(catch_up.next_read(YOUNG), ReadMode::Snapshot);
+    assert_eq!(catch_up.next_read(RECENT), ReadMode::Snapshot);
     assert_eq!(
         catch_up.record_read(ReadMode::Snapshot, 7, 1, true),
         Proof::Newest
     );
     let almost = CHANGES_MAX_AGE.saturating_sub(Duration::from_millis(1));
     let rows = [
-        (YOUNG, ReadMode::Changes(7)),
+        (RECENT, ReadMode::Changes(7)),
         (Some(almost), ReadMode::Changes(7)),
         (Some(CHANGES_MAX_AGE), ReadMode::Snapshot),
         (None, ReadMode::Snapshot),
@@ -84,7 +84,7 @@
         assert_eq!(catch_up.next_read(age), mode, "{age:?}");
     }
     catch_up.reset();
-    assert_eq!(catch_up.next_read(YOUNG), ReadMode::Snapshot);
+    assert_eq!(catch_up.next_read(RECENT), ReadMode::Snapshot);
     assert_eq!(catch_up.revision(), None);
 }
 
@@ -116,7 +116,7 @@
     for tick in 1..=120 {
         model.newest += 1;
         if tick % 3 == 0 {
-            let asked = model.ask(YOUNG);
+            let asked = model.ask(RECENT);
             assert!(model.answer(asked, 20));
             reads += 1;
         }
@@ -126,11 +126,11 @@
     assert!(model.read <= reads + 3, "{} in {reads} reads", model.read);
     // Once the series is over, a read that finds nothing new costs no version.
     for _ in 0..3 {
-        let asked = model.ask(YOUNG);
+        let asked = model.ask(RECENT);
         assert!(model.answer(asked, 20));
     }
     let before = model.read;
-    let asked = model.ask(YOUNG);
+    let asked = model.ask(RECENT);
     assert!(model.answer(asked, 20));
     assert_eq!(model.read, before);
 }
@@ -147,7 +147,7 @@
             let age = match step & 3 {
                 0 => None,
                 1 => Some(CHANGES_MAX_AGE),
-                _ => YOUNG,
+                _ => RECENT,
             };
             match (step >> 2) & 7 {
                 0..=2 => model.newest += most,
--- a/crates/peppercrank-direct/tests/verify_directory.rs
+++ b/crates/peppercrank-direct/tests/verify_directory.rs
@@ -340,10 +340,10 @@
     assert!(matches!(noted[..], [TargetEvent::Restarted { old: ended, .. }] if ended == old));
     assert_eq!(ready(&directory, settled), ["one", "two"]);
     // Alone in its pool it is used meanwhile.
-    let mut lone = Directory::default();
-    lone.apply(ZERO, entry_of_start(Some(5)));
-    lone.apply(ZERO, entry_of_start(Some(4)));
-    assert_eq!(ready(&lone, ZERO), ["one"]);
+    let mut single = Directory::default();
+    single.apply(ZERO, entry_of_start(Some(5)));
+    single.apply(ZERO, entry_of_start(Some(4)));
+    assert_eq!(ready(&single, ZERO), ["one"]);
 }
 
 #[test]
--- a/crates/peppercrank-direct/tests/verify_place.rs
+++ b/crates/peppercrank-direct/tests/verify_place.rs
@@ -25,7 +25,7 @@
 const NOW: Moment = Moment::ZERO;
 
 /// How long a request holds its place, in milliseconds.
-const HOLD: f64 = 500.0;
+const HOLD_MS: f64 = 500.0;
 
 /// Keys of so many targets.
 fn keys(count: usize) -> Vec<TargetKey> {
@@ -413,10 +413,16 @@
     // Later the target's word is too old to count.
     let later = Moment::from_millis(5_000);
     assert_eq!(
-        candidates[1].stats.at(later, Duration::ZERO, HOLD).load(),
+        candidates[1]
+            .stats
+            .at(later, Duration::ZERO, HOLD_MS)
+            .load(),
         40
     );
-    assert_eq!(candidates[1].stats.at(NOW, Duration::ZERO, HOLD).load(), 2);
+    assert_eq!(
+        candidates[1].stats.at(NOW, Duration::ZERO, HOLD_MS).load(),
+        2
+    );
 }
 
 #[test]
--- a/crates/peppercrank-direct/tests/verify_warm_up.rs
+++ b/crates/peppercrank-direct/tests/verify_warm_up.rs
@@ -224,14 +224,14 @@
     told.apply(later, entry("one", 1, SECOND * 2));
     assert_eq!(cold_until(&told), later + SECOND * 2);
     // By another start under its name, and by a registration after the first list, whatever it says.
-    let unheard = later + WARM_UP.duration + COLD_MARGIN;
+    let unreported = later + WARM_UP.duration + COLD_MARGIN;
     let mut restarted = warm();
     restarted.apply(later, entry("one", 2, Duration::ZERO));
-    assert_eq!(cold_until(&restarted), unheard);
+    assert_eq!(cold_until(&restarted), unreported);
     let mut back = warm();
     back.apply(ZERO, Change::Removed("one".into()));
     back.apply(later, entry("one", 1, Duration::ZERO));
-    assert_eq!(cold_until(&back), unheard);
+    assert_eq!(cold_until(&back), unreported);
     // By the end of its zone's evacuation.
     let mut restored = warm();
     let zone = evacuations::Change::Evacuated("a".into());
@@ -239,7 +239,7 @@
     assert_eq!(cold_until(&restored), ZERO);
     let zone = evacuations::Change::Restored("a".into());
     restored.evacuations.apply(later, zone);
-    assert_eq!(cold_until(&restored), unheard);
+    assert_eq!(cold_until(&restored), unreported);
 }
 
 #[test]
