--- a/crates/peppercrank-direct/tests/verify_catch_up.rs
+++ b/crates/peppercrank-direct/tests/verify_catch_up.rs
@@ -1,11 +1,11 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! How the configuration is read anew, and what an answer proves.
+//! How a router catches up with the configuration, and what an answer of the store proves.
 //!
-//! Routers that came back into touch took an answer that held only some of the missed versions for the newest state,
-//! and read each missed version whole. The story stands with the test of the whole path, `verify_catch_up`
-//! of the platform's stand-in.
+//! Guards against two faults of routers that reconnected: they took an answer that held only some
+//! of the missed versions for the newest state, and they read every missed version whole.
+//! `verify_catch_up` of the platform's stand-in tests the same with a store.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
 
-/// A moment ago.
+/// Age of a configuration that was confirmed recently.
 const RECENT: Option<Duration> = Some(Duration::from_millis(900));
 
 /// A store with one entry whose version is its revision, and a router that reads it.
@@ -25,11 +25,11 @@
     newest: u64,
     version: u64,
     catch_up: CatchUp,
-    /// Versions that the router has read.
+    /// Number of versions that the router has read.
     read: u64,
 }
 
-/// A question on its way: what was asked, and the newest version then.
+/// A query in flight: its mode, and the newest version when it was sent.
 #[derive(Debug, Clone, Copy)]
 struct Asked {
     reading: ReadMode,
@@ -44,8 +44,8 @@
         }
     }
 
-    /// The store answers, with `most` changes at the most, and the router takes the answer in. True unless it
-    /// proves what does not hold.
+    /// Answers a query with at most `most` changes, and records the answer. Returns false if the
+    /// answer is taken to prove what does not hold.
     fn answer(&mut self, asked: Asked, most: u64) -> bool {
         let (shown, versions) = match asked.reading {
             ReadMode::Snapshot => (self.newest, u64::from(self.newest > 0)),
@@ -103,14 +103,15 @@
         assert_eq!(read, proof, "{reading:?} {revision}");
         assert_eq!(catch_up.revision(), Some(revision));
     }
-    // An answer that was overtaken takes nothing back.
+    // A late answer does not lower the known revision.
     let _proof = catch_up.record_read(ReadMode::Changes(3), 4, 1, false);
     assert_eq!(catch_up.revision(), Some(9));
 }
 
 #[test]
 fn verify_frequent_versions_are_not_read_one_by_one() {
-    // A version each quarter of a second, and a read each 0.7 s, for half a minute.
+    // For half a minute, a version is written every quarter of a second and a read occurs every
+    // 0.75 s.
     let mut model = Model::default();
     let mut reads = 0;
     for tick in 1..=120 {
@@ -122,9 +123,9 @@
         }
     }
     assert_eq!(model.version, 120);
-    // By the history it would be all 120.
+    // With changes alone, it would be all 120.
     assert!(model.read <= reads + 3, "{} in {reads} reads", model.read);
-    // Once the series is over, a read that finds nothing new costs no version.
+    // When no more versions are written, reads that find nothing new cost no version.
     for _ in 0..3 {
         let asked = model.ask(RECENT);
         assert!(model.answer(asked, 20));
@@ -137,8 +138,8 @@
 
 #[test]
 fn verify_proofs_hold_and_one_read_catches_up() {
-    /// Each byte is an event: versions are written, questions are sent, answered late, lost or
-    /// overtaken; answers are cut.
+    /// Each byte is a step: versions are written; queries are sent, answered late, lost or
+    /// overtaken; answers are truncated.
     fn holds(steps: Vec<u8>) -> bool {
         let mut model = Model::default();
         let mut waiting = Vec::new();
@@ -168,7 +169,7 @@
                 _ => drop(waiting.pop()),
             }
         }
-        // Back in touch after a while: one answer is enough, whatever was missed.
+        // After a disconnection one answer is enough, however many versions were missed.
         let asked = model.ask(Some(CHANGES_MAX_AGE));
         model.answer(asked, 1) && model.version == model.newest
     }
--- a/crates/peppercrank-direct/tests/verify_decide.rs
+++ b/crates/peppercrank-direct/tests/verify_decide.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Whether a request is sent, and when its caller returns if not.
+//! Decision whether a request is sent, and when its caller should retry if not.
 
 use std::time::Duration;
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// A target with so many prompt tokens to read.
+/// A target that has `reading` prompt tokens to prefill.
 fn target(reading: u64) -> Candidate {
     let mut stats = Stats::default();
     stats.running = 4;
@@ -79,18 +79,18 @@
 
 #[test]
 fn verify_admission_counts_prefill_work_where_slots_are_free() {
-    // A flood fills no places at first: 10,000 tokens take 200 ms to read.
+    // A burst does not fill the slots at first: 10,000 tokens take 200 ms to prefill.
     let mut admission = Admission::default();
     let refused = at(0, &mut admission, true, &[target(10_000)]);
     assert!(matches!(refused, Decision::Full { .. }), "{refused:?}");
-    // Another target that has less to read takes it.
+    // Another target with less to prefill gets the request.
     let sent = at(0, &mut admission, true, &[target(10_000), target(500)]);
     assert!(matches!(sent, Decision::Send(_)), "{sent:?}");
 }
 
 #[test]
 fn verify_requests_that_would_wait_too_long_are_refused_unless_a_target_has_room() {
-    // 200,000 tokens take four seconds to read.
+    // 200,000 tokens take four seconds to prefill.
     let mut admission = Admission::default();
     let mut targets = [target(200_000), target(200_000), target(200_000)];
     for target in &mut targets {
--- a/crates/peppercrank-direct/tests/verify_directory.rs
+++ b/crates/peppercrank-direct/tests/verify_directory.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Targets that come, leave, lapse and return.
+//! Targets that join, leave, expire and return.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -39,7 +39,7 @@
     Change::Removed(instance.into())
 }
 
-/// The instances of the pool that take work.
+/// Returns the instances of the pool that take new work.
 fn ready(directory: &Directory, now: Moment) -> Vec<String> {
     let keys = directory.pool(now, "pool").into_iter();
     let mut names = keys
@@ -70,7 +70,7 @@
     assert_eq!(ready(&directory, ZERO), ["two"]);
 }
 
-/// Lets a target say that it leaves.
+/// Applies a notice by which the target says that it leaves.
 fn send_leaving_notice(directory: &mut Directory, instance: &str) -> TargetEvent {
     let key = directory.find(instance).expect("a key");
     let notice = Notice {
@@ -97,7 +97,7 @@
     assert_eq!(ready(&directory, ZERO), ["two"]);
     directory.apply(ZERO, put("one", false));
     assert_eq!(ready(&directory, ZERO), ["two"]);
-    // Its entry lapses while the store is away, and is written again.
+    // Its entry expires while the store is unavailable, and is written again.
     directory.store_lost();
     directory.store_recovered(ZERO);
     directory.replace(ZERO, vec![put("two", false)]);
@@ -136,7 +136,7 @@
     assert_eq!(ready(&directory, ZERO), ["one"]);
 }
 
-/// Lets a target ask for a pause of so many seconds.
+/// Applies a notice by which the target asks for a pause.
 fn send_pause_notice(directory: &mut Directory, now: Moment, seconds: u64) -> TargetEvent {
     let key = directory.find("one").expect("a key");
     let notice = Notice {
@@ -223,7 +223,7 @@
     directory.replace(back, Vec::new());
     let just = back + RETURN_GRACE.saturating_sub(Duration::from_millis(1));
     assert_eq!(ready(&directory, just), ["one", "two"]);
-    // One is back: the other one is no more trusted than it must be.
+    // One entry is back, so the other target is no longer used.
     directory.apply(back, put("two", false));
     assert_eq!(ready(&directory, back), ["two"]);
     let over = back + RETURN_GRACE;
@@ -267,7 +267,7 @@
     assert_eq!(*name, Arc::from("again"));
 }
 
-/// An entry of a start.
+/// Returns a change that puts an entry with this start.
 fn entry_of_start(millis: Option<u64>) -> Change {
     let mut entry = entry("one", false);
     entry.start = Start(millis);
@@ -296,7 +296,7 @@
     directory.apply(ZERO, entry_of_start(Some(5)));
     let old = directory.find("one").expect("a key");
     directory.apply(ZERO, put("two", false));
-    // A mark of leaving belongs to the start that it was told of.
+    // A leaving mark belongs to one start.
     directory.mark_replaced(ZERO, old);
     assert_eq!(ready(&directory, ZERO), ["two"]);
     let noted = directory.apply(ZERO, entry_of_start(Some(6)));
@@ -305,12 +305,12 @@
     assert_ne!(old, new);
     assert!(!directory.is_usable(ZERO, old));
     assert_eq!(ready(&directory, ZERO), ["one", "two"]);
-    // Also where a list tells of it, and the store was away.
+    // The same for a start in a list after an outage of the store.
     directory.store_lost();
     directory.store_recovered(ZERO);
     let noted = directory.replace(ZERO, vec![entry_of_start(Some(7)), put("two", false)]);
     assert!(matches!(noted[0], TargetEvent::Restarted { old, .. } if old == new));
-    // Another writer's entry without a start names no target.
+    // An entry of another writer, without a start, identifies no target.
     directory.apply(ZERO, entry_of_start(None));
     assert_eq!(ready(&directory, ZERO), ["two"]);
     directory.apply(ZERO, entry_of_start(Some(7)));
@@ -328,7 +328,7 @@
         TargetEvent::InDoubt(old)
     );
     assert_eq!(ready(&directory, ZERO), ["two"]);
-    // Its further words do not put that off.
+    // Repeated entries do not postpone its acceptance.
     let later = ZERO + OLDER_START_DELAY / 2;
     assert_eq!(
         directory.apply(later, entry_of_start(Some(4))),
@@ -339,7 +339,7 @@
     let noted = directory.expire(settled);
     assert!(matches!(noted[..], [TargetEvent::Restarted { old: ended, .. }] if ended == old));
     assert_eq!(ready(&directory, settled), ["one", "two"]);
-    // Alone in its pool it is used meanwhile.
+    // Alone in its pool, the target is used meanwhile.
     let mut single = Directory::default();
     single.apply(ZERO, entry_of_start(Some(5)));
     single.apply(ZERO, entry_of_start(Some(4)));
@@ -365,7 +365,7 @@
         directory.apply(ZERO, unreadable("none")),
         TargetEvent::NoChange
     );
-    // Alone in its pool it gets no work either.
+    // Alone in its pool, it gets no work either.
     assert!(ready(&directory, ZERO).is_empty());
     let listed = vec![unreadable("one"), put("two", false)];
     directory.replace(ZERO, listed);
@@ -374,8 +374,9 @@
     assert_eq!(ready(&directory, ZERO), ["one"]);
 }
 
-/// An entry that was rewritten with another pool left its target in the list of the pool before; once that entry
-/// was removed, the next request for that pool ended the process.
+/// Guards against a crash: an entry that was rewritten with another pool left its target in the
+/// list of the previous pool. Once the entry was removed, the next request for that pool ended the
+/// process.
 #[test]
 fn verify_an_entry_that_names_another_pool_moves_its_target() {
     let elsewhere = |leaving| {
@@ -392,7 +393,7 @@
     directory.apply(ZERO, removed("one"));
     assert_eq!(ready(&directory, ZERO), ["two"]);
     assert!(directory.pool(ZERO, "unheard of").is_empty());
-    // It is the same target, and a mark of leaving goes with it.
+    // It is the same target, and keeps its leaving mark.
     directory.apply(ZERO, put("one", true));
     directory.apply(ZERO, elsewhere(false));
     directory.apply(ZERO, put("one", false));
--- a/crates/peppercrank-direct/tests/verify_era.rs
+++ b/crates/peppercrank-direct/tests/verify_era.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A store that comes back from an older copy: which answers count, and what was acknowledged before stays binding.
+//! A store that is restored from an older copy: which answers are valid, and which acknowledged
+//! changes remain binding.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,15 +19,15 @@
 use peppercrank_direct::era::EraTracker;
 use peppercrank_direct::starts::Start;
 
-/// The one millisecond that is there before and after.
+/// Smallest step before or after a time limit.
 const TICK: Duration = Duration::from_millis(1);
 
-/// A moment so many seconds after the first.
+/// Returns the moment this many seconds after the start of a test.
 const fn at(seconds: u64) -> Moment {
     Moment::from_millis(100_000 + seconds * 1_000)
 }
 
-/// What a start of a target tells of itself.
+/// Returns the entry of one start of a target.
 fn entry(name: &str, born: u64) -> Registration {
     Registration {
         instance: Arc::from(name),
@@ -40,7 +41,7 @@
     }
 }
 
-/// A directory with these targets.
+/// Returns a directory with these targets.
 fn directory(names: &[&str]) -> Directory {
     let mut directory = Directory::default();
     for name in names {
@@ -62,7 +63,7 @@
     assert_eq!(eras.observe(at(2), Era(5)), EraOrder::Newer);
     assert_eq!(eras.observe(at(3), Era(4)), EraOrder::Older);
     assert_eq!(eras.newest(), Some(Era(5)));
-    // Two drills may lie between two answers.
+    // The store may be restored several times between two answers.
     assert_eq!(eras.observe(at(4), Era(9)), EraOrder::Newer);
 }
 
@@ -140,7 +141,7 @@
     directory.replace(at(2), vec![Change::Put(entry("one", 1))]);
     let two = directory.find("two").expect("missing");
     assert!(directory.is_usable(at(3), two));
-    // It writes its entry again, and is the one that it was.
+    // It writes its entry again, and is the same target as before.
     directory.apply(at(3), Change::Put(entry("two", 1)));
     assert!(directory.expire(at(2) + RETURN_GRACE + TICK).is_empty());
     assert_eq!(directory.find("two"), Some(two));
--- a/crates/peppercrank-direct/tests/verify_evacuations.rs
+++ b/crates/peppercrank-direct/tests/verify_evacuations.rs
@@ -70,7 +70,7 @@
     known.store_restored(ZERO);
     let early = ZERO + RESTORE_HOLD / 2;
     assert!(known.replace(early, early, &[]).is_empty());
-    // One is written again, and one is ended by the operator's own word.
+    // One evacuation is written again, and one is ended by the operator.
     assert_eq!(known.apply(ZERO, evacuated_change("a")), None);
     assert_eq!(
         known.apply(ZERO, restored_change("b")),
@@ -83,7 +83,7 @@
         [restored_change("c")]
     );
     assert!(known.contains("a"));
-    // From then on the list is the operator's word again.
+    // After the hold, the list alone decides again.
     assert_eq!(
         known.replace(ZERO + RESTORE_HOLD, ZERO + RESTORE_HOLD, &[]),
         [restored_change("a")]
@@ -110,7 +110,7 @@
         directory.apply(ZERO, change);
     }
     directory.evacuations.replace(ZERO, ZERO, &zones(&["a"]));
-    // Also one that registers in the zone later, and one whose entry is missing after an outage.
+    // This includes a target that registers in the zone later.
     directory.apply(ZERO, put("three", "a", false));
     directory.apply(ZERO, put("four", "b", true));
     let two = directory.find("two").expect("a target");
@@ -130,9 +130,11 @@
     assert_eq!(directory.pool(ZERO, "pool").len(), 3);
 }
 
-/// What was seen: with two evacuations in a day 1,736 thousand tokens of shared parts were read again, where others had read them. Order of events: a
-/// zone is evacuated, and other homes read its prompts; it is restored, and its targets are the homes again; routers that know of no
-/// holder let them read. Cause: only a target that had come lately copied from the home before it, and these had been there all along.
+/// Guards against prefilling prompts again after a zone is restored: two evacuations in a day cost
+/// 1,736 thousand tokens of shared prompts that other targets already held. During the evacuation
+/// other homes prefill the prompts of the zone. After it, the zone's targets are the homes again,
+/// and routers that know no holder let them prefill. Only a target that had joined recently copied
+/// from the previous home, and these had been registered all along.
 #[test]
 fn verify_targets_of_a_restored_zone_count_as_newly_joined() {
     let mut directory = Directory::default();
--- a/crates/peppercrank-direct/tests/verify_hot_prompts.rs
+++ b/crates/peppercrank-direct/tests/verify_hot_prompts.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The load cap where some thirty routers send hot prompts to their homes, played in virtual time.
+//! The load cap where some thirty routers send hot prompts to their homes, simulated in virtual
+//! time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -25,53 +26,53 @@
 const TARGETS: usize = 48;
 const COUNT: f64 = 48.0;
 
-/// Peers that a router tells of its work each 100 ms, as its allowance of bytes has it.
+/// Peers to which a router sends its work each 100 ms, as its bandwidth limit allows.
 const PEERS_PER_ROUND: usize = 2;
 
-/// Requests each 10 ms.
+/// Requests per step of 10 ms.
 const REQUESTS_PER_STEP: usize = 5;
 
-/// Of a hundred requests, those for one of the hot prompts.
+/// Percentage of requests for one of the hot prompts.
 const HOT_PERCENT: u64 = 15;
 
-/// Hot prompts at a time; others take their place each second.
+/// Number of hot prompts at a time; they are replaced each second.
 const HOT_PROMPTS: u64 = 4;
 
-/// All other prompts.
+/// Number of other prompts.
 const PROMPTS: u64 = 400;
 
-/// The multiple of the mean, and the requests over it, that a target may hold.
+/// Multiple of the mean load, and number of requests on top, that a target may hold.
 const CAP: f64 = 2.0;
 const SLACK: f64 = 3.0;
 
-/// Of a hundred requests, those that may reach targets above it.
+/// Percentage of requests that may reach targets above the cap.
 const MAX_OVER_PERCENT: f64 = 3.0;
 
-/// Time until an answer's head, which tells the target's load.
+/// Time until the head of an answer, which reports the target's load, in milliseconds.
 const HEAD_MS: u64 = 60;
 
-/// How long requests hold their places on average, in milliseconds.
+/// Average time for which requests occupy their slots, in milliseconds.
 const HOLD_MS: u64 = 1_000;
 
-/// What happens to a request at a target.
+/// A step in the life of a request at a target.
 #[derive(Debug, Clone, Copy)]
 enum Event {
     Head,
     End,
 }
 
-/// One router.
+/// State of one router.
 struct Router {
     stats: Vec<Stats>,
-    /// The work that each peer told of last, by target, and when.
+    /// For each peer, the time of its latest summary and its work by target.
     summaries: Vec<(u64, Vec<u32>)>,
-    /// The peer that is told next.
+    /// Offset of the peer that gets the next summary.
     next_peer: usize,
 }
 
 struct Fleet {
     routers: Vec<Router>,
-    /// What targets hold.
+    /// Number of requests that each target holds.
     held: Vec<u32>,
     keys: Vec<TargetKey>,
     events: BTreeMap<u64, Vec<(Event, usize, usize)>>,
@@ -84,7 +85,7 @@
     Moment::from_millis(millis)
 }
 
-/// The same as a prediction takes it.
+/// `HOLD_MS` in the form that predictions take.
 fn mean_hold_ms() -> f64 {
     Duration::from_millis(HOLD_MS).as_secs_f64() * 1_000.0
 }
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Each router tells the next ones of its work.
+    /// Sends each router's summary to its next peers.
     fn send_summaries(&mut self, now: u64) {
         for from in 0..ROUTERS {
             let work = self.routers[from].stats.iter().map(|s| s.running);
@@ -134,7 +135,7 @@
         self.rng.next_u64() % most
     }
 
-    /// How old the peers' counts are on average.
+    /// Returns the mean age of the peers' summaries.
     fn peers_lag(&self, router: usize, now: u64) -> Duration {
         let summaries = self.routers[router].summaries.iter().enumerate();
         let ages = summaries.filter(|(n, _)| *n != router);
@@ -199,7 +200,7 @@
         then(hold, Event::End);
     }
 
-    /// Lets happen what is due.
+    /// Runs the events that are due.
     fn run_due_events(&mut self, now: u64) {
         let later = self.events.split_off(&(now + 1));
         for (event, router, target) in std::mem::replace(&mut self.events, later)
@@ -217,7 +218,8 @@
         }
     }
 
-    /// Of a hundred requests of a time, those that reached targets above their cap.
+    /// Runs the simulation and returns the percentage of requests that reached targets above their
+    /// cap.
     fn run(mut self, until: u64) -> f64 {
         for now in (10..until).step_by(10) {
             self.run_due_events(now);
--- a/crates/peppercrank-direct/tests/verify_knowledge.rs
+++ b/crates/peppercrank-direct/tests/verify_knowledge.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Freshness, configuration, prompts, speeds, events and peers.
+//! Freshness, configuration, prompts, rates, events and peers.
 
 use std::time::Duration;
 
@@ -56,13 +56,13 @@
     let revoke = Duration::from_secs(5);
     let mut freshness = Freshness::new(Some(revoke));
     assert!(!freshness.is_fresh(at(0)));
-    // The answer came at 900 to a question of 100.
+    // The answer arrived at 900 ms, to a query sent at 100 ms.
     freshness.confirm(at(100), Source::Store);
     let limit = revoke.saturating_sub(WATCH_DELAY + DISPATCH_TIME);
     let last = at(100) + limit.saturating_sub(Duration::from_millis(1));
     assert!(freshness.is_fresh(last));
     assert!(!freshness.is_fresh(at(100) + limit));
-    // An answer that overtook a later one makes nothing older.
+    // An answer that overtook a later one does not increase the age.
     freshness.confirm(at(5_000), Source::Store);
     freshness.confirm(at(4_000), Source::Store);
     assert_eq!(freshness.age(at(6_000)), Some(Duration::from_secs(1)));
@@ -74,7 +74,7 @@
     assert!(!freshness.is_fresh(at(0)));
     freshness.confirm(at(0), Source::Store);
     assert!(freshness.is_fresh(at(1_000_000)));
-    // Routes are another matter: a refusal for good rests on what is young, whatever keys need.
+    // Routes differ: a final refusal needs a recent configuration, whether or not keys do.
     let limit = at(0) + DENIAL_MAX_AGE;
     assert!(freshness.may_deny(at(100)));
     assert!(!freshness.may_deny(limit));
@@ -249,18 +249,18 @@
     let mut rates = Rates::default();
     for _ in 0..200 {
         rates.learn(0, Duration::from_millis(40));
-        // 10,000 tokens in 200 ms more.
+        // 10,000 tokens take 200 ms more.
         rates.learn(10_000, Duration::from_millis(240));
     }
     assert!((rates.base() - 40.0).abs() < 1.0, "{}", rates.base());
     assert!((rates.reading(5_000) - 100.0).abs() < 3.0);
-    // Ten more than 64 places wait for a sixth of the time that each is held.
+    // Ten requests more than 64 slots wait for about a sixth of the time that each is held.
     for _ in 0..200 {
         rates.held(Duration::from_secs(2));
     }
     assert!((rates.waiting(10, 64) - 312.5).abs() < 5.0);
     assert!(rates.waiting(0, 64) < 1.0);
-    // One absurd sample moves little.
+    // A single outlier has little effect.
     rates.learn(10_000, Duration::from_secs(60));
     assert!(rates.reading(5_000) < 110.0);
 }
@@ -339,7 +339,7 @@
 }
 
 quickcheck::quickcheck! {
-    /// Sums kept up with each summary are those of all newest summaries of living peers.
+    /// The incrementally updated sums equal those over the newest summaries of all live peers.
     fn verify_sums_are_those_of_the_newest_summaries(words: Vec<(u8, u8, u8, u8)>) -> bool {
         let mut peers = Peers::default();
         let mut newest = std::collections::HashMap::new();
@@ -364,13 +364,14 @@
     }
 }
 
-/// Routers that started again were not heard of by half of their peers until the entry of before
-/// expired: the number of a start was drawn at random, and a summary counted only with a greater one. Until then peers
-/// placed requests without their work, and none of them confirmed what they know of keys.
+/// Guards against ignoring restarted routers: half of their peers dropped their summaries until the
+/// previous entry expired. The number of a start was drawn at random, and a summary counted only if
+/// its number was greater. Until then the peers placed requests without counting their work, and
+/// none confirmed its keys to them.
 #[test]
 fn verify_summaries_of_a_restarted_peer_count_at_once() {
     let from = "10.0.0.1:7".parse().expect("an address");
-    // A later start, and one whose clock was set back meanwhile.
+    // A greater number, and a smaller one as after a clock was set back.
     for again in [9, 3] {
         let mut peers = Peers::default();
         assert!(peers.take(at(0), from, &summary(5, 800, 4)));
@@ -379,13 +380,14 @@
         assert!(peers.take(at(200), from, &summary(again, 2, 3)), "{again}");
         assert_eq!(peers.sum(TargetId(1)).running, 3);
     }
-    // A datagram of the start before that comes late counts no more.
+    // A late datagram of the previous start no longer counts.
     let mut peers = Peers::default();
     assert!(peers.take(at(0), from, &summary(5, 800, 4)));
     assert!(peers.take(at(100), from, &summary(9, 1, 2)));
     assert!(!peers.take(at(101), from, &summary(5, 801, 4)));
     assert_eq!(peers.sum(TargetId(1)).running, 2);
-    // A peer that was first heard of after its new start: the late one does not outlast the next word.
+    // Where a peer is first heard from after its new start, a late datagram of the previous start
+    // counts only until the next summary.
     let mut peers = Peers::default();
     assert!(peers.take(at(0), from, &summary(9, 1, 2)));
     assert!(peers.take(at(1), from, &summary(5, 801, 4)));
@@ -403,7 +405,7 @@
     assert_eq!(told.len(), 1);
     assert_eq!(told[0].1.running, 5);
     assert!(peers.changed().is_empty());
-    // A peer that falls silent takes its work along.
+    // The work of a peer that falls silent is removed.
     peers.expire(at(0) + SILENT);
     let told = peers.changed();
     assert_eq!(told.len(), 1);
@@ -443,7 +445,7 @@
 #[test]
 fn verify_peers_of_a_large_fleet_may_be_silent_longer() {
     assert_eq!(silent(3), SILENT);
-    // 370 peers are gone round at 200 ms a round of four, or slower with longer summaries.
+    // Reaching 370 peers takes 200 ms per round of four, or longer with longer summaries.
     assert!(silent(370) > Duration::from_millis(200 * 370 / 4));
 }
 
--- a/crates/peppercrank-direct/tests/verify_place.rs
+++ b/crates/peppercrank-direct/tests/verify_place.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Which target a request goes to.
+//! Target selection for a request.
 
 use std::time::Duration;
 
@@ -24,10 +24,10 @@
 
 const NOW: Moment = Moment::ZERO;
 
-/// How long a request holds its place, in milliseconds.
+/// Average time for which a request occupies a slot, in milliseconds.
 const HOLD_MS: f64 = 500.0;
 
-/// Keys of so many targets.
+/// Returns the keys of `count` targets.
 fn keys(count: usize) -> Vec<TargetKey> {
     let mut directory = Directory::default();
     for n in 0..count {
@@ -60,7 +60,7 @@
     keys(count).into_iter().enumerate().map(of).collect()
 }
 
-/// A long prompt, most of which others share.
+/// A long prompt, most of which other requests share.
 fn request() -> PlacementRequest {
     PlacementRequest {
         policy: Policy::Cost,
@@ -114,7 +114,7 @@
     let holder = holder.expect("another one");
     candidates[holder].held_tokens = 10_000;
     candidates[holder].stats.running = 1;
-    // A few hundred milliseconds of reading wait there.
+    // A few hundred milliseconds of prefill are queued there.
     candidates[holder].stats.reading = 10_000;
     let choice = choose(&request(), &candidates);
     assert_eq!(choice.key, candidates[holder].key);
@@ -135,7 +135,7 @@
     assert_ne!(choose(&short, &candidates).key, candidates[0].key);
 }
 
-/// The candidates with the request's home first.
+/// Returns the candidates with the request's home first.
 fn ranked(count: usize) -> Vec<Candidate> {
     let mut candidates = idle(count);
     candidates
@@ -203,7 +203,8 @@
         copyable: true,
         counted_stats: Some(evacuated.stats),
     };
-    // With the idle one the mean is 8.25 where the home holds 17, which is too much; without it, it would be 11.
+    // With the idle target the mean load is 8.25 where the home holds 17, which is too much;
+    // without it, the mean would be 11.
     for candidate in &mut candidates {
         candidate.stats.running = 8;
     }
@@ -227,10 +228,13 @@
     }
 }
 
-/// What was seen: with half of a fleet's 120 engines gone and 2.5 times the load, 101 to 168 of some 2,500 to 4,500 requests reached targets that held over twice
-/// the mean and three, in three of five plays. Order of events: targets of 16 places hold 21 to 25 requests; the load falls; routers still
-/// believe the loads of seconds ago, and send to the home of a prompt what it may hold by these. Cause: the share of the cap that was kept back for
-/// what is unseen was the same where all targets keep requests waiting, and what is unseen is most.
+/// Guards against overloading the homes of prompts when all targets queue requests. With half of
+/// 120 engines gone and 2.5 times the load, 101 to 168 of 2,500 to 4,500 requests reached targets
+/// that held more than twice the mean plus three, in three of five simulated runs. Targets with 16
+/// slots held 21 to 25 requests, then the load fell, and routers still trusted loads that were
+/// seconds old and filled the homes up to the cap that these allowed. The fraction of the cap
+/// reserved for unknown load was the same where all targets queue requests, which is where the
+/// unknown load is greatest.
 #[test]
 fn verify_the_cap_is_tighter_where_all_targets_queue_requests() {
     let at_home = |mean: u32, home: u32| {
@@ -243,9 +247,9 @@
         candidates[0].stats.running = home;
         choose(&copying(), &candidates).key == candidates[0].key
     };
-    // Below the places that targets have, 1.7 times the mean and two.
+    // Below the number of slots, the cap is 1.7 times the mean plus two.
     assert!(at_home(14, 22));
-    // Above them, 1.2 times the mean and two, however long the others' queues are.
+    // Above it, 1.2 times the mean plus two, however long the queues of the others are.
     assert!(!at_home(24, 33));
 }
 
@@ -256,9 +260,11 @@
     let choice = choose(&copying(), &candidates);
     assert_eq!(choice.key, candidates[0].key);
     assert_eq!(choice.copy, Some((candidates[1].key, 10_000)));
-    // Whether it is there is not known, so it is not counted on.
+    // It is not known whether the previous home holds the prompt, so the prediction ignores the
+    // copy.
     assert_eq!(choice.prefill_tokens, 11_000);
-    // Where all came at once, as to a router that has just started, there was none before.
+    // If all targets joined at once, as a router that has just started sees them, there was no
+    // previous home.
     for candidate in &mut candidates {
         candidate.recently_joined = true;
     }
@@ -272,7 +278,7 @@
     let mut candidates = ranked(2);
     candidates[0].stats.peers_reading = 200_000;
     assert_ne!(choose(&copying(), &candidates).key, candidates[0].key);
-    // At 50 tokens a millisecond it was read since they told of it.
+    // At 50 tokens per millisecond, they have been prefilled since the peers reported them.
     for candidate in &mut candidates {
         candidate.peers_lag = Duration::from_secs(4);
     }
@@ -305,7 +311,8 @@
     assert!(!stats.failed(NOW));
     assert!(stats.failed(NOW));
     assert_ne!(choose(&request(), &candidates).key, candidates[home].key);
-    // Once its time is over one request tries it; until that one ends it gets no other.
+    // After the ejection has expired, one request tries the target. It gets no other until that one
+    // ends.
     let later = Moment::from_millis(60_000);
     candidates[1 - home].stats.reading = 10_000_000;
     let at = |candidates: &[Candidate]| match place(
@@ -393,7 +400,7 @@
 
 #[test]
 fn verify_lost_answers_do_not_raise_the_cap() {
-    // Each target ended what it had, and told so; the routers still count 40 on each.
+    // Each target finished its requests and reported so; the routers still count 40 on each.
     let mut candidates = ranked(9);
     for candidate in &mut candidates {
         candidate.stats.running = 20;
@@ -410,7 +417,7 @@
             "the home holds more than its multiple of the mean"
         );
     }
-    // Later the target's word is too old to count.
+    // Later the target's report is too old to count.
     let later = Moment::from_millis(5_000);
     assert_eq!(
         candidates[1]
@@ -437,7 +444,7 @@
     assert_eq!(choice.key, candidates[0].key);
     assert_eq!(choice.copy, Some((candidates[5].key, 2_500)));
     assert_eq!(choice.prefill_tokens, copying.prompt_tokens - 2_500);
-    // What it holds itself is not copied.
+    // The home copies only what it does not hold itself.
     candidates[0].held_tokens = 1_000;
     let choice = choose(&copying, &candidates);
     assert_eq!(choice.copy, Some((candidates[5].key, 1_500)));
--- a/crates/peppercrank-direct/tests/verify_regions.rs
+++ b/crates/peppercrank-direct/tests/verify_regions.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! In which regions a request may run.
+//! Regions in which a request may run.
 
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
             Regions::Any.intersection(&only(&["north"])),
             [true, false, false],
         ),
-        // Both bind, so that two that have nothing in common allow nothing.
+        // Both lists apply, so two lists without a common region allow none.
         (
             only(&["north"]).intersection(&only(&["south"])),
             [false, false, false],
--- a/crates/peppercrank-direct/tests/verify_suspension.rs
+++ b/crates/peppercrank-direct/tests/verify_suspension.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Which differences of two clocks are suspensions.
+//! Which differences between two clocks count as suspensions.
 
 use std::time::Duration;
 
--- a/crates/peppercrank-direct/tests/verify_truncation.rs
+++ b/crates/peppercrank-direct/tests/verify_truncation.rs
@@ -1,12 +1,12 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Changes that the store cuts are read without pauses, wherever it cuts.
+//! Truncated answers are followed without the usual pause, whatever the limit of the store.
 //!
-//! The story: a store lost all entries of 40 targets and told of their return, 80 changes, three at a time. Routers took only
-//! answers of 100 changes or more for cut ones, so they read three changes every 0.75 s, from 41.6 s to beyond 53.0 s, and
-//! 626 callers were refused for want of a target (soak of 150 gateways, seed 23; lines 5006 and 5007 of one
-//! gateway).
+//! Guards against reading the return of many targets slowly: a store lost all entries of 40 targets
+//! and reported their return, 80 changes, three at a time. Routers took only answers of 100 changes
+//! or more for truncated ones, so they read three changes every 0.75 s, from 41.6 s to beyond 53.0
+//! s, and 626 requests were refused for lack of a target (soak test with 150 gateways, seed 23).
 
 use std::time::Duration;
 
@@ -15,16 +15,16 @@
 use peppercrank_direct::truncation::Next;
 use peppercrank_direct::truncation::Truncation;
 
-/// Bytes of one change.
+/// Size of one change, in bytes.
 const CHANGE_BYTES: usize = 300;
 
-/// Time for a question and its answer.
+/// Time for a query and its answer.
 const CALL_TIME: Duration = Duration::from_millis(5);
 
-/// The usual pause between questions.
+/// Usual pause between queries.
 const USUAL_PAUSE: Duration = Duration::from_millis(750);
 
-/// A store that cuts its answers at so many changes.
+/// A store that truncates its answers to `max_changes`.
 struct Store {
     max_changes: usize,
     pending: usize,
@@ -39,7 +39,7 @@
     }
 }
 
-/// The time until all changes are known, and the calls that it takes.
+/// Returns the time until all changes are known, and the number of calls.
 fn catch_up(truncation: &mut Truncation, max_changes: usize, pending: usize) -> (Duration, usize) {
     let mut store = Store {
         max_changes,
@@ -63,7 +63,7 @@
 #[test]
 fn verify_truncated_answers_are_followed_without_the_usual_pause() {
     for max_changes in [2, 3, 10, 100, 500] {
-        // What the router has seen of calm days: a change now and then, and nothing.
+        // On a normal day the router has seen few changes at a time, or none.
         let mut truncation = Truncation::default();
         for changes in [1, 0, 1, 1, 0, 2, 0] {
             truncation.record_answer(AnswerSize {
@@ -91,7 +91,7 @@
 
 #[test]
 fn verify_short_answers_keep_the_usual_pause() {
-    // Once a longer answer was seen, shorter ones are whole: no call more than with pauses alone.
+    // Once a longer answer was seen, shorter ones are complete and cost no extra calls.
     let mut truncation = Truncation::default();
     truncation.record_answer(AnswerSize {
         changes: 40,
--- a/crates/peppercrank-direct/tests/verify_warm_up.rs
+++ b/crates/peppercrank-direct/tests/verify_warm_up.rs
@@ -1,12 +1,14 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Cold targets get no more than they bear, from all routers together.
+//! Cold targets get no more requests than they can take, from all routers together.
 //!
-//! What operators saw: targets that had just come back got 22 requests in a second where 20 were allowed, and under more they crash. Order of
-//! events: a zone is evacuated and restored, or its targets end and start again; its prompts' homes return to it at once, at all
-//! routers, in the middle of a surge. Cause: routers did not know that a target was cold, and none knows what the others send it at this moment.
-//! Evidence: a day with two returns of a zone into a surge on one subject, and three of nine plays of the standard days.
+//! Guards against crashing targets that have just returned: they got 22 requests per second where
+//! 20 were allowed. When a zone is restored after an evacuation, or its targets start again, its
+//! prompts return to their homes there at once, at all routers and in the middle of a load surge.
+//! Routers did not know that the targets were cold, and no router knows what the others are sending
+//! at the moment. This was seen on a simulated day on which a zone returned twice into a surge, and
+//! in three of nine runs of the standard days.
 
 use std::time::Duration;
 
@@ -40,17 +42,17 @@
     slack: 5.0,
 };
 
-/// Requests that a target may get in any second: its rate by the allowance.
+/// Requests that a target may get in any second: its rate, increased by the allowance.
 const BOUND: usize = 20;
 
-/// Fleets of so many routers.
+/// Numbers of routers of the fleets.
 const FLEETS: [usize; 7] = [1, 2, 4, 10, 30, 68, 370];
 
 fn names(count: usize) -> Vec<String> {
     (0..count).map(|n| format!("router-{n}")).collect()
 }
 
-/// What the router of this place knows of the others.
+/// Returns the list of routers as the router at index `own` knows it.
 fn router_set(names: &[String], own: usize) -> RouterSet {
     let mut routers = RouterSet::default();
     let others = names.iter().enumerate().filter(|(n, _)| *n != own);
@@ -58,7 +60,7 @@
     routers
 }
 
-/// The gate of the router of this place.
+/// Returns the gate of the router at index `own`.
 fn gate(names: &[String], own: usize) -> Gate {
     let mut gate = Gate::default();
     gate.routers = router_set(names, own);
@@ -85,7 +87,8 @@
 
 #[test]
 fn verify_each_router_may_use_some_of_the_cold_targets() {
-    // Half again as many as the mean of 18.5 at the most, so that no router has nowhere to go while all targets are cold.
+    // Each router may use between 8 and 30 of the 55 targets, where the mean is 18.5, so that none is
+    // left without any while all targets are cold.
     let routers = names(30);
     let open = |own: usize| {
         let targets = 0..55;
@@ -100,7 +103,7 @@
 fn verify_differing_router_lists_stay_within_the_bound() {
     let all = names(34);
     for target in 0..50 {
-        // A third of the routers has not heard of the last four, and knows one that has gone.
+        // A third of the routers do not know the last four, and still know one that has gone.
         let mut older = all[..30].to_vec();
         older.push("router-gone".to_owned());
         let requests = fleet_budget(&WARM_UP, &ALLOWANCE);
@@ -118,7 +121,7 @@
 
 #[test]
 fn verify_a_router_list_of_a_restored_store_does_not_multiply_the_rate() {
-    // The copy knows four of thirty routers, each of which has heard of all the others.
+    // The restored list holds four of thirty routers, each of which has heard from all the others.
     let all = names(30);
     let requests = fleet_budget(&WARM_UP, &ALLOWANCE);
     for target in 0..50 {
@@ -135,8 +138,8 @@
     }
 }
 
-/// What each of the routers of a fleet does at a cold target that all want to send to: the most that it gets in any second, and all
-/// that it gets in `seconds`.
+/// Simulates a fleet in which all routers send as much as they may to one cold target. Returns the
+/// most requests that it gets in any second, and all that it gets in `seconds`.
 fn burst(routers: usize, seconds: u64) -> (usize, usize) {
     let names = names(routers);
     let requests = fleet_budget(&WARM_UP, &ALLOWANCE);
@@ -216,14 +219,15 @@
         directory
     };
     assert_eq!(cold_until(&warm()), ZERO);
-    // By its own word, also at the first list.
+    // By its own entry, also in the first list.
     let mut told = Directory::default();
     told.replace(ZERO, vec![entry("one", 1, SECOND)]);
     assert_eq!(cold_until(&told), ZERO + SECOND);
     let mut told = warm();
     told.apply(later, entry("one", 1, SECOND * 2));
     assert_eq!(cold_until(&told), later + SECOND * 2);
-    // By another start under its name, and by a registration after the first list, whatever it says.
+    // By another start under the same name, and by a registration after the first list, whatever
+    // the entry says.
     let unreported = later + WARM_UP.duration + COLD_MARGIN;
     let mut restarted = warm();
     restarted.apply(later, entry("one", 2, Duration::ZERO));
@@ -249,7 +253,7 @@
     gate.store_answered(ZERO);
     assert!(!gate.is_stale(ZERO + SECOND * 7, None));
     assert!(gate.is_stale(ZERO + SECOND * 8, None));
-    // Where the store is known not to answer, sooner.
+    // Earlier if the store is known to be unavailable.
     assert!(!gate.is_stale(ZERO + SECOND * 2, Some(ZERO)));
     assert!(gate.is_stale(ZERO + SECOND * 3, Some(ZERO)));
 }
