--- a/crates/peppercrank-direct/src/decide.rs
+++ b/crates/peppercrank-direct/src/decide.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Whether a request is sent, where to, and when its caller should return if not.
+//! Decision whether a request is sent and to which target, and when its caller should retry if not.
 
 use std::time::Duration;
 
@@ -12,47 +12,47 @@
 use crate::place::Candidate;
 use crate::place::Choice;
 use crate::place::Holder;
-use crate::place::Placed;
+use crate::place::PlacementOutcome;
 use crate::place::PlacementRequest;
-use crate::place::least_wait;
 use crate::place::place;
+use crate::place::shortest_wait_ms;
 use crate::ranks::Rank;
 use crate::rates::Rates;
 
-/// `Attempt` is one attempt of a request, for admission.
+/// `Attempt` holds the properties of an attempt that admission depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct Attempt {
-    /// How urgent the request is among those of its pool.
+    /// Urgency of the request among those of its pool.
     pub rank: Rank,
-    /// The shortest goal of the requests for its pool.
-    pub goal: Duration,
-    /// The time that its caller still waits.
-    pub left: Duration,
-    /// Whether it is the request's first.
-    pub first: bool,
+    /// Shortest latency goal of the requests for the pool.
+    pub pool_goal: Duration,
+    /// Time for which the caller still waits.
+    pub time_left: Duration,
+    /// Whether it is the first attempt of the request.
+    pub is_first: bool,
 }
 
-/// `Decision` is what becomes of an attempt.
+/// `Decision` is the result of admitting and placing an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Decision {
-    /// It is sent.
+    /// The attempt is sent to this target.
     Send(Choice),
-    /// No target can serve it in time.
+    /// No target can serve the attempt in time.
     Full {
-        /// When its caller should return.
-        after: Duration,
+        /// Delay after which the caller should retry.
+        retry_after: Duration,
     },
-    /// There are no targets.
+    /// The pool has no targets.
     NoTarget {
-        /// When its caller should return.
-        after: Duration,
+        /// Delay after which the caller should retry.
+        retry_after: Duration,
     },
 }
 
-/// `decide` admits an attempt and chooses its target, or refuses it.
+/// Admits an attempt and chooses its target, or refuses it.
 ///
-/// A request is admitted once: its further attempts count as the most urgent, since work was spent
-/// on it.
+/// A request is admitted only once. Its later attempts count as most urgent, since work has already
+/// been spent on it.
 pub fn decide(
     now: Instant,
     admission: &mut Admission,
@@ -64,26 +64,26 @@
 ) -> Decision {
     let slots = candidates.iter().map(|c| c.slots).min().unwrap_or(1);
     let pool = Pool {
-        goal: attempt.goal,
+        goal: attempt.pool_goal,
         base: rates.base(),
         turn: rates.waiting(1, slots),
-        wait: least_wait(now, rates, candidates),
+        wait: shortest_wait_ms(now, rates, candidates),
     };
-    let rank = if attempt.first {
+    let rank = if attempt.is_first {
         attempt.rank
     } else {
         Rank::default()
     };
     let limit = admission.limit(now, &pool, rank);
     let placed = place(now, rates, request, limit, candidates, holders);
-    if attempt.first && placed != Placed::NoTarget {
-        let admitted = matches!(placed, Placed::At(_));
+    if attempt.is_first && placed != PlacementOutcome::NoTarget {
+        let admitted = matches!(placed, PlacementOutcome::Target(_));
         admission.count(now, attempt.rank, admitted);
     }
-    let after = admission.come_back(now, attempt.left);
+    let retry_after = admission.come_back(now, attempt.time_left);
     match placed {
-        Placed::At(choice) => Decision::Send(choice),
-        Placed::Full => Decision::Full { after },
-        Placed::NoTarget => Decision::NoTarget { after },
+        PlacementOutcome::Target(choice) => Decision::Send(choice),
+        PlacementOutcome::Full => Decision::Full { retry_after },
+        PlacementOutcome::NoTarget => Decision::NoTarget { retry_after },
     }
 }
--- a/crates/peppercrank-direct/src/target.rs
+++ b/crates/peppercrank-direct/src/target.rs
@@ -1,37 +1,38 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One registered target: whether it takes new work, and why not.
+//! A registered target: whether it takes new work, and why not.
 
 use peppercrank_core::time::Instant;
 use slotmap::new_key_type;
 
-use crate::directory::Noted;
+use crate::directory::TargetEvent;
 use crate::registration::Registration;
-use crate::starts::SETTLE;
+use crate::starts::OLDER_START_DELAY;
 
 new_key_type! {
-    /// `TargetKey` names one start of one target.
+    /// `TargetKey` identifies one start of one target.
     pub struct TargetKey;
 }
 
-/// `State` is whether a target may get work.
+/// `State` is whether a target takes new work, by its entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It takes work.
+    /// It takes new work.
     Ready,
-    /// It finishes what it has.
+    /// It takes no new work and finishes what it has.
     Leaving,
-    /// Its entry was missing after an outage; it is gone unless it returns by then.
+    /// Its entry is missing after an outage. Unless the entry returns by this time, the target is
+    /// gone.
     Missing(Instant),
-    /// Its entry cannot be read, so that it names no target to use.
+    /// Its entry cannot be read.
     Unreadable,
 }
 
-/// `Withheld` is why a target gets no new work.
+/// `WithheldReason` is why a target gets no new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Withheld {
-    /// It finishes what it has.
+pub enum WithheldReason {
+    /// It is leaving, and finishes what it has.
     Leaving,
     /// Its entry cannot be read.
     Unreadable,
@@ -39,14 +40,14 @@
     Missing,
     /// Its availability zone is evacuated.
     Evacuated,
-    /// It wants none from this router until then.
+    /// It asked this router for a pause until this time.
     Paused(Instant),
 }
 
-impl Withheld {
-    /// `serves_on` tells whether it goes on with what it has, so that it counts in its pool's load.
+impl WithheldReason {
+    /// Returns whether the target keeps serving what it has, so that it counts in its pool's load.
     #[must_use]
-    pub const fn serves_on(self) -> bool {
+    pub const fn keeps_serving(self) -> bool {
         matches!(self, Self::Evacuated | Self::Paused(_))
     }
 }
@@ -54,75 +55,76 @@
 /// `Target` is one registered target.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// What it told of itself last.
+    /// Its latest entry.
     pub registration: Registration,
-    /// Whether it may get work.
+    /// Whether it takes new work.
     pub state: State,
-    /// When it came to be known.
-    pub since: Instant,
-    /// Until when it is cold by its own word.
+    /// Time at which the router first learnt of it.
+    pub first_seen: Instant,
+    /// Time until which it is cold, by its entry.
     pub cold_until: Instant,
-    /// Until when it wants no work from this router.
-    pub(crate) paused: Option<Instant>,
-    /// What the store tells of another start, and from when on that stands.
-    pub(crate) rival: Option<(Registration, Instant)>,
+    /// End of the pause that it asked this router for.
+    pub(crate) paused_until: Option<Instant>,
+    /// Entry of another start in the store, and the time from which it is accepted.
+    pub(crate) conflicting: Option<(Registration, Instant)>,
 }
 
 impl Target {
-    /// Takes in word of the start that is known.
-    pub(crate) fn renew(&mut self, now: Instant, key: TargetKey, entry: Registration) -> Noted {
+    /// Applies a new entry of the known start.
+    pub(crate) fn refresh(&mut self, now: Instant, key: TargetKey, entry: Registration,) -> TargetEvent {
         let left = self.state == State::Leaving;
         let leaving = left || entry.leaving;
-        self.cold_until = now + entry.cold;
+        self.cold_until = now + entry.cold_for;
         self.registration = entry;
-        self.rival = None;
+        self.conflicting = None;
         self.state = if leaving {
             State::Leaving
         } else {
             State::Ready
         };
         if leaving && !left {
-            return Noted::Left(key);
+            return TargetEvent::MarkedLeaving(key);
         }
-        Noted::Nothing
+        TargetEvent::NoChange
     }
 
-    /// Takes in word of another start, which stands when it was the store's last word for long enough.
-    pub(crate) fn doubt(&mut self, now: Instant, key: TargetKey, entry: Registration) -> Noted {
+    /// Records an entry of another start, which is accepted once it has been the latest in the
+    /// store for long enough.
+    pub(crate) fn record_conflicting(&mut self, now: Instant, key: TargetKey, entry: Registration,) -> TargetEvent {
         let same = |r: &Registration| r.start == entry.start;
-        let from = match &self.rival {
+        let from = match &self.conflicting {
             Some((rival, from)) if same(rival) => *from,
-            Some(_) | None => now + SETTLE,
+            Some(_) | None => now + OLDER_START_DELAY,
         };
-        self.rival = Some((entry, from));
-        Noted::InDoubt(key)
+        self.conflicting = Some((entry, from));
+        TargetEvent::InDoubt(key)
     }
 
-    /// `rival` is what the store tells of another start, and from when on that stands.
+    /// Returns the entry of another start in the store, and the time from which it is accepted.
     #[must_use]
-    pub fn rival(&self) -> Option<(&Registration, Instant)> {
-        self.rival.as_ref().map(|(entry, from)| (entry, *from))
+    pub fn conflicting_start(&self) -> Option<(&Registration, Instant)> {
+        self.conflicting.as_ref().map(|(entry, from)| (entry, *from))
     }
 
-    /// `withheld` is why its own entry keeps it from new work; none where it may get some.
+    /// Returns why its entry keeps it from new work; `None` if it may get some.
     #[must_use]
-    pub fn withheld(&self, now: Instant) -> Option<Withheld> {
+    pub fn withheld_reason(&self, now: Instant) -> Option<WithheldReason> {
         match self.state {
             State::Ready => None,
-            State::Missing(until) => (now >= until).then_some(Withheld::Missing),
-            State::Leaving => Some(Withheld::Leaving),
-            State::Unreadable => Some(Withheld::Unreadable),
+            State::Missing(until) => (now >= until).then_some(WithheldReason::Missing),
+            State::Leaving => Some(WithheldReason::Leaving),
+            State::Unreadable => Some(WithheldReason::Unreadable),
         }
     }
 
-    /// `pause` is until when it wants no work from this router; none where it wants some.
+    /// Returns the end of its pause; `None` if it is not paused.
     #[must_use]
-    pub fn pause(&self, now: Instant) -> Option<Instant> {
-        self.paused.filter(|until| now < *until)
+    pub fn pause_end(&self, now: Instant) -> Option<Instant> {
+        self.paused_until.filter(|until| now < *until)
     }
 
-    /// Whether it takes work, and nothing speaks against its start.
-    pub(crate) const fn is_sure(&self) -> bool {
-        matches!(self.state, State::Ready) && self.rival.is_none()
+    /// Returns whether it takes new work and no other start conflicts with it.
+    pub(crate) const fn is_certain(&self) -> bool {
+        matches!(self.state, State::Ready) && self.conflicting.is_none()
     }
 }
--- a/crates/peppercrank-direct/tests/verify_warm_up.rs
+++ b/crates/peppercrank-direct/tests/verify_warm_up.rs
@@ -1,12 +1,14 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Cold targets get no more than they bear, from all routers together.
+//! Cold targets get no more requests than they can take, from all routers together.
 //!
-//! What operators saw: targets that had just come back got 22 requests in a second where 20 were allowed, and under more they crash. Order of
-//! events: a zone is evacuated and restored, or its targets end and start again; its prompts' homes return to it at once, at all
-//! routers, in the middle of a surge. Cause: routers did not know that a target was cold, and none knows what the others send it at this moment.
-//! Evidence: a day with two returns of a zone into a surge on one subject, and three of nine plays of the standard days.
+//! Guards against crashing targets that have just returned: they got 22 requests per second where
+//! 20 were allowed. When a zone is restored after an evacuation, or its targets start again, its
+//! prompts return to their homes there at once, at all routers and in the middle of a load surge.
+//! Routers did not know that the targets were cold, and no router knows what the others are sending
+//! at the moment. This was seen on a simulated day on which a zone returned twice into a surge, and
+//! in three of nine runs of the standard days.
 
 use std::time::Duration;
 
@@ -18,12 +20,12 @@
 use peppercrank_direct::evacuations;
 use peppercrank_direct::starts::Start;
 use peppercrank_direct::warm_up::Allowance;
+use peppercrank_direct::warm_up::COLD_MARGIN;
 use peppercrank_direct::warm_up::Gate;
-use peppercrank_direct::warm_up::MARGIN;
-use peppercrank_direct::warm_up::Members;
 use peppercrank_direct::warm_up::Opens;
+use peppercrank_direct::warm_up::RouterSet;
 use peppercrank_direct::warm_up::WarmUp;
-use peppercrank_direct::warm_up::shared_out;
+use peppercrank_direct::warm_up::fleet_budget;
 use slotmap::SlotMap;
 
 const ZERO: Instant = Instant::ZERO;
@@ -31,7 +33,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 const WARM_UP: WarmUp = WarmUp {
-    lasts: Duration::from_secs(3),
+    duration: Duration::from_secs(3),
     rate: 10.0,
 };
 
@@ -40,40 +42,40 @@
     slack: 5.0,
 };
 
-/// Requests that a target may get in any second: its rate by the allowance.
+/// Requests that a target may get in any second: its rate, increased by the allowance.
 const BOUND: usize = 20;
 
-/// Fleets of so many routers.
+/// Numbers of routers of the fleets.
 const FLEETS: [usize; 7] = [1, 2, 4, 10, 30, 68, 370];
 
 fn names(count: usize) -> Vec<String> {
     (0..count).map(|n| format!("router-{n}")).collect()
 }
 
-/// What the router of this place knows of the others.
-fn members(names: &[String], own: usize) -> Members {
-    let mut members = Members::default();
+/// Returns the list of routers as the router at index `own` knows it.
+fn router_set(names: &[String], own: usize) -> RouterSet {
+    let mut routers = RouterSet::default();
     let others = names.iter().enumerate().filter(|(n, _)| *n != own);
-    members.set(&names[own], others.map(|(_, name)| name.as_str()));
-    members
+    routers.set(&names[own], others.map(|(_, name)| name.as_str()));
+    routers
 }
 
-/// The gate of the router of this place.
+/// Returns the gate of the router at index `own`.
 fn gate(names: &[String], own: usize) -> Gate {
     let mut gate = Gate::default();
-    gate.members = members(names, own);
+    gate.routers = router_set(names, own);
     gate
 }
 
 fn shares(names: &[String], target: u32) -> Vec<usize> {
-    let requests = shared_out(&WARM_UP, &ALLOWANCE);
-    let share = |own| members(names, own).share(target, requests, names.len());
+    let requests = fleet_budget(&WARM_UP, &ALLOWANCE);
+    let share = |own| router_set(names, own).share(target, requests, names.len());
     (0..names.len()).map(share).collect()
 }
 
 #[test]
-fn verify_all_parts_together_are_what_is_shared_out() {
-    assert_eq!(shared_out(&WARM_UP, &ALLOWANCE), BOUND / 2);
+fn verify_shares_add_up_to_the_fleet_budget() {
+    assert_eq!(fleet_budget(&WARM_UP, &ALLOWANCE), BOUND / 2);
     for routers in FLEETS {
         for target in 0..20 {
             let sum = shares(&names(routers), target).iter().sum::<usize>();
@@ -84,8 +86,9 @@
 }
 
 #[test]
-fn verify_each_router_may_use_its_part_of_the_targets() {
-    // Half again as many as the mean of 18.5 at the most, so that no router has nowhere to go while all targets are cold.
+fn verify_each_router_may_use_some_of_the_cold_targets() {
+    // Each router may use between 8 and 30 of the 55 targets, where the mean is 18.5, so that none is
+    // left without any while all targets are cold.
     let routers = names(30);
     let open = |own: usize| {
         let targets = 0..55;
@@ -97,30 +100,30 @@
 }
 
 #[test]
-fn verify_lists_that_differ_stay_within_the_bound() {
+fn verify_differing_router_lists_stay_within_the_bound() {
     let all = names(34);
     for target in 0..50 {
-        // A third of the routers has not heard of the last four, and knows one that has gone.
+        // A third of the routers do not know the last four, and still know one that has gone.
         let mut older = all[..30].to_vec();
         older.push("router-gone".to_owned());
-        let requests = shared_out(&WARM_UP, &ALLOWANCE);
-        let newer = (10..34).map(|own| members(&all, own).share(target, requests, 34));
-        let behind = (0..10).map(|own| members(&older, own).share(target, requests, 31));
+        let requests = fleet_budget(&WARM_UP, &ALLOWANCE);
+        let newer = (10..34).map(|own| router_set(&all, own).share(target, requests, 34));
+        let behind = (0..10).map(|own| router_set(&older, own).share(target, requests, 31));
         let sum = newer.chain(behind).sum::<usize>();
         assert!(sum <= BOUND, "target {target}: {sum}");
     }
 }
 
 #[test]
-fn verify_a_router_that_was_told_of_no_others_sends_nothing() {
-    assert_eq!(Members::default().share(1, 10, 1), 0);
+fn verify_a_router_without_a_list_sends_nothing() {
+    assert_eq!(RouterSet::default().share(1, 10, 1), 0);
 }
 
 #[test]
-fn verify_a_list_of_an_older_copy_of_the_store_does_not_multiply_the_rate() {
-    // The copy knows four of thirty routers, each of which has heard of all the others.
+fn verify_a_router_list_of_a_restored_store_does_not_multiply_the_rate() {
+    // The restored list holds four of thirty routers, each of which has heard from all the others.
     let all = names(30);
-    let requests = shared_out(&WARM_UP, &ALLOWANCE);
+    let requests = fleet_budget(&WARM_UP, &ALLOWANCE);
     for target in 0..50 {
         let share = |own: usize| {
             let mut listed = all[..4].to_vec();
@@ -128,18 +131,18 @@
                 listed.push(all[own].clone());
             }
             let place = own.min(4);
-            members(&listed, place).share(target, requests, all.len())
+            router_set(&listed, place).share(target, requests, all.len())
         };
         let sum = (0..all.len()).map(share).sum::<usize>();
         assert!(sum <= BOUND, "target {target}: {sum}");
     }
 }
 
-/// What each of the routers of a fleet does at a cold target that all want to send to: the most that it gets in any second, and all
-/// that it gets in `seconds`.
-fn rush(routers: usize, seconds: u64) -> (usize, usize) {
+/// Simulates a fleet in which all routers send as much as they may to one cold target. Returns the
+/// most requests that it gets in any second, and all that it gets in `seconds`.
+fn burst(routers: usize, seconds: u64) -> (usize, usize) {
     let names = names(routers);
-    let requests = shared_out(&WARM_UP, &ALLOWANCE);
+    let requests = fleet_budget(&WARM_UP, &ALLOWANCE);
     let mut keys = SlotMap::<TargetKey, ()>::with_key();
     let key = keys.insert(());
     let mut gates = (0..routers)
@@ -150,7 +153,7 @@
         let now = ZERO + Duration::from_millis(step * 10);
         for gate in &mut gates {
             while gate.opens(now, (key, 7), requests, routers) == Opens::Now {
-                gate.sent(now, key);
+                gate.record_sent(now, key);
                 sent.push(now);
             }
         }
@@ -162,9 +165,9 @@
 }
 
 #[test]
-fn verify_a_rush_of_all_routers_stays_within_the_bound_and_uses_the_rate() {
+fn verify_a_burst_from_all_routers_stays_within_the_bound_and_uses_the_rate() {
     for routers in FLEETS {
-        let (most, all) = rush(routers, 5);
+        let (most, all) = burst(routers, 5);
         assert!(most <= BOUND, "{routers} routers: {most} in a second");
         assert!(all >= 5 * 8, "{routers} routers: {all} in five seconds");
     }
@@ -178,7 +181,7 @@
     let mut opens = |now| {
         let opens = gate.opens(now, (key, 7), 10, 5);
         if opens == Opens::Now {
-            gate.sent(now, key);
+            gate.record_sent(now, key);
         }
         opens
     };
@@ -189,7 +192,7 @@
     assert_eq!(opens(ZERO + SECOND), Opens::After(SECOND / 4));
 }
 
-fn entry(instance: &str, born: u64, cold: Duration) -> Change {
+fn entry(instance: &str, born: u64, cold_for: Duration) -> Change {
     Change::Put(Registration {
         instance: instance.into(),
         start: Start(Some(born)),
@@ -198,13 +201,13 @@
         zone: "a".into(),
         slots: 4,
         leaving: false,
-        cold,
+        cold_for,
     })
 }
 
 fn cold_until(directory: &Directory) -> Instant {
     let key = directory.find("one").expect("a target");
-    directory.cold_until(key, WARM_UP.lasts)
+    directory.cold_until(key, WARM_UP.duration)
 }
 
 #[test]
@@ -216,22 +219,23 @@
         directory
     };
     assert_eq!(cold_until(&warm()), ZERO);
-    // By its own word, also at the first list.
+    // By its own entry, also in the first list.
     let mut told = Directory::default();
     told.replace(ZERO, vec![entry("one", 1, SECOND)]);
     assert_eq!(cold_until(&told), ZERO + SECOND);
     let mut told = warm();
     told.apply(later, entry("one", 1, SECOND * 2));
     assert_eq!(cold_until(&told), later + SECOND * 2);
-    // By another start under its name, and by a registration after the first list, whatever it says.
-    let unheard = later + WARM_UP.lasts + MARGIN;
+    // By another start under the same name, and by a registration after the first list, whatever
+    // the entry says.
+    let unreported = later + WARM_UP.duration + COLD_MARGIN;
     let mut restarted = warm();
     restarted.apply(later, entry("one", 2, Duration::ZERO));
-    assert_eq!(cold_until(&restarted), unheard);
+    assert_eq!(cold_until(&restarted), unreported);
     let mut back = warm();
     back.apply(ZERO, Change::Removed("one".into()));
     back.apply(later, entry("one", 1, Duration::ZERO));
-    assert_eq!(cold_until(&back), unheard);
+    assert_eq!(cold_until(&back), unreported);
     // By the end of its zone's evacuation.
     let mut restored = warm();
     let zone = evacuations::Change::Evacuated("a".into());
@@ -239,17 +243,17 @@
     assert_eq!(cold_until(&restored), ZERO);
     let zone = evacuations::Change::Restored("a".into());
     restored.evacuations.apply(later, zone);
-    assert_eq!(cold_until(&restored), unheard);
+    assert_eq!(cold_until(&restored), unreported);
 }
 
 #[test]
-fn verify_not_heard_is_not_warm() {
+fn verify_targets_may_be_cold_without_recent_store_answers() {
     let mut gate = Gate::default();
-    assert!(gate.is_blind(ZERO, None));
-    gate.heard(ZERO);
-    assert!(!gate.is_blind(ZERO + SECOND * 7, None));
-    assert!(gate.is_blind(ZERO + SECOND * 8, None));
-    // Where the store is known not to answer, sooner.
-    assert!(!gate.is_blind(ZERO + SECOND * 2, Some(ZERO)));
-    assert!(gate.is_blind(ZERO + SECOND * 3, Some(ZERO)));
+    assert!(gate.is_stale(ZERO, None));
+    gate.store_answered(ZERO);
+    assert!(!gate.is_stale(ZERO + SECOND * 7, None));
+    assert!(gate.is_stale(ZERO + SECOND * 8, None));
+    // Earlier if the store is known to be unavailable.
+    assert!(!gate.is_stale(ZERO + SECOND * 2, Some(ZERO)));
+    assert!(gate.is_stale(ZERO + SECOND * 3, Some(ZERO)));
 }
