--- a/crates/peppercrank-bench/src/surge/fleet.rs
+++ b/crates/peppercrank-bench/src/surge/fleet.rs
@@ -8,14 +8,14 @@
 use std::time::Duration;
 
 use peppercrank_core::time::Moment;
-use peppercrank_direct::admission::SOONEST;
+use peppercrank_direct::admission::MIN_RETRY_AFTER;
 use peppercrank_direct::decide::Decision;
 use peppercrank_direct::directory::Change;
 use peppercrank_direct::directory::Directory;
 use peppercrank_direct::directory::Registration;
 use peppercrank_direct::directory::TargetKey;
 use peppercrank_direct::in_flight::InFlight;
-use peppercrank_direct::peers::Sum;
+use peppercrank_direct::peers::PeerWork;
 use peppercrank_direct::place::Choice;
 use peppercrank_direct::starts::Start;
 use rand::RngExt;
@@ -79,7 +79,7 @@
     flights: Vec<Flight>,
     told: Moment,
     /// What each router told last of its work on each engine.
-    work: Vec<Vec<Sum>>,
+    work: Vec<Vec<PeerWork>>,
     /// The callers, in the order of their coming.
     pub callers: Vec<Caller>,
     /// What was sent in each second.
@@ -111,7 +111,7 @@
             routers: (0..scene.routers).map(|_| Router::default()).collect(),
             flights: Vec::new(),
             told: Moment::ZERO,
-            work: vec![vec![Sum::default(); scene.engines]; scene.routers],
+            work: vec![vec![PeerWork::default(); scene.engines]; scene.routers],
             callers: Vec::new(),
             sent: Vec::new(),
             returns: (0, 0),
@@ -227,7 +227,7 @@
         let load = self.engines[engine].load();
         if load >= self.scene.room {
             self.routers[router].refused(self.now, choice, load);
-            self.refuse(caller, SOONEST.min(left / 3));
+            self.refuse(caller, MIN_RETRY_AFTER.min(left / 3));
             return;
         }
         let asked = self.callers[caller];
@@ -359,12 +359,16 @@
     fn tell(&mut self, router: usize) {
         for (engine, key) in self.keys.iter().enumerate() {
             self.work[router][engine] = self.routers[router].work(*key);
-            let running = self.work.iter().map(|w| w[engine].running).sum::<u64>();
-            let reading = self.work.iter().map(|w| w[engine].reading).sum::<u64>();
+            let running = self.work.iter().map(|w| w[engine].in_flight).sum::<u64>();
+            let reading = self
+                .work
+                .iter()
+                .map(|w| w[engine].prefill_tokens)
+                .sum::<u64>();
             for (router, own) in self.routers.iter_mut().zip(&self.work) {
-                let others = Sum {
-                    running: running - own[engine].running,
-                    reading: reading - own[engine].reading,
+                let others = PeerWork {
+                    in_flight: running - own[engine].in_flight,
+                    prefill_tokens: reading - own[engine].prefill_tokens,
                 };
                 router.hear(*key, others);
             }
--- a/crates/peppercrank-bench/src/surge/router.rs
+++ b/crates/peppercrank-bench/src/surge/router.rs
@@ -12,19 +12,19 @@
 use peppercrank_direct::decide::decide;
 use peppercrank_direct::directory::TargetKey;
 use peppercrank_direct::in_flight::InFlight;
-use peppercrank_direct::peers::Sum;
+use peppercrank_direct::peers::PeerWork;
 use peppercrank_direct::peers::TargetId;
 use peppercrank_direct::place::Candidate;
 use peppercrank_direct::place::Choice;
 use peppercrank_direct::place::PlacementRequest;
 use peppercrank_direct::place::Policy;
-use peppercrank_direct::prefixes::Part;
-use peppercrank_direct::prefixes::Prefixes;
+use peppercrank_direct::prefixes::PrefixIndex;
+use peppercrank_direct::prefixes::PromptPart;
 use peppercrank_direct::ranks::Rank;
 use peppercrank_direct::rates::Rates;
 use peppercrank_direct::reports;
 use peppercrank_direct::reports::LoadReport;
-use peppercrank_direct::stats::Board;
+use peppercrank_direct::stats::StatsMap;
 
 use crate::surge::Caller;
 use crate::surge::Class;
@@ -51,10 +51,10 @@
 /// `Router` is what one router knows.
 #[derive(Debug, Default)]
 pub struct Router {
-    board: Board,
+    board: StatsMap,
     rates: Rates,
     admission: Admission,
-    prefixes: Prefixes,
+    prefixes: PrefixIndex,
     /// Prompts sent since the others were told.
     news: Vec<(TargetKey, u64)>,
 }
@@ -101,7 +101,7 @@
         )
     }
 
-    fn candidates(&self, view: &View<'_>, parts: &[Part]) -> Vec<Candidate> {
+    fn candidates(&self, view: &View<'_>, parts: &[PromptPart]) -> Vec<Candidate> {
         let up = view.engines.iter().enumerate();
         let up = up.filter(|(_, (_, up))| *up);
         let see = |(n, (key, _)): (usize, &(TargetKey, bool))| Candidate {
@@ -109,20 +109,20 @@
             name: u32::try_from(n).unwrap_or(u32::MAX),
             slots: view.scene.speed.slots,
             near: true,
-            held: self.prefixes.held(*key, parts),
+            held: self.prefixes.held_tokens(*key, parts),
             fresh: false,
             lag: view.lag,
             stats: self
                 .board
                 .get(*key)
-                .at(view.now, view.age, self.rates.hold()),
+                .as_of(view.now, view.age, self.rates.hold_ms()),
         };
         up.map(see).collect()
     }
 
     /// `send` counts an attempt with such a shared prompt that is sent.
     pub fn send(&mut self, now: Moment, choice: Choice, shared: u64) -> InFlight {
-        if self.prefixes.note(now, choice.key, shared) {
+        if self.prefixes.record(now, choice.key, shared) {
             self.news.push((choice.key, shared));
         }
         InFlight::begin(now, &mut self.board, choice)
@@ -130,48 +130,48 @@
 
     /// `refused` notes that an engine is full, with which it tells its load.
     pub fn refused(&mut self, now: Moment, choice: Choice, load: u32) {
-        if let Some(stats) = self.board.of(choice.key) {
-            stats.reported(now, load);
+        if let Some(stats) = self.board.get_mut(choice.key) {
+            stats.record_report(now, load);
         }
     }
 
     /// `first` notes an attempt's first token, with which its engine tells its load.
     pub fn first(&mut self, now: Moment, counted: &mut InFlight, load: u32) {
-        if let Some(stats) = self.board.of(counted.choice.key) {
-            stats.reported(now, load);
+        if let Some(stats) = self.board.get_mut(counted.choice.key) {
+            stats.record_report(now, load);
         }
-        counted.first(now, &mut self.board, &mut self.rates);
+        counted.record_first_part(now, &mut self.board, &mut self.rates);
     }
 
     /// `end` notes the end of an attempt.
     pub fn end(&mut self, now: Moment, counted: &mut InFlight) {
-        counted.end(now, &mut self.board, &mut self.rates);
+        counted.finish(now, &mut self.board, &mut self.rates);
     }
 
     /// `work` is its own work on an engine.
     #[must_use]
-    pub fn work(&self, engine: TargetKey) -> Sum {
+    pub fn work(&self, engine: TargetKey) -> PeerWork {
         let stats = self.board.get(engine);
-        Sum {
-            running: stats.running.into(),
-            reading: stats.reading,
+        PeerWork {
+            in_flight: stats.in_flight.into(),
+            prefill_tokens: stats.prefill_tokens,
         }
     }
 
     /// `hear` takes in the others' work on an engine.
-    pub fn hear(&mut self, engine: TargetKey, others: Sum) {
-        self.board.hear(engine, others);
+    pub fn hear(&mut self, engine: TargetKey, others: PeerWork) {
+        self.board.set_peer_work(engine, others);
     }
 
     /// `reports` are the load reports that it passes on, with engines in their order for names.
     #[must_use]
     pub fn reports(&self, now: Moment, engines: &[TargetKey]) -> Vec<LoadReport> {
         let report = |(n, key): (usize, &TargetKey)| {
-            LoadReport::of(TargetId(u32::try_from(n).ok()?), &self.board.get(*key), now)
+            LoadReport::from_stats(TargetId(u32::try_from(n).ok()?), &self.board.get(*key), now)
         };
         let reports = engines.iter().enumerate().filter_map(report);
         let mut reports = reports.collect::<Vec<_>>();
-        reports::choose(&mut reports);
+        reports::select(&mut reports);
         reports
     }
 
@@ -179,8 +179,8 @@
     pub fn relayed(&mut self, now: Moment, engines: &[TargetKey], reports: &[LoadReport]) {
         for report in reports {
             let key = engines.get(report.target().0 as usize);
-            if let Some(stats) = key.and_then(|key| self.board.of(*key)) {
-                stats.relayed(report.told(now), report.load());
+            if let Some(stats) = key.and_then(|key| self.board.get_mut(*key)) {
+                stats.record_relayed_report(report.earliest_time(now), report.load());
             }
         }
     }
@@ -193,27 +193,27 @@
     /// `learn` takes in the prompts that another router sent.
     pub fn learn(&mut self, now: Moment, news: &[(TargetKey, u64)]) {
         for (engine, shared) in news {
-            self.prefixes.note(now, *engine, *shared);
+            self.prefixes.record(now, *engine, *shared);
         }
     }
 
     /// `forget` drops the prompts of an engine that crashed.
     pub fn forget(&mut self, engine: TargetKey) {
-        self.prefixes.forget(engine);
+        self.prefixes.remove_target(engine);
     }
 }
 
 /// The shared part of a caller's prompt.
-fn part(caller: &Caller, class: &Class) -> Part {
-    Part {
-        chain: caller.shared,
+fn part(caller: &Caller, class: &Class) -> PromptPart {
+    PromptPart {
+        prefix_hash: caller.shared,
         tokens: class.shared.1,
     }
 }
 
 fn rank(class: usize, classes: &[Class]) -> Rank {
     Rank {
-        place: u8::try_from(class).unwrap_or(u8::MAX),
-        places: u8::try_from(classes.len()).unwrap_or(u8::MAX),
+        level: u8::try_from(class).unwrap_or(u8::MAX),
+        levels: u8::try_from(classes.len()).unwrap_or(u8::MAX),
     }
 }
--- a/crates/peppercrank-direct/src/admission.rs
+++ b/crates/peppercrank-direct/src/admission.rs
@@ -19,62 +19,62 @@
 
 /// Wait at which the most urgent rank is refused, as a part of the pool's shortest goal. Its answers
 /// still come in time though predictions are off by a third and more.
-const MOST_URGENT: f64 = 0.3;
+const MOST_URGENT_WAIT_SHARE: f64 = 0.3;
 
 /// The same for the least urgent rank: a wait of that length at all targets is a queue, not the
 /// scatter of arrivals.
-const LEAST_URGENT: f64 = 0.05;
+const LEAST_URGENT_WAIT_SHARE: f64 = 0.05;
 
 /// Part of the pool's share of admitted requests that each rank is granted: a rank below it is
 /// admitted like the least urgent one that is admitted whole. Users ask that no kind of request is
 /// served less than a quarter as often as all.
-const GRANTED: f64 = 0.35;
+const GUARANTEED_SHARE: f64 = 0.35;
 
 /// Share of admitted requests from which a rank counts as admitted whole.
-const WHOLE: f64 = 0.9;
+const FULLY_ADMITTED_SHARE: f64 = 0.9;
 
 /// Time in which a counted request's weight falls to a third, in seconds: a surge changes within
 /// seconds, and a router of a small fleet sees some ten requests of a rank in that time.
-const COUNTED: f64 = 2.0;
+const DECAY_SECONDS: f64 = 2.0;
 
 /// Requests that must have been counted before a rank's share says anything.
-const ENOUGH: f64 = 5.0;
+const MIN_SAMPLES: f64 = 5.0;
 
 /// `SOONEST` is the soonest return of a refused request: several times the lag of peers' loads.
-pub const SOONEST: Duration = Duration::from_millis(300);
+pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Part of the time for which an overload has lasted that a refused request is told to wait: late enough not to be refused again,
 /// and soon enough to be answered in time.
-const LASTED_PART: u32 = 2;
+const OVERLOAD_AGE_DIVISOR: u32 = 2;
 
 /// Part of its time left that a refused request is told to wait at most; callers follow no longer
 /// wait.
-const LONGEST_PART: u32 = 3;
+const TIME_LEFT_DIVISOR: u32 = 3;
 
 /// `Pool` is what admission needs to know of a pool.
 #[derive(Debug, Clone, Copy)]
-pub struct Pool {
+pub struct PoolLoad {
     /// The shortest goal of its requests.
     pub goal: Duration,
     /// The time of an answer that reads nothing, in milliseconds.
-    pub base: f64,
+    pub base_ms: f64,
     /// The time in which one place of a busy target becomes free, in milliseconds.
-    pub turn: f64,
+    pub slot_turnover_ms: f64,
     /// The wait at the target that has the least of it, in milliseconds; infinite where there is no
     /// target.
-    pub wait: f64,
+    pub min_wait_ms: f64,
 }
 
 /// Requests of one rank, counted with a weight that fades.
 #[derive(Debug, Clone, Copy, Default)]
-struct Counted {
-    asked: f64,
+struct RankCounts {
+    requested: f64,
     admitted: f64,
 }
 
-impl Counted {
-    fn share(self) -> f64 {
-        self.admitted / self.asked.max(f64::MIN_POSITIVE)
+impl RankCounts {
+    fn admitted_share(self) -> f64 {
+        self.admitted / self.requested.max(f64::MIN_POSITIVE)
     }
 }
 
@@ -82,44 +82,46 @@
 #[derive(Debug, Default)]
 pub struct Admission {
     /// Since when all targets have been beyond the bound of the least urgent rank.
-    since: Option<Moment>,
+    overloaded_since: Option<Moment>,
     /// Requests by the place of their rank.
-    ranks: Vec<Counted>,
+    counts: Vec<RankCounts>,
     /// When the counts faded last.
-    faded: Moment,
+    decayed_at: Moment,
 }
 
 impl Admission {
     /// `limit` is the longest wait at which a request of this rank is admitted; none while the
     /// pool keeps up.
-    pub fn limit(&mut self, now: Moment, pool: &Pool, rank: Rank) -> Option<Duration> {
+    pub fn max_wait(&mut self, now: Moment, pool: &PoolLoad, rank: Rank) -> Option<Duration> {
         self.observe(now, pool);
         if !self.is_overloaded() {
             return None;
         }
-        let rank = if self.is_below_its_share(rank) {
-            self.least_whole(rank)
+        let rank = if self.is_starved(rank) {
+            self.least_urgent_fully_admitted(rank)
         } else {
             rank
         };
-        Some(Duration::from_secs_f64(bound(pool, rank.part()) / 1_000.0))
+        Some(Duration::from_secs_f64(
+            max_wait_ms(pool, rank.normalized()) / 1_000.0,
+        ))
     }
 
     /// `is_overloaded` tells whether all targets are beyond the bound of the least urgent rank.
     #[must_use]
     pub const fn is_overloaded(&self) -> bool {
-        self.since.is_some()
+        self.overloaded_since.is_some()
     }
 
     /// `count` counts a request that was admitted or refused.
-    pub fn count(&mut self, now: Moment, rank: Rank, admitted: bool) {
-        self.fade(now);
-        let place = usize::from(rank.place);
-        if self.ranks.len() <= place {
-            self.ranks.resize(place + 1, Counted::default());
+    pub fn record(&mut self, now: Moment, rank: Rank, admitted: bool) {
+        self.decay(now);
+        let level = usize::from(rank.level);
+        if self.counts.len() <= level {
+            self.counts.resize(level + 1, RankCounts::default());
         }
-        let counted = &mut self.ranks[place];
-        counted.asked += 1.0;
+        let counted = &mut self.counts[level];
+        counted.requested += 1.0;
         counted.admitted += f64::from(u8::from(admitted));
     }
 
@@ -128,64 +130,76 @@
     /// How long an overload will last is not known; the longer it has lasted, the longer it is
     /// likely to last. A return into the same overload is lost, and callers return once.
     #[must_use]
-    pub fn come_back(&self, now: Moment, left: Duration) -> Duration {
-        let lasted = self.since.map_or(Duration::ZERO, |s| now.since(s));
-        (lasted / LASTED_PART).min(left / LONGEST_PART).max(SOONEST)
+    pub fn retry_after(&self, now: Moment, left: Duration) -> Duration {
+        let lasted = self
+            .overloaded_since
+            .map_or(Duration::ZERO, |s| now.since(s));
+        (lasted / OVERLOAD_AGE_DIVISOR)
+            .min(left / TIME_LEFT_DIVISOR)
+            .max(MIN_RETRY_AFTER)
     }
 
-    fn observe(&mut self, now: Moment, pool: &Pool) {
-        if pool.wait <= bound(pool, 1.0) {
-            self.since = None;
+    fn observe(&mut self, now: Moment, pool: &PoolLoad) {
+        if pool.min_wait_ms <= max_wait_ms(pool, 1.0) {
+            self.overloaded_since = None;
         } else {
-            self.since.get_or_insert(now);
+            self.overloaded_since.get_or_insert(now);
         }
     }
 
     /// Whether a rank is admitted so rarely that it starves; never while it fares better than a more
     /// urgent one.
-    fn is_below_its_share(&self, rank: Rank) -> bool {
-        let place = usize::from(rank.place);
-        let Some(counted) = self.ranks.get(place).filter(|c| c.asked >= ENOUGH) else {
+    fn is_starved(&self, rank: Rank) -> bool {
+        let level = usize::from(rank.level);
+        let Some(counted) = self
+            .counts
+            .get(level)
+            .filter(|c| c.requested >= MIN_SAMPLES)
+        else {
             return false;
         };
-        let share = counted.share();
-        let sum = |a: Counted, b: &Counted| Counted {
-            asked: a.asked + b.asked,
+        let share = counted.admitted_share();
+        let sum = |a: RankCounts, b: &RankCounts| RankCounts {
+            requested: a.requested + b.requested,
             admitted: a.admitted + b.admitted,
         };
-        let all = self.ranks.iter().fold(Counted::default(), sum);
-        let urgent = self.ranks.iter().take(place);
-        let mut urgent = urgent.filter(|c| c.asked >= ENOUGH);
-        share < all.share() * GRANTED && urgent.all(|c| share < c.share())
+        let all = self.counts.iter().fold(RankCounts::default(), sum);
+        let urgent = self.counts.iter().take(level);
+        let mut urgent = urgent.filter(|c| c.requested >= MIN_SAMPLES);
+        share < all.admitted_share() * GUARANTEED_SHARE
+            && urgent.all(|c| share < c.admitted_share())
     }
 
     /// The least urgent rank that is admitted whole, as are all before it; else the most urgent.
-    fn least_whole(&self, rank: Rank) -> Rank {
-        let is_whole = |c: &&Counted| c.asked < ENOUGH || c.share() >= WHOLE;
-        let whole = self.ranks.iter().take_while(is_whole).count();
-        let place = u8::try_from(whole.saturating_sub(1)).unwrap_or(u8::MAX);
+    fn least_urgent_fully_admitted(&self, rank: Rank) -> Rank {
+        let is_whole = |c: &&RankCounts| {
+            c.requested < MIN_SAMPLES || c.admitted_share() >= FULLY_ADMITTED_SHARE
+        };
+        let whole = self.counts.iter().take_while(is_whole).count();
+        let level = u8::try_from(whole.saturating_sub(1)).unwrap_or(u8::MAX);
         Rank {
-            place: place.min(rank.place),
+            level: level.min(rank.level),
             ..rank
         }
     }
 
-    fn fade(&mut self, now: Moment) {
-        let past = now.since(self.faded).as_secs_f64();
-        let kept = (-past / COUNTED).exp();
-        for counted in &mut self.ranks {
-            counted.asked *= kept;
+    fn decay(&mut self, now: Moment) {
+        let past = now.since(self.decayed_at).as_secs_f64();
+        let kept = (-past / DECAY_SECONDS).exp();
+        for counted in &mut self.counts {
+            counted.requested *= kept;
             counted.admitted *= kept;
         }
-        self.faded = now;
+        self.decayed_at = now;
     }
 }
 
 /// The wait, in milliseconds, at which a rank is refused that lies so far behind the most urgent.
-fn bound(pool: &Pool, part: f64) -> f64 {
+fn max_wait_ms(pool: &PoolLoad, position: f64) -> f64 {
     let goal = pool.goal.as_secs_f64() * 1_000.0;
-    let queue = goal * (MOST_URGENT - (MOST_URGENT - LEAST_URGENT) * part);
+    let queue = goal
+        * (MOST_URGENT_WAIT_SHARE - (MOST_URGENT_WAIT_SHARE - LEAST_URGENT_WAIT_SHARE) * position);
     // One request that waits for a place is no queue: where targets run few at once and each takes
     // long, all places are often taken well below what the pool can serve.
-    queue.max(pool.base).max(pool.turn)
+    queue.max(pool.base_ms).max(pool.slot_turnover_ms)
 }
--- a/crates/peppercrank-direct/src/attribution.rs
+++ b/crates/peppercrank-direct/src/attribution.rs
@@ -21,7 +21,7 @@
 
 /// `End` is how a request ended that targets had failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum RequestEnd {
     /// Another target served it.
     Served,
     /// No target did.
@@ -36,7 +36,7 @@
 
 impl Attribution {
     /// `suspect` notes a target that answered with a failure.
-    pub fn suspect(&mut self, suspect: Suspect) {
+    pub fn add_suspect(&mut self, suspect: Suspect) {
         self.suspects.push(suspect);
     }
 
@@ -44,11 +44,11 @@
     ///
     /// What another target served was not the request's fault; what two failed was. Where nobody else was asked, as the
     /// request may run once only, it speaks against the one that was.
-    pub fn settle(&mut self, end: End) -> Vec<Suspect> {
+    pub fn resolve(&mut self, end: RequestEnd) -> Vec<Suspect> {
         let suspects = std::mem::take(&mut self.suspects);
         match end {
-            End::Failed if suspects.len() > 1 => Vec::new(),
-            End::Served | End::Failed => suspects,
+            RequestEnd::Failed if suspects.len() > 1 => Vec::new(),
+            RequestEnd::Served | RequestEnd::Failed => suspects,
         }
     }
 }
--- a/crates/peppercrank-direct/src/confirm.rs
+++ b/crates/peppercrank-direct/src/confirm.rs
@@ -16,17 +16,17 @@
 use serde::Serialize;
 
 /// Routers that ask the store at least: one may fail.
-const LEAST: usize = 2;
+const MIN_STORE_READERS: usize = 2;
 
 /// Routers of which one more asks the store, so that none answers more than some twenty others.
-const EACH: usize = 20;
+const ROUTERS_PER_STORE_READER: usize = 20;
 
 /// The oldest knowledge that is worth taking over: those who ask the store do so more often.
-pub const OLDEST: Duration = Duration::from_millis(1_200);
+pub const MAX_AGE: Duration = Duration::from_millis(1_200);
 
 /// `Question` asks another router for a confirmation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct ConfirmationRequest {
     /// Names the question in its answer.
     pub nonce: u64,
 }
@@ -39,71 +39,73 @@
     /// The version in force there.
     pub version: u64,
     /// The age of the knowledge there, in milliseconds, rounded up.
-    pub age: u32,
+    pub age_ms: u32,
     /// The digest of the zones that are evacuated by what is known there. Routers that do not know it yet pass over it.
-    pub evacuations: u64,
+    pub evacuations_digest: u64,
 }
 
 /// `Known` is what a router confirms to others.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Known {
+pub struct KeyState {
     /// The version in force.
     pub version: Option<u64>,
     /// The age of the knowledge of keys.
     pub age: Option<Duration>,
     /// The digest of the evacuated zones.
-    pub evacuations: u64,
+    pub evacuations_digest: u64,
 }
 
 impl Confirmation {
     /// `new` answers a question by what is known at this moment; none where nothing is.
     #[must_use]
-    pub fn new(question: Question, known: Known) -> Option<Self> {
+    pub fn new(question: ConfirmationRequest, known: KeyState) -> Option<Self> {
         let age = u32::try_from(known.age?.as_millis()).ok()?;
         Some(Self {
             nonce: question.nonce,
             version: known.version?,
-            age: age.saturating_add(1),
-            evacuations: known.evacuations,
+            age_ms: age.saturating_add(1),
+            evacuations_digest: known.evacuations_digest,
         })
     }
 }
 
 /// `Asked` is a question on its way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Asked {
+pub struct PendingRequest {
     /// The question.
-    pub question: Question,
+    pub request: ConfirmationRequest,
     /// When it was sent.
-    pub at: Moment,
+    pub sent_at: Moment,
 }
 
 /// `Verdict` is what a confirmation is worth.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// What is in force here was the newest at this moment.
-    Newest(Moment),
+    CurrentAsOf(Moment),
     /// There is a newer version, which the store has.
     Outdated,
     /// It answers another question, or is too old to be worth anything.
-    Nothing,
+    Unusable,
 }
 
-impl Asked {
+impl PendingRequest {
     /// `judge` tells what an answer is worth where this version is in force.
     #[must_use]
-    pub fn judge(&self, told: Confirmation, version: Option<u64>) -> Verdict {
-        let age = Duration::from_millis(u64::from(told.age));
-        if told.nonce != self.question.nonce || age > OLDEST {
-            return Verdict::Nothing;
+    pub fn evaluate(&self, confirmation: Confirmation, version: Option<u64>) -> Verdict {
+        let age = Duration::from_millis(u64::from(confirmation.age_ms));
+        if confirmation.nonce != self.request.nonce || age > MAX_AGE {
+            return Verdict::Unusable;
         }
         // A moment before this process's clock began cannot be told, and a later one would make
         // the knowledge look younger.
-        let Some(since) = self.at.since_origin().checked_sub(age) else {
-            return Verdict::Nothing;
+        let Some(since) = self.sent_at.since_origin().checked_sub(age) else {
+            return Verdict::Unusable;
         };
         match version {
-            Some(version) if version >= told.version => Verdict::Newest(Moment::from_origin(since)),
+            Some(version) if version >= confirmation.version => {
+                Verdict::CurrentAsOf(Moment::from_origin(since))
+            }
             _ => Verdict::Outdated,
         }
     }
@@ -111,15 +113,19 @@
 
 /// `askers` are those of these routers that ask the store: the first ones by name.
 #[must_use]
-pub fn askers(mut names: Vec<&str>) -> Vec<&str> {
+pub fn store_readers(mut names: Vec<&str>) -> Vec<&str> {
     names.sort_unstable();
-    names.truncate(asking(names.len()));
+    names.truncate(store_reader_count(names.len()));
     names
 }
 
 /// `asking` is how many of so many routers ask the store.
 #[must_use]
-pub const fn asking(routers: usize) -> usize {
-    let part = routers / EACH;
-    if part > LEAST { part } else { LEAST }
+pub const fn store_reader_count(routers: usize) -> usize {
+    let part = routers / ROUTERS_PER_STORE_READER;
+    if part > MIN_STORE_READERS {
+        part
+    } else {
+        MIN_STORE_READERS
+    }
 }
--- a/crates/peppercrank-direct/src/congestion.rs
+++ b/crates/peppercrank-direct/src/congestion.rs
@@ -11,20 +11,20 @@
 
 /// Connections that are being made at a time from which the link may be the reason. They take 3 to 5 ms on a link that
 /// is not full, so a router that makes a thousand a second has five.
-pub const MANY: usize = 16;
+pub const MIN_PENDING: usize = 16;
 
 /// Time for a connection from which it is slow: a third of what it may take.
-pub const SLOW: Duration = Duration::from_millis(100);
+pub const SLOW_CONNECT: Duration = Duration::from_millis(100);
 
 /// `LinkState` is how connections to targets fare on this router's link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LinkState {
     /// Connections that are being made.
-    pub opening: usize,
+    pub pending: usize,
     /// For how long the one that takes longest has been waited for.
-    pub longest: Duration,
+    pub longest_pending: Duration,
     /// The last one that was made: how long ago that was, and the time that it took.
-    pub last: Option<(Duration, Duration)>,
+    pub last_connected: Option<(Duration, Duration)>,
 }
 
 /// `is_congested` tells whether connections to all targets are slow.
@@ -34,7 +34,7 @@
 #[must_use]
 pub fn is_congested(link: &LinkState) -> bool {
     let quick = link
-        .last
-        .is_some_and(|(age, took)| age < SLOW && took < SLOW);
-    link.opening >= MANY && link.longest >= SLOW && !quick
+        .last_connected
+        .is_some_and(|(age, took)| age < SLOW_CONNECT && took < SLOW_CONNECT);
+    link.pending >= MIN_PENDING && link.longest_pending >= SLOW_CONNECT && !quick
 }
--- a/crates/peppercrank-direct/src/content.rs
+++ b/crates/peppercrank-direct/src/content.rs
@@ -12,7 +12,7 @@
 
 /// `Content` is what a request consists of, whoever sends it anew: all that decides what a target does with it.
 #[derive(Debug, Clone, Copy)]
-pub struct Content<'a> {
+pub struct RequestContent<'a> {
     /// The method.
     pub method: &'a str,
     /// The host that it is for.
@@ -34,7 +34,7 @@
 impl Fingerprint {
     /// `of` is the fingerprint of a request's content.
     #[must_use]
-    pub fn of(content: &Content<'_>) -> Self {
+    pub fn of(content: &RequestContent<'_>) -> Self {
         let mut hash = Sha256::new();
         let organisation = content.organisation.unwrap_or("").as_bytes();
         for part in [
--- a/crates/peppercrank-direct/src/decide.rs
+++ b/crates/peppercrank-direct/src/decide.rs
@@ -8,7 +8,7 @@
 use peppercrank_core::time::Moment;
 
 use crate::admission::Admission;
-use crate::admission::Pool;
+use crate::admission::PoolLoad;
 use crate::place::Candidate;
 use crate::place::Choice;
 use crate::place::Holder;
@@ -63,24 +63,24 @@
     holders: &[Holder],
 ) -> Decision {
     let slots = candidates.iter().map(|c| c.slots).min().unwrap_or(1);
-    let pool = Pool {
+    let pool = PoolLoad {
         goal: attempt.goal,
-        base: rates.base(),
-        turn: rates.waiting(1, slots),
-        wait: least_wait(now, rates, candidates),
+        base_ms: rates.base_ms(),
+        slot_turnover_ms: rates.queue_wait_ms(1, slots),
+        min_wait_ms: least_wait(now, rates, candidates),
     };
     let rank = if attempt.first {
         attempt.rank
     } else {
         Rank::default()
     };
-    let limit = admission.limit(now, &pool, rank);
+    let limit = admission.max_wait(now, &pool, rank);
     let placed = place(now, rates, request, limit, candidates, holders);
     if attempt.first && placed != Placed::NoTarget {
         let admitted = matches!(placed, Placed::At(_));
-        admission.count(now, attempt.rank, admitted);
+        admission.record(now, attempt.rank, admitted);
     }
-    let after = admission.come_back(now, attempt.left);
+    let after = admission.retry_after(now, attempt.left);
     match placed {
         Placed::At(choice) => Decision::Send(choice),
         Placed::Full => Decision::Full { after },
--- a/crates/peppercrank-direct/src/peers.rs
+++ b/crates/peppercrank-direct/src/peers.rs
@@ -17,34 +17,34 @@
 use serde::Serialize;
 
 use crate::confirm::Confirmation;
-use crate::confirm::Question;
+use crate::confirm::ConfirmationRequest;
 use crate::quarantine::CrashReport;
 use crate::reports::LoadReport;
 use crate::starts::Start;
 
 /// Longest datagram, in bytes: below the usual path limit, so that none is fragmented.
-pub const MOST_BYTES: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
 /// Most bytes of one hint on a datagram: five of the target's name and ten of the chain's hash.
-const HINT_BYTES: usize = 15;
+const MAX_HINT_BYTES: usize = 15;
 
 /// Time without a word after which a peer's work counts no more, in a small fleet: some ten
 /// summaries.
-pub const SILENT: Duration = Duration::from_millis(2_500);
+pub const MIN_PEER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// The same for each peer of a large fleet, where summaries go round: at the usual size of a
 /// summary each peer is reached every 50 ms times their number.
-const SILENT_EACH: Duration = Duration::from_millis(150);
+const TIMEOUT_PER_PEER: Duration = Duration::from_millis(150);
 
 /// `silent` is the time without a word after which a peer's work counts no more.
 #[must_use]
-pub fn silent(peers: usize) -> Duration {
-    let each = SILENT_EACH.saturating_mul(u32::try_from(peers).unwrap_or(u32::MAX));
-    SILENT.max(each)
+pub fn peer_timeout(peers: usize) -> Duration {
+    let each = TIMEOUT_PER_PEER.saturating_mul(u32::try_from(peers).unwrap_or(u32::MAX));
+    MIN_PEER_TIMEOUT.max(each)
 }
 
 /// Seed of the short names of targets on datagrams.
-const NAME_SEED: u64 = 0x7461_7267;
+const TARGET_ID_SEED: u64 = 0x7461_7267;
 
 /// `TargetId` is the short name of a target's start on datagrams; a hash, so that it needs no agreement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -54,7 +54,7 @@
     /// `of` is the short name of one start of an instance.
     #[must_use]
     pub fn of(instance: &str, start: Start) -> Self {
-        let seed = start.0.map_or(NAME_SEED, |born| NAME_SEED ^ born);
+        let seed = start.0.map_or(TARGET_ID_SEED, |born| TARGET_ID_SEED ^ born);
         let hash = hash64(seed, instance.as_bytes());
         Self((hash >> 32) as u32)
     }
@@ -66,56 +66,56 @@
     /// The target.
     pub target: TargetId,
     /// Requests sent there and not ended.
-    pub running: u32,
+    pub in_flight: u32,
     /// Prompt tokens that it has yet to read for them.
-    pub reading: u64,
+    pub prefill_tokens: u64,
 }
 
 /// `Hint` tells that a target was sent a part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hint {
+pub struct PrefixHint {
     /// The target.
     pub target: TargetId,
     /// The hash of the chain of parts up to this one.
-    pub chain: u64,
+    pub prefix_hash: u64,
 }
 
 /// Hints on one datagram, so that they and the work of a large fleet's pool fit.
-const HINTS: usize = 40;
+const MAX_HINTS_PER_DATAGRAM: usize = 40;
 
 /// Hints that wait to be told; more would be stale before they are.
-const MOST_HINTS: usize = 2_000;
+const MAX_QUEUED_HINTS: usize = 2_000;
 
 /// `Outbox` holds the hints that not all peers were told yet.
 ///
 /// Summaries go round the peers, so a hint stays until it has gone round once.
 #[derive(Debug, Default)]
-pub struct Outbox {
-    hints: VecDeque<(Hint, usize)>,
+pub struct HintQueue {
+    hints: VecDeque<(PrefixHint, usize)>,
 }
 
-impl Outbox {
+impl HintQueue {
     /// `add` adds news for so many peers.
-    pub fn add(&mut self, hint: Hint, peers: usize) {
+    pub fn push(&mut self, hint: PrefixHint, peers: usize) {
         if peers == 0 {
             return;
         }
-        if self.hints.len() >= MOST_HINTS {
+        if self.hints.len() >= MAX_QUEUED_HINTS {
             self.hints.pop_front();
         }
         self.hints.push_back((hint, peers));
     }
 
     /// `take` gives the hints of a summary that goes to so many peers.
-    pub fn take(&mut self, to: usize) -> Vec<Hint> {
-        let count = self.hints.len().min(HINTS);
-        let told = self.hints.drain(..count).collect::<Vec<_>>();
-        for (hint, left) in &told {
-            if *left > to {
-                self.hints.push_back((*hint, left - to));
+    pub fn take_batch(&mut self, peers: usize) -> Vec<PrefixHint> {
+        let count = self.hints.len().min(MAX_HINTS_PER_DATAGRAM);
+        let batch = self.hints.drain(..count).collect::<Vec<_>>();
+        for (hint, left) in &batch {
+            if *left > peers {
+                self.hints.push_back((*hint, left - peers));
             }
         }
-        told.into_iter().map(|(hint, _)| hint).collect()
+        batch.into_iter().map(|(hint, _)| hint).collect()
     }
 }
 
@@ -125,13 +125,13 @@
     /// Its work and news.
     Summary(Summary),
     /// Asks for a confirmation of what is known of keys.
-    Question(Question),
+    ConfirmationRequest(ConfirmationRequest),
     /// Answers that.
     Confirmation(Confirmation),
     /// What targets told of their loads. Routers that do not know it yet pass over the datagram.
-    Reports(Vec<LoadReport>),
+    LoadReports(Vec<LoadReport>),
     /// Requests under which targets ended. Routers that do not know it yet pass over the datagram.
-    Crashes(Vec<CrashReport>),
+    CrashReports(Vec<CrashReport>),
 }
 
 /// `Summary` is a router's work and news.
@@ -144,7 +144,7 @@
     /// All of its work.
     pub work: Vec<Work>,
     /// Parts sent since the datagram before.
-    pub hints: Vec<Hint>,
+    pub hints: Vec<PrefixHint>,
 }
 
 impl Datagram {
@@ -159,11 +159,11 @@
             let Self::Summary(summary) = self else {
                 return Ok(bytes);
             };
-            if bytes.len() <= MOST_BYTES || summary.hints.is_empty() {
+            if bytes.len() <= MAX_DATAGRAM_BYTES || summary.hints.is_empty() {
                 return Ok(bytes);
             }
-            let over = bytes.len() - MOST_BYTES;
-            let drop = over.div_ceil(HINT_BYTES).min(summary.hints.len());
+            let over = bytes.len() - MAX_DATAGRAM_BYTES;
+            let drop = over.div_ceil(MAX_HINT_BYTES).min(summary.hints.len());
             summary.hints.drain(..drop);
         }
     }
@@ -183,19 +183,19 @@
 struct Peer {
     incarnation: u64,
     /// The start before, where this router saw it end.
-    former: Option<u64>,
+    previous_incarnation: Option<u64>,
     sequence: u64,
-    heard: Moment,
+    last_heard: Moment,
     work: Vec<Work>,
 }
 
 /// `Sum` is the work of all other routers on one target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Sum {
+pub struct PeerWork {
     /// Requests sent there and not ended.
-    pub running: u64,
+    pub in_flight: u64,
     /// Prompt tokens that it has yet to read for them.
-    pub reading: u64,
+    pub prefill_tokens: u64,
 }
 
 /// `Peers` holds the other routers' latest summaries.
@@ -204,8 +204,8 @@
 /// peers hold.
 #[derive(Debug, Default)]
 pub struct Peers {
-    latest: HashMap<SocketAddr, Peer>,
-    sums: HashMap<TargetId, Sum>,
+    by_address: HashMap<SocketAddr, Peer>,
+    totals: HashMap<TargetId, PeerWork>,
     /// Targets whose sums changed since they were asked for.
     changed: HashSet<TargetId>,
 }
@@ -216,62 +216,64 @@
     /// A new start counts at once, also one whose clock was set back, so that a router that starts again is
     /// heard by its first summary. Where only greater numbers counted, and were drawn at random, half of all routers that
     /// started again were not heard for 2.5 s and more.
-    pub fn take(&mut self, now: Moment, from: SocketAddr, summary: &Summary) -> bool {
-        let mut former = None;
-        if let Some(peer) = self.latest.get(&from) {
+    pub fn record_summary(&mut self, now: Moment, from: SocketAddr, summary: &Summary) -> bool {
+        let mut previous_incarnation = None;
+        if let Some(peer) = self.by_address.get(&from) {
             match summary.incarnation.cmp(&peer.incarnation) {
                 Ordering::Equal if summary.sequence <= peer.sequence => return false,
-                Ordering::Equal => former = peer.former,
-                Ordering::Greater => former = Some(peer.incarnation),
+                Ordering::Equal => previous_incarnation = peer.previous_incarnation,
+                Ordering::Greater => previous_incarnation = Some(peer.incarnation),
                 // A datagram that comes late, from the start before.
-                Ordering::Less if peer.former == Some(summary.incarnation) => return false,
+                Ordering::Less if peer.previous_incarnation == Some(summary.incarnation) => {
+                    return false;
+                }
                 // Either a clock was set back or the word is late; then the next one of the known start takes over.
                 Ordering::Less => {}
             }
         }
         let peer = Peer {
             incarnation: summary.incarnation,
-            former,
+            previous_incarnation,
             sequence: summary.sequence,
-            heard: now,
+            last_heard: now,
             work: summary.work.clone(),
         };
-        self.count(&summary.work);
-        if let Some(old) = self.latest.insert(from, peer) {
-            self.discount(&old.work);
+        self.add_work(&summary.work);
+        if let Some(old) = self.by_address.insert(from, peer) {
+            self.subtract_work(&old.work);
         }
         true
     }
 
     /// `expire` forgets peers that were silent for long.
     pub fn expire(&mut self, now: Moment) {
-        let silent = silent(self.latest.len());
+        let timeout = peer_timeout(self.by_address.len());
         let gone = self
-            .latest
-            .extract_if(|_, p| now.since(p.heard) >= silent)
+            .by_address
+            .extract_if(|_, p| now.since(p.last_heard) >= timeout)
             .collect::<Vec<_>>();
         for (_, peer) in gone {
-            self.discount(&peer.work);
+            self.subtract_work(&peer.work);
         }
     }
 
-    fn count(&mut self, work: &[Work]) {
+    fn add_work(&mut self, work: &[Work]) {
         for work in work {
-            let sum = self.sums.entry(work.target).or_default();
+            let sum = self.totals.entry(work.target).or_default();
             // What is added is taken away again, so that sums which wrap are right in the end.
-            sum.running = sum.running.wrapping_add(work.running.into());
-            sum.reading = sum.reading.wrapping_add(work.reading);
+            sum.in_flight = sum.in_flight.wrapping_add(work.in_flight.into());
+            sum.prefill_tokens = sum.prefill_tokens.wrapping_add(work.prefill_tokens);
             self.changed.insert(work.target);
         }
     }
 
-    fn discount(&mut self, work: &[Work]) {
+    fn subtract_work(&mut self, work: &[Work]) {
         for work in work {
-            let sum = self.sums.entry(work.target).or_default();
-            sum.running = sum.running.wrapping_sub(work.running.into());
-            sum.reading = sum.reading.wrapping_sub(work.reading);
-            if *sum == Sum::default() {
-                self.sums.remove(&work.target);
+            let sum = self.totals.entry(work.target).or_default();
+            sum.in_flight = sum.in_flight.wrapping_sub(work.in_flight.into());
+            sum.prefill_tokens = sum.prefill_tokens.wrapping_sub(work.prefill_tokens);
+            if *sum == PeerWork::default() {
+                self.totals.remove(&work.target);
             }
             self.changed.insert(work.target);
         }
@@ -279,39 +281,41 @@
 
     /// `sum` is the others' work on a target.
     #[must_use]
-    pub fn sum(&self, target: TargetId) -> Sum {
-        self.sums.get(&target).copied().unwrap_or_default()
+    pub fn work_on(&self, target: TargetId) -> PeerWork {
+        self.totals.get(&target).copied().unwrap_or_default()
     }
 
     /// `changed` is the others' work on the targets on which it changed since the last call.
-    pub fn changed(&mut self) -> Vec<(TargetId, Sum)> {
+    pub fn take_changed(&mut self) -> Vec<(TargetId, PeerWork)> {
         let changed = std::mem::take(&mut self.changed);
-        let sums = changed.into_iter().map(|target| (target, self.sum(target)));
-        sums.collect()
+        let work = changed
+            .into_iter()
+            .map(|target| (target, self.work_on(target)));
+        work.collect()
     }
 
     /// `hears` tells whether the router at this address was heard of late.
     #[must_use]
-    pub fn hears(&self, now: Moment, from: SocketAddr) -> bool {
-        let silent = silent(self.latest.len());
-        let peer = self.latest.get(&from);
-        peer.is_some_and(|p| now.since(p.heard) < silent)
+    pub fn is_alive(&self, now: Moment, from: SocketAddr) -> bool {
+        let timeout = peer_timeout(self.by_address.len());
+        let peer = self.by_address.get(&from);
+        peer.is_some_and(|p| now.since(p.last_heard) < timeout)
     }
 
     /// `lag` is how long ago the others told of their work, on average over those who tell; no time where there is no other
     /// router, whose work this one would not know.
     #[must_use]
-    pub fn lag(&self, now: Moment) -> Duration {
-        let ages = self.latest.values().map(|p| now.since(p.heard));
-        let peers = u32::try_from(self.latest.len()).unwrap_or(u32::MAX);
+    pub fn mean_age(&self, now: Moment) -> Duration {
+        let ages = self.by_address.values().map(|p| now.since(p.last_heard));
+        let peers = u32::try_from(self.by_address.len()).unwrap_or(u32::MAX);
         ages.sum::<Duration>() / peers.max(1)
     }
 
     /// `alive` is how many other routers were heard of late.
     #[must_use]
-    pub fn alive(&self, now: Moment) -> usize {
-        let silent = silent(self.latest.len());
-        let alive = |p: &&Peer| now.since(p.heard) < silent;
-        self.latest.values().filter(alive).count()
+    pub fn alive_count(&self, now: Moment) -> usize {
+        let silent = peer_timeout(self.by_address.len());
+        let alive = |p: &&Peer| now.since(p.last_heard) < silent;
+        self.by_address.values().filter(alive).count()
     }
 }
--- a/crates/peppercrank-direct/src/place.rs
+++ b/crates/peppercrank-direct/src/place.rs
@@ -191,8 +191,9 @@
     let mean = as_f64(sum.sum::<u64>()) / as_f64(candidates.len() as u64);
     let pool = candidates.iter().map(|c| &c.stats);
     let pool = pool.chain(holders.iter().filter_map(|h| h.counted.as_ref()));
-    let most = most(request.cap, overcount::mean(pool), candidates);
-    let fits = |c: &&Candidate| f64::from(c.stats.load()) + MARGIN * c.stats.unseen() < most;
+    let most = most(request.cap, overcount::mean_load(pool), candidates);
+    let fits =
+        |c: &&Candidate| f64::from(c.stats.load()) + MARGIN * c.stats.load_deviation() < most;
     let sound = |c: &&Candidate| !c.stats.is_ejected(now);
     let limit = limit.map(|l| l.as_secs_f64() * 1_000.0);
     let open = |c: &&Candidate| limit.is_none_or(|l| wait(rates, c) <= l);
@@ -392,7 +393,7 @@
             (false, _) => AWAY_COST,
         };
         let load = LOAD_COST * f64::from(stats.load()) / (self.mean + 1.0);
-        late + TIME_COST * part + zone + away + load + FAIL_COST * stats.failing
+        late + TIME_COST * part + zone + away + load + FAIL_COST * stats.failure_rate
     }
 }
 
@@ -405,7 +406,7 @@
 
 /// The wait behind a target's other work, in milliseconds.
 fn wait(rates: &Rates, candidate: &Candidate) -> f64 {
-    predict(rates, candidate, 0) - rates.base() * candidate.stats.speed
+    predict(rates, candidate, 0) - rates.base_ms() * candidate.stats.latency_ratio
 }
 
 /// The predicted time to the answer's first part, in milliseconds, for a prompt of which a target
@@ -413,13 +414,13 @@
 #[must_use]
 pub fn predict(rates: &Rates, candidate: &Candidate, reading: u64) -> f64 {
     let stats = &candidate.stats;
-    let others = rates.left(stats.peers_reading, candidate.lag);
-    let waiting = stats.reading.saturating_add(others);
-    let reading = rates.reading(waiting.saturating_add(reading));
+    let others = rates.remaining_tokens(stats.peers_prefill_tokens, candidate.lag);
+    let waiting = stats.prefill_tokens.saturating_add(others);
+    let reading = rates.prefill_ms(waiting.saturating_add(reading));
     let over = stats
-        .waiting()
+        .queue_load()
         .saturating_add(1)
         .saturating_sub(candidate.slots);
-    let queue = rates.waiting(over, candidate.slots);
-    (rates.base() + queue + reading) * stats.speed
+    let queue = rates.queue_wait_ms(over, candidate.slots);
+    (rates.base_ms() + queue + reading) * stats.latency_ratio
 }
--- a/crates/peppercrank-direct/src/prefixes.rs
+++ b/crates/peppercrank-direct/src/prefixes.rs
@@ -14,61 +14,61 @@
 use crate::directory::TargetKey;
 
 /// Most parts remembered; at 40 bytes each they stay under a megabyte.
-pub const MOST: usize = 16_384;
+pub const MAX_PARTS: usize = 16_384;
 
 /// Targets remembered as holders of one part.
-const HOLDERS: usize = 6;
+const MAX_HOLDERS: usize = 6;
 
 /// `Part` is one part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptPart {
     /// The hash of the chain of parts up to this one.
-    pub chain: u64,
+    pub prefix_hash: u64,
     /// Its own length in tokens.
     pub tokens: u64,
 }
 
 /// `chain` extends the hash of a chain by one part's id.
 #[must_use]
-pub fn chain(before: u64, id: &[u8]) -> u64 {
-    hash64(before, id)
+pub fn extend_hash(prefix: u64, id: &[u8]) -> u64 {
+    hash64(prefix, id)
 }
 
 /// `Holder` is a target that was sent a part.
 #[derive(Debug, Clone, Copy)]
 struct Holder {
     target: TargetKey,
-    used: Moment,
+    last_used: Moment,
 }
 
 /// `Prefixes` remembers the parts that targets were sent.
 #[derive(Debug, Default)]
-pub struct Prefixes {
+pub struct PrefixIndex {
     parts: HashMap<u64, Vec<Holder>>,
 }
 
-impl Prefixes {
+impl PrefixIndex {
     /// `note` remembers that a target was sent a part, and tells whether that is news.
-    pub fn note(&mut self, now: Moment, target: TargetKey, part: u64) -> bool {
-        if self.parts.len() >= MOST && !self.parts.contains_key(&part) {
-            self.halve();
+    pub fn record(&mut self, now: Moment, target: TargetKey, part: u64) -> bool {
+        if self.parts.len() >= MAX_PARTS && !self.parts.contains_key(&part) {
+            self.evict_oldest_half();
         }
         let holders = self.parts.entry(part).or_default();
-        put(holders, target, now)
+        insert_holder(holders, target, now)
     }
 
     /// `held` is how many leading tokens of a prompt the target holds.
     #[must_use]
-    pub fn held(&self, target: TargetKey, parts: &[Part]) -> u64 {
-        let holds = |p: &&Part| {
-            let holders = self.parts.get(&p.chain);
+    pub fn held_tokens(&self, target: TargetKey, parts: &[PromptPart]) -> u64 {
+        let holds = |p: &&PromptPart| {
+            let holders = self.parts.get(&p.prefix_hash);
             holders.is_some_and(|h| h.iter().any(|h| h.target == target))
         };
         parts.iter().take_while(holds).map(|p| p.tokens).sum()
     }
 
     /// `forget` drops what is known of a target that is gone.
-    pub fn forget(&mut self, target: TargetKey) {
+    pub fn remove_target(&mut self, target: TargetKey) {
         for holders in self.parts.values_mut() {
             holders.retain(|h| h.target != target);
         }
@@ -88,8 +88,8 @@
     }
 
     /// Drops the half that was used longest ago.
-    fn halve(&mut self) {
-        let used = |holders: &Vec<Holder>| holders.iter().map(|h| h.used).max();
+    fn evict_oldest_half(&mut self) {
+        let used = |holders: &Vec<Holder>| holders.iter().map(|h| h.last_used).max();
         let mut times = self.parts.values().filter_map(used).collect::<Vec<_>>();
         let middle = times.len() / 2;
         let (_, middle, _) = times.select_nth_unstable(middle);
@@ -99,17 +99,20 @@
 }
 
 /// Puts a holder in, in place of the one used longest ago if there are many; true if it is new.
-fn put(holders: &mut Vec<Holder>, target: TargetKey, used: Moment) -> bool {
+fn insert_holder(holders: &mut Vec<Holder>, target: TargetKey, used: Moment) -> bool {
     if let Some(holder) = holders.iter_mut().find(|h| h.target == target) {
-        holder.used = used;
+        holder.last_used = used;
         return false;
     }
-    if holders.len() >= HOLDERS {
-        let oldest = holders.iter().enumerate().min_by_key(|(_, h)| h.used);
+    if holders.len() >= MAX_HOLDERS {
+        let oldest = holders.iter().enumerate().min_by_key(|(_, h)| h.last_used);
         if let Some((i, _)) = oldest {
             holders.swap_remove(i);
         }
     }
-    holders.push(Holder { target, used });
+    holders.push(Holder {
+        target,
+        last_used: used,
+    });
     true
 }
--- a/crates/peppercrank-direct/src/quarantine/report.rs
+++ b/crates/peppercrank-direct/src/quarantine/report.rs
@@ -17,7 +17,7 @@
 
 /// `ToldEnd` is an end on a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct ToldEnd {
+pub(super) struct ReportedCrash {
     pub(super) target: TargetId,
     /// How long ago, in units of `AGE_UNIT`.
     pub(super) age: u16,
@@ -29,11 +29,11 @@
     /// The request.
     pub(super) content: Fingerprint,
     /// The targets, as many as count.
-    pub(super) ends: Vec<ToldEnd>,
+    pub(super) crashes: Vec<ReportedCrash>,
     /// How long ago a target served it whole, in units of `AGE_UNIT`.
-    pub(super) served: Option<u16>,
+    pub(super) last_success: Option<u16>,
     /// How long ago it came last, in units of `AGE_UNIT`.
-    pub(super) seen: u16,
+    pub(super) last_seen: u16,
 }
 
 impl CrashReport {
@@ -45,12 +45,12 @@
 }
 
 /// How long ago a moment was, on a datagram.
-pub(super) fn age(now: Moment, at: Moment) -> u16 {
+pub(super) fn age_units(now: Moment, at: Moment) -> u16 {
     let age = now.since(at).as_millis() / AGE_UNIT.as_millis();
     u16::try_from(age).unwrap_or(u16::MAX)
 }
 
 /// The moment that a datagram tells.
-pub(super) fn ago(now: Moment, age: u16) -> Moment {
+pub(super) fn moment_before(now: Moment, age: u16) -> Moment {
     now.earlier(AGE_UNIT * u32::from(age))
 }
--- a/crates/peppercrank-direct/src/ranks.rs
+++ b/crates/peppercrank-direct/src/ranks.rs
@@ -23,27 +23,27 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Rank {
     /// Its place; 0 is the most urgent.
-    pub place: u8,
+    pub level: u8,
     /// How many places there are, at least one.
-    pub places: u8,
+    pub levels: u8,
 }
 
 impl Rank {
     /// `part` is how far the place lies behind the most urgent one, from 0 to 1.
     #[must_use]
-    pub fn part(self) -> f64 {
-        let last = self.places.saturating_sub(1).max(1);
-        f64::from(self.place.min(last)) / f64::from(last)
+    pub fn normalized(self) -> f64 {
+        let last = self.levels.saturating_sub(1).max(1);
+        f64::from(self.level.min(last)) / f64::from(last)
     }
 
     /// `scaled` is the place on a scale that ends at `last`.
     #[must_use]
     pub fn scaled(self, last: u8) -> u8 {
-        let behind = self.places.saturating_sub(1);
+        let behind = self.levels.saturating_sub(1);
         if behind <= last {
-            return self.place;
+            return self.level;
         }
-        let place = u16::from(self.place.min(behind)) * u16::from(last) / u16::from(behind);
+        let place = u16::from(self.level.min(behind)) * u16::from(last) / u16::from(behind);
         u8::try_from(place).unwrap_or(last)
     }
 }
@@ -55,9 +55,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct PoolRanks {
     /// All that occur, the most urgent first.
-    order: Vec<Priorities>,
+    priorities: Vec<Priorities>,
     /// The shortest goal of the pool's routes.
-    goal: Option<Duration>,
+    shortest_goal: Option<Duration>,
 }
 
 /// `Ranks` orders the priorities of each pool of a configuration.
@@ -76,12 +76,12 @@
         for route in &desired.routes {
             for share in &route.pools {
                 let pool = ranks.pools.entry(Arc::clone(&share.pool)).or_default();
-                pool.add(route, &own);
+                pool.add_route(route, &own);
             }
         }
         for pool in ranks.pools.values_mut() {
-            pool.order.sort_unstable();
-            pool.order.dedup();
+            pool.priorities.sort_unstable();
+            pool.priorities.dedup();
         }
         ranks
     }
@@ -93,35 +93,37 @@
         let Some(pool) = self.pools.get(pool) else {
             return Rank::default();
         };
-        let place = pool.order.partition_point(|p| *p < priorities(own, route));
+        let place = pool
+            .priorities
+            .partition_point(|p| *p < priorities_of(own, route));
         let small = |count: usize| u8::try_from(count).unwrap_or(u8::MAX);
         Rank {
-            place: small(place),
-            places: small(pool.order.len()),
+            level: small(place),
+            levels: small(pool.priorities.len()),
         }
     }
 
     /// `goal` is the shortest time within which a request for the pool wants its answer.
     #[must_use]
-    pub fn goal(&self, pool: &str) -> Duration {
-        let goal = self.pools.get(pool).and_then(|p| p.goal);
+    pub fn shortest_goal(&self, pool: &str) -> Duration {
+        let goal = self.pools.get(pool).and_then(|p| p.shortest_goal);
         goal.unwrap_or(DEFAULT_GOAL)
     }
 }
 
 impl PoolRanks {
-    fn add(&mut self, route: &Route, own: &BTreeSet<Option<u8>>) {
+    fn add_route(&mut self, route: &Route, own: &BTreeSet<Option<u8>>) {
         if route.open || own.is_empty() {
-            self.order.push(priorities(None, route));
+            self.priorities.push(priorities_of(None, route));
         }
-        let with = own.iter().map(|own| priorities(*own, route));
-        self.order.extend(with);
+        let with = own.iter().map(|own| priorities_of(*own, route));
+        self.priorities.extend(with);
         let goal = Some(route.goal).filter(|g| !g.is_zero());
-        self.goal = self.goal.into_iter().chain(goal).min();
+        self.shortest_goal = self.shortest_goal.into_iter().chain(goal).min();
     }
 }
 
 /// An organisation without a priority of its own has that of the route.
-fn priorities(own: Option<u8>, route: &Route) -> Priorities {
+fn priorities_of(own: Option<u8>, route: &Route) -> Priorities {
     (own.unwrap_or(route.priority), route.priority)
 }
--- a/crates/peppercrank-direct/src/reports.rs
+++ b/crates/peppercrank-direct/src/reports.rs
@@ -19,23 +19,23 @@
 use crate::stats::Stats;
 
 /// Reports on one datagram. The busiest targets' go first: a cap needs to know these, and a short datagram goes out often.
-const REPORTS: usize = 20;
+const MAX_REPORTS_PER_DATAGRAM: usize = 20;
 
 /// `MOST_BYTES` is the longest datagram of reports: a name of four bytes, a load of at most three and an age for each.
-pub const MOST_BYTES: usize = 4 + REPORTS * 8;
+pub const MAX_REPORTS_BYTES: usize = 4 + MAX_REPORTS_PER_DATAGRAM * 8;
 
 /// Time for which a report is passed on: later most of the work that it tells of has ended.
-const PASSED_ON: Duration = Duration::from_millis(1_500);
+const MAX_RELAY_AGE: Duration = Duration::from_millis(1_500);
 
 /// What the age of a report is told in: a fifth of the shortest requests' time, and 5 s at the most.
 const AGE_UNIT: Duration = Duration::from_millis(20);
 
 /// Part of a router's bytes for datagrams, in percent, that reports take in a large fleet; hints take most of the rest.
-const SHARE: usize = 60;
+const REPORT_PERCENT: usize = 60;
 
 /// Time of a round of summaries, in seconds, from which they are too old to count a target's load by: half of the
 /// requests end in it.
-const ROUND: usize = 1;
+const SLOW_ROUND_SECONDS: usize = 1;
 
 /// `LoadReport` is what a target told of its own load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -53,7 +53,7 @@
     /// `new` is a report of so long ago; none where it is too old to be passed on.
     #[must_use]
     pub fn new(target: TargetId, load: u32, age: Duration) -> Option<Self> {
-        if age >= PASSED_ON {
+        if age >= MAX_RELAY_AGE {
             return None;
         }
         let age = age.as_millis().div_ceil(AGE_UNIT.as_millis());
@@ -64,14 +64,14 @@
 
     /// `of` is what a target told, by what is known of it; none where it told nothing lately.
     #[must_use]
-    pub fn of(target: TargetId, stats: &Stats, now: Moment) -> Option<Self> {
-        let (told, load) = stats.report()?;
-        Self::new(target, load, now.since(told))
+    pub fn from_stats(target: TargetId, stats: &Stats, now: Moment) -> Option<Self> {
+        let (at, load) = stats.report()?;
+        Self::new(target, load, now.since(at))
     }
 
     /// `told` is when the target told it, at the earliest, by the clock of the router that got it at this moment.
     #[must_use]
-    pub fn told(&self, now: Moment) -> Moment {
+    pub fn earliest_time(&self, now: Moment) -> Moment {
         now.earlier(self.age())
     }
 
@@ -95,21 +95,21 @@
 }
 
 /// `choose` keeps the reports that go on the next datagram: those above the mean first, of them the newest.
-pub fn choose(reports: &mut Vec<LoadReport>) {
+pub fn select(reports: &mut Vec<LoadReport>) {
     let sum = reports.iter().map(|r| u64::from(r.load)).sum::<u64>();
     let count = reports.len() as u64;
     let is_busy = |r: &LoadReport| u64::from(r.load) * count > sum;
     reports.sort_unstable_by_key(|r| (!is_busy(r), r.age));
-    reports.truncate(REPORTS);
+    reports.truncate(MAX_REPORTS_PER_DATAGRAM);
 }
 
 /// `share` is how many of `bytes` go to reports, where a summary of `summary` bytes goes to each of the peers in turn, at
 /// `rate` bytes a second.
 #[must_use]
-pub fn share(bytes: usize, peers: usize, summary: usize, rate: usize) -> usize {
+pub fn report_bytes(bytes: usize, peers: usize, summary: usize, rate: usize) -> usize {
     let round = peers.saturating_mul(summary) / rate.max(1);
-    if round >= ROUND {
-        bytes * SHARE / 100
+    if round >= SLOW_ROUND_SECONDS {
+        bytes * REPORT_PERCENT / 100
     } else {
         0
     }
--- a/crates/peppercrank-direct/src/retries.rs
+++ b/crates/peppercrank-direct/src/retries.rs
@@ -18,14 +18,14 @@
 
 /// Part of the allowed share that is spent: the rest covers requests that a window's end parts
 /// from their repeats.
-const SHARE_USED: f64 = 0.85;
+const USABLE_SHARE: f64 = 0.85;
 
 /// Part of the allowed extra that is spent: the rest covers routers that do not know of each other.
-const EXTRA_USED: f64 = 0.7;
+const USABLE_EXTRA: f64 = 0.7;
 
 /// `Terms` are the fleet's bounds on repeats.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct RetryLimits {
     /// Repeats allowed for each request.
     pub share: f64,
     /// Repeats allowed besides, in a window, over all routers.
@@ -36,74 +36,76 @@
 
 /// `Counted` is one pool's recent requests and repeats.
 #[derive(Debug, Default)]
-struct Counted {
+struct PoolHistory {
     requests: VecDeque<Moment>,
-    repeats: VecDeque<Moment>,
+    retries: VecDeque<Moment>,
 }
 
 /// `RetryBudget` allows repeats within the fleet's bounds.
 #[derive(Debug)]
 pub struct RetryBudget {
-    terms: Terms,
+    limits: RetryLimits,
     /// When this process began to count: its predecessor's repeats are not known.
-    began: Moment,
-    pools: HashMap<Arc<str>, Counted>,
+    started_at: Moment,
+    pools: HashMap<Arc<str>, PoolHistory>,
 }
 
 impl RetryBudget {
     /// `new` begins to count at `now`.
     #[must_use]
-    pub fn new(now: Moment, terms: Terms) -> Self {
+    pub fn new(now: Moment, limits: RetryLimits) -> Self {
         Self {
-            terms,
-            began: now,
+            limits,
+            started_at: now,
             pools: HashMap::new(),
         }
     }
 
     /// `set` changes the bounds, as when the settings were read anew.
-    pub const fn set(&mut self, terms: Terms) {
-        self.terms = terms;
+    pub const fn set_limits(&mut self, limits: RetryLimits) {
+        self.limits = limits;
     }
 
     /// `request` counts a request for a pool.
-    pub fn request(&mut self, now: Moment, pool: &Arc<str>) {
-        let window = self.terms.window;
-        let counted = self.counted(pool);
-        prune(&mut counted.requests, now, window);
-        counted.requests.push_back(now);
+    pub fn record_request(&mut self, now: Moment, pool: &Arc<str>) {
+        let window = self.limits.window;
+        let history = self.history(pool);
+        prune(&mut history.requests, now, window);
+        history.requests.push_back(now);
     }
 
     /// `spend` takes one repeat from the budget and tells whether there was one.
     ///
     /// `routers` is how many routers share the extra, this one included.
-    pub fn spend(&mut self, now: Moment, pool: &Arc<str>, routers: usize) -> bool {
+    pub fn try_spend(&mut self, now: Moment, pool: &Arc<str>, routers: usize) -> bool {
         let fits = self.can_spend(now, pool, routers);
         if fits {
-            self.counted(pool).repeats.push_back(now);
+            self.history(pool).retries.push_back(now);
         }
         fits
     }
 
     /// `can_spend` tells whether the budget has a repeat.
     pub fn can_spend(&mut self, now: Moment, pool: &Arc<str>, routers: usize) -> bool {
-        self.left(now, pool, routers) >= 1.0
+        self.remaining(now, pool, routers) >= 1.0
     }
 
     /// `left` is how many repeats the budget has.
-    pub fn left(&mut self, now: Moment, pool: &Arc<str>, routers: usize) -> f64 {
-        let Terms {
+    pub fn remaining(&mut self, now: Moment, pool: &Arc<str>, routers: usize) -> f64 {
+        let RetryLimits {
             share,
             extra,
             window,
-        } = self.terms;
-        let aged = now.since(self.began).as_secs_f64() / window.as_secs_f64().max(0.001);
-        let part = EXTRA_USED * aged.min(1.0) / as_f64(routers.max(1) as u64);
-        let counted = self.counted(pool);
-        prune(&mut counted.requests, now, window);
-        prune(&mut counted.repeats, now, window);
-        let allowed = as_f64(counted.requests.len() as u64) * share * SHARE_USED + extra * part;
-        allowed - as_f64(counted.repeats.len() as u64)
+        } = self.limits;
+        let window_share =
+            now.since(self.started_at).as_secs_f64() / window.as_secs_f64().max(0.001);
+        let extra_share = USABLE_EXTRA * window_share.min(1.0) / as_f64(routers.max(1) as u64);
+        let history = self.history(pool);
+        prune(&mut history.requests, now, window);
+        prune(&mut history.retries, now, window);
+        let allowed =
+            as_f64(history.requests.len() as u64) * share * USABLE_SHARE + extra * extra_share;
+        allowed - as_f64(history.retries.len() as u64)
     }
 
     /// `pools` are the pools that were counted for.
@@ -111,7 +113,7 @@
         self.pools.keys()
     }
 
-    fn counted(&mut self, pool: &Arc<str>) -> &mut Counted {
+    fn history(&mut self, pool: &Arc<str>) -> &mut PoolHistory {
         self.pools.entry(Arc::clone(pool)).or_default()
     }
 }
@@ -137,11 +139,11 @@
 
 /// `Plan` is how far one request has come over its attempts.
 #[derive(Debug, Clone, Copy)]
-pub struct Plan {
+pub struct RetryPlan {
     /// Whether it may run again.
-    pub repeats: bool,
+    pub repeatable: bool,
     /// Targets that it may run on.
-    pub attempts: u32,
+    pub max_runs: u32,
     /// Attempts that may have run.
     runs: u32,
     /// Attempts in all.
@@ -150,28 +152,28 @@
 
 /// Attempts of one request in all, those that did not run included: a request that finds this
 /// many targets closed meets an outage, which further tries only feed.
-const MOST_SENDS: u32 = 4;
+const MAX_SENDS: u32 = 4;
 
 /// `After` is what follows an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum After {
+pub enum NextStep {
     /// Another target, which costs nothing of the budget.
-    Again,
+    Retry,
     /// Another target, if the budget allows.
-    AgainIfAllowed,
+    RetryWithinBudget,
     /// A refusal that says that it has not run.
     Refuse,
     /// A failure that says nothing of whether it ran.
     Fail,
 }
 
-impl Plan {
+impl RetryPlan {
     /// `new` begins the plan of a request.
     #[must_use]
-    pub const fn new(repeats: bool, attempts: u32) -> Self {
+    pub const fn new(repeatable: bool, max_runs: u32) -> Self {
         Self {
-            repeats,
-            attempts,
+            repeatable,
+            max_runs,
             runs: 0,
             sends: 0,
         }
@@ -179,7 +181,7 @@
 
     /// `has_run` tells whether any attempt may have run.
     #[must_use]
-    pub const fn has_run(&self) -> bool {
+    pub const fn may_have_run(&self) -> bool {
         self.runs > 0
     }
 
@@ -190,17 +192,17 @@
     }
 
     /// `after` notes how an attempt ended and tells what follows.
-    pub const fn after(&mut self, execution: ExecutionState) -> After {
+    pub const fn record_attempt(&mut self, execution: ExecutionState) -> NextStep {
         self.sends += 1;
         if matches!(execution, ExecutionState::Unknown | ExecutionState::Failed) {
             self.runs += 1;
         }
-        let spent = self.sends >= MOST_SENDS || self.runs >= self.attempts;
+        let spent = self.sends >= MAX_SENDS || self.runs >= self.max_runs;
         match execution {
-            ExecutionState::NotSent if !spent => After::Again,
-            ExecutionState::NotRun if !spent => After::AgainIfAllowed,
-            ExecutionState::Unknown | ExecutionState::Failed if self.repeats && !spent => {
-                After::AgainIfAllowed
+            ExecutionState::NotSent if !spent => NextStep::Retry,
+            ExecutionState::NotRun if !spent => NextStep::RetryWithinBudget,
+            ExecutionState::Unknown | ExecutionState::Failed if self.repeatable && !spent => {
+                NextStep::RetryWithinBudget
             }
             _ => self.give_up(),
         }
@@ -208,11 +210,11 @@
 
     /// `give_up` is how a request ends that gets no further attempt.
     #[must_use]
-    pub const fn give_up(&self) -> After {
+    pub const fn give_up(&self) -> NextStep {
         if self.runs > 0 {
-            After::Fail
+            NextStep::Fail
         } else {
-            After::Refuse
+            NextStep::Refuse
         }
     }
 }
--- a/crates/peppercrank-direct/src/stats.rs
+++ b/crates/peppercrank-direct/src/stats.rs
@@ -9,56 +9,56 @@
 use slotmap::SecondaryMap;
 
 use crate::directory::TargetKey;
-use crate::peers::Sum;
-use crate::rates::whole;
+use crate::peers::PeerWork;
+use crate::rates::saturating_u64;
 
 /// Time for which a target's word of its load counts: some requests of each router's later, peers
 /// have sent it more than this router knows of. Peers' counts that are older say less than a report.
-const REPORTED: Duration = Duration::from_secs(1);
+const REPORT_TTL: Duration = Duration::from_secs(1);
 
 /// The same where peers' counts are older than that.
-const REPORTED_LONGEST: Duration = Duration::from_secs(2);
+const MAX_REPORT_TTL: Duration = Duration::from_secs(2);
 
 /// Age up to which peers' counts are taken for the present: in a small fleet each router tells all others several times a second.
-const PRESENT: Duration = Duration::from_millis(300);
+const CURRENT_LAG: Duration = Duration::from_millis(300);
 
 /// Failures in a row that eject a target.
 const EJECT_AFTER: u32 = 3;
 
 /// The first ejection's time; it doubles with each further one.
-const EJECT_FIRST: Duration = Duration::from_millis(600);
+const FIRST_EJECTION: Duration = Duration::from_millis(600);
 
 /// The longest ejection.
-const EJECT_MOST: Duration = Duration::from_secs(5);
+const MAX_EJECTION: Duration = Duration::from_secs(5);
 
 /// Weight of one answer in a target's running share of failures.
-const FAIL_WEIGHT: f64 = 0.12;
+const FAILURE_WEIGHT: f64 = 0.12;
 
 /// Weight of one answer in a target's running speed.
-const SPEED_WEIGHT: f64 = 0.15;
+const LATENCY_WEIGHT: f64 = 0.15;
 
 /// Bounds on a target's speed against its pool's.
-const SPEEDS: (f64, f64) = (0.4, 12.0);
+const LATENCY_RATIO_BOUNDS: (f64, f64) = (0.4, 12.0);
 
 /// `Basis` is what a target's load is judged by.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-enum Basis {
+enum LoadBasis {
     /// What routers count, or the target's report where it is less.
     #[default]
     Counts,
     /// The target's report, of whose requests this part has ended and others have come, 0 to 1.
     Report(f64),
     /// What routers counted so long ago that other requests run now.
-    OldCounts,
+    StaleCounts,
 }
 
-impl Basis {
+impl LoadBasis {
     /// The part of the work that has changed since it was told.
-    const fn changed(self) -> f64 {
+    const fn turnover(self) -> f64 {
         match self {
             Self::Counts => 0.0,
             Self::Report(changed) => changed,
-            Self::OldCounts => 1.0,
+            Self::StaleCounts => 1.0,
         }
     }
 }
@@ -67,52 +67,52 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Stats {
     /// Requests sent there and not ended.
-    pub running: u32,
+    pub in_flight: u32,
     /// Prompt tokens that it has yet to read for them.
-    pub reading: u64,
+    pub prefill_tokens: u64,
     /// The peers' work there.
-    pub peers_running: u32,
+    pub peers_in_flight: u32,
     /// Prompt tokens that it has yet to read for peers.
-    pub peers_reading: u64,
+    pub peers_prefill_tokens: u64,
     /// What the target told of its load last, and when.
-    reported: Option<(Moment, u32)>,
+    last_report: Option<(Moment, u32)>,
     /// Requests sent there since.
-    sent_since: u32,
+    sent_since_report: u32,
     /// When a request was sent there last.
     last_sent: Moment,
     /// What its load is judged by.
-    basis: Basis,
+    basis: LoadBasis,
     /// How long its answers take against its pool's; 1 is as long.
-    pub speed: f64,
+    pub latency_ratio: f64,
     /// The running share of failures.
-    pub failing: f64,
+    pub failure_rate: f64,
     /// Consecutive failures.
-    failures: u32,
+    consecutive_failures: u32,
     /// Ejections since the last success.
     ejections: u32,
     /// Until when it gets no work.
-    ejected: Option<Moment>,
+    ejected_until: Option<Moment>,
     /// Whether a request is on its way that tries an ejected target.
-    trial: bool,
+    trial_in_flight: bool,
 }
 
 impl Default for Stats {
     fn default() -> Self {
         Self {
-            running: 0,
-            reading: 0,
-            peers_running: 0,
-            peers_reading: 0,
-            reported: None,
-            sent_since: 0,
+            in_flight: 0,
+            prefill_tokens: 0,
+            peers_in_flight: 0,
+            peers_prefill_tokens: 0,
+            last_report: None,
+            sent_since_report: 0,
             last_sent: Moment::ZERO,
-            basis: Basis::Counts,
-            speed: 1.0,
-            failing: 0.0,
-            failures: 0,
+            basis: LoadBasis::Counts,
+            latency_ratio: 1.0,
+            failure_rate: 0.0,
+            consecutive_failures: 0,
             ejections: 0,
-            ejected: None,
-            trial: false,
+            ejected_until: None,
+            trial_in_flight: false,
         }
     }
 }
@@ -128,161 +128,163 @@
     /// routers that each count what they knew a moment ago fill the same target at once.
     #[must_use]
     pub fn load(&self) -> u32 {
-        let counted = self.counted();
-        let Some(told) = self.told() else {
+        let counted = self.counted_load();
+        let Some(told) = self.reported_load() else {
             return counted;
         };
         match self.basis {
-            Basis::Counts => counted.min(told),
-            Basis::Report(changed) => faded(told, counted, changed),
-            Basis::OldCounts => counted,
+            LoadBasis::Counts => counted.min(told),
+            LoadBasis::Report(changed) => interpolate(told, counted, changed),
+            LoadBasis::StaleCounts => counted,
         }
     }
 
     /// `unseen` is by how many requests the target's load usually differs from what is known: arrivals scatter by the root
     /// of their number.
     #[must_use]
-    pub fn unseen(&self) -> f64 {
-        let kept = 1.0 - self.basis.changed();
-        (f64::from(self.counted().max(1)) * (1.0 - kept * kept)).sqrt()
+    pub fn load_deviation(&self) -> f64 {
+        let kept = 1.0 - self.basis.turnover();
+        (f64::from(self.counted_load().max(1)) * (1.0 - kept * kept)).sqrt()
     }
 
     /// `waiting` is the work that a request may have to wait for: what routers count, or less if the target told of less.
     ///
     /// Reports that fade make the waits of many targets swing by the second, and prompts leave their homes for it.
     #[must_use]
-    pub fn waiting(&self) -> u32 {
-        let told = self.told().unwrap_or(u32::MAX);
-        self.counted().min(told)
+    pub fn queue_load(&self) -> u32 {
+        let told = self.reported_load().unwrap_or(u32::MAX);
+        self.counted_load().min(told)
     }
 
     /// What the target told last, and what was sent there since.
-    fn told(&self) -> Option<u32> {
-        let (_, load) = self.reported?;
-        Some(load.saturating_add(self.sent_since))
+    fn reported_load(&self) -> Option<u32> {
+        let (_, load) = self.last_report?;
+        Some(load.saturating_add(self.sent_since_report))
     }
 
-    fn counted(&self) -> u32 {
-        self.running.saturating_add(self.peers_running)
+    fn counted_load(&self) -> u32 {
+        self.in_flight.saturating_add(self.peers_in_flight)
     }
 
     /// `report` is what the target told of its load last, and when.
     #[must_use]
     pub const fn report(&self) -> Option<(Moment, u32)> {
-        self.reported
+        self.last_report
     }
 
     /// `relayed` notes a report that another router passed on, unless a newer one is known.
-    pub fn relayed(&mut self, told: Moment, load: u32) {
-        if self.reported.is_some_and(|(at, _)| at >= told) {
+    pub fn record_relayed_report(&mut self, told: Moment, load: u32) {
+        if self.last_report.is_some_and(|(at, _)| at >= told) {
             return;
         }
-        self.reported = Some((told, load));
+        self.last_report = Some((told, load));
         // Which of several sends came after it is not known: one may count twice, and none is left out.
         if self.last_sent <= told {
-            self.sent_since = 0;
+            self.sent_since_report = 0;
         }
     }
 
     /// `reported` notes what the target tells of its load.
-    pub const fn reported(&mut self, now: Moment, load: u32) {
-        self.reported = Some((now, load));
-        self.sent_since = 0;
+    pub const fn record_report(&mut self, now: Moment, load: u32) {
+        self.last_report = Some((now, load));
+        self.sent_since_report = 0;
     }
 
     /// `is_reported` tells whether the target told of its load.
     #[must_use]
-    pub const fn is_reported(&self) -> bool {
-        self.reported.is_some()
+    pub const fn has_report(&self) -> bool {
+        self.last_report.is_some()
     }
 
     /// `at` is what is known at a moment, without what the target told too long ago, where peers told of their work `lag` ago
     /// and a request holds its place for `hold` milliseconds.
     #[must_use]
-    pub fn at(mut self, now: Moment, lag: Duration, hold: f64) -> Self {
-        let counts = REPORTED.max(lag.min(REPORTED_LONGEST));
-        self.reported = self.reported.filter(|(at, _)| now.since(*at) < counts);
-        let fresher = |at: Moment| lag > PRESENT && now.since(at) < lag;
-        self.basis = match self.reported {
-            Some((at, _)) if lag > REPORTED || fresher(at) => {
-                Basis::Report(changed(now.since(at), hold))
+    pub fn as_of(mut self, now: Moment, lag: Duration, hold: f64) -> Self {
+        let ttl = REPORT_TTL.max(lag.min(MAX_REPORT_TTL));
+        self.last_report = self.last_report.filter(|(at, _)| now.since(*at) < ttl);
+        let fresher = |at: Moment| lag > CURRENT_LAG && now.since(at) < lag;
+        self.basis = match self.last_report {
+            Some((at, _)) if lag > REPORT_TTL || fresher(at) => {
+                LoadBasis::Report(turnover(now.since(at), hold))
             }
-            Some(_) | None if lag <= REPORTED => Basis::Counts,
-            Some(_) | None => Basis::OldCounts,
+            Some(_) | None if lag <= REPORT_TTL => LoadBasis::Counts,
+            Some(_) | None => LoadBasis::StaleCounts,
         };
         self
     }
 
     /// `succeeded` notes an answer of a working target.
-    pub fn succeeded(&mut self) {
-        self.failures = 0;
+    pub fn record_success(&mut self) {
+        self.consecutive_failures = 0;
         self.ejections = 0;
-        self.ejected = None;
-        self.trial = false;
-        self.failing -= self.failing * FAIL_WEIGHT;
+        self.ejected_until = None;
+        self.trial_in_flight = false;
+        self.failure_rate -= self.failure_rate * FAILURE_WEIGHT;
     }
 
     /// `failed` notes a failure that speaks against the target; true if it is now ejected.
-    pub fn failed(&mut self, now: Moment) -> bool {
-        self.failing += (1.0 - self.failing) * FAIL_WEIGHT;
-        self.failures += 1;
-        let again = self.trial && self.ejected.is_some();
-        self.trial = false;
-        if self.failures < EJECT_AFTER && !again {
+    pub fn record_failure(&mut self, now: Moment) -> bool {
+        self.failure_rate += (1.0 - self.failure_rate) * FAILURE_WEIGHT;
+        self.consecutive_failures += 1;
+        let failed_trial = self.trial_in_flight && self.ejected_until.is_some();
+        self.trial_in_flight = false;
+        if self.consecutive_failures < EJECT_AFTER && !failed_trial {
             return false;
         }
-        let time = EJECT_FIRST * 2_u32.saturating_pow(self.ejections.min(4));
+        let duration = FIRST_EJECTION * 2_u32.saturating_pow(self.ejections.min(4));
         self.ejections += 1;
-        self.ejected = Some(now + time.min(EJECT_MOST));
+        self.ejected_until = Some(now + duration.min(MAX_EJECTION));
         true
     }
 
     /// `timed` notes how long an answer took against what was predicted, both in milliseconds.
-    pub fn timed(&mut self, took: f64, predicted: f64) {
-        let sample = (took / predicted.max(1.0)).clamp(SPEEDS.0, SPEEDS.1);
-        self.speed += (sample - self.speed) * SPEED_WEIGHT;
+    pub fn record_latency(&mut self, took: f64, predicted: f64) {
+        let sample =
+            (took / predicted.max(1.0)).clamp(LATENCY_RATIO_BOUNDS.0, LATENCY_RATIO_BOUNDS.1);
+        self.latency_ratio += (sample - self.latency_ratio) * LATENCY_WEIGHT;
     }
 
     /// `sent` notes that a request goes there; to an ejected target it goes as a trial.
-    pub fn sent(&mut self, now: Moment) {
-        self.sent_since = self.sent_since.saturating_add(1);
+    pub fn record_sent(&mut self, now: Moment) {
+        self.sent_since_report = self.sent_since_report.saturating_add(1);
         self.last_sent = now;
-        self.trial |= self.ejected.is_some_and(|until| now >= until);
+        self.trial_in_flight |= self.ejected_until.is_some_and(|until| now >= until);
     }
 
     /// `ended` notes that a request ended, whatever came of it.
-    pub const fn ended(&mut self) {
-        self.running = self.running.saturating_sub(1);
-        self.trial = false;
+    pub const fn record_end(&mut self) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.trial_in_flight = false;
     }
 
     /// `is_ejected` tells whether it gets no work at this moment: one request tries it once its time
     /// is over.
     #[must_use]
     pub fn is_ejected(&self, now: Moment) -> bool {
-        self.ejected.is_some_and(|until| now < until || self.trial)
+        self.ejected_until
+            .is_some_and(|until| now < until || self.trial_in_flight)
     }
 }
 
 /// The part of a target's requests that ends within a time, where each holds its place for `hold` milliseconds on average.
-fn changed(time: Duration, hold: f64) -> f64 {
+fn turnover(time: Duration, hold: f64) -> f64 {
     1.0 - (-time.as_secs_f64() * 1_000.0 / hold.max(1.0)).exp()
 }
 
 /// What a target told, as far as it has not changed, and else what was counted.
-fn faded(told: u32, counted: u32, changed: f64) -> u32 {
+fn interpolate(told: u32, counted: u32, changed: f64) -> u32 {
     let (told, counted) = (f64::from(told), f64::from(counted));
     let load = told + (counted - told) * changed;
-    u32::try_from(whole(load.round())).unwrap_or(u32::MAX)
+    u32::try_from(saturating_u64(load.round())).unwrap_or(u32::MAX)
 }
 
 /// `Board` holds what this router knows of all targets.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct StatsMap {
     stats: SecondaryMap<TargetKey, Stats>,
 }
 
-impl Board {
+impl StatsMap {
     /// `get` is what is known of a target.
     #[must_use]
     pub fn get(&self, key: TargetKey) -> Stats {
@@ -290,12 +292,12 @@
     }
 
     /// `of` is what is known of a target, to change it.
-    pub fn of(&mut self, key: TargetKey) -> Option<&mut Stats> {
+    pub fn get_mut(&mut self, key: TargetKey) -> Option<&mut Stats> {
         Some(self.stats.entry(key)?.or_default())
     }
 
     /// `forget` drops a target that is gone.
-    pub fn forget(&mut self, key: TargetKey) {
+    pub fn remove(&mut self, key: TargetKey) {
         self.stats.remove(key);
     }
 
@@ -305,10 +307,10 @@
     }
 
     /// `hear` sets the peers' work on a target.
-    pub fn hear(&mut self, key: TargetKey, sum: Sum) {
-        if let Some(stats) = self.of(key) {
-            stats.peers_running = u32::try_from(sum.running).unwrap_or(u32::MAX);
-            stats.peers_reading = sum.reading;
+    pub fn set_peer_work(&mut self, key: TargetKey, sum: PeerWork) {
+        if let Some(stats) = self.get_mut(key) {
+            stats.peers_in_flight = u32::try_from(sum.in_flight).unwrap_or(u32::MAX);
+            stats.peers_prefill_tokens = sum.prefill_tokens;
         }
     }
 }
--- a/crates/peppercrank-direct/tests/verify_confirm.rs
+++ b/crates/peppercrank-direct/tests/verify_confirm.rs
@@ -6,82 +6,100 @@
 use std::time::Duration;
 
 use peppercrank_core::time::Moment;
-use peppercrank_direct::confirm::Asked;
 use peppercrank_direct::confirm::Confirmation;
-use peppercrank_direct::confirm::Known;
-use peppercrank_direct::confirm::Question;
+use peppercrank_direct::confirm::ConfirmationRequest;
+use peppercrank_direct::confirm::KeyState;
+use peppercrank_direct::confirm::PendingRequest;
 use peppercrank_direct::confirm::Verdict;
-use peppercrank_direct::confirm::askers;
+use peppercrank_direct::confirm::store_readers;
 use peppercrank_direct::freshness::Freshness;
 use peppercrank_direct::freshness::Source;
 use peppercrank_direct::peers::Datagram;
 use serde::Deserialize;
 
-const QUESTION: Question = Question { nonce: 7 };
+const REQUEST: ConfirmationRequest = ConfirmationRequest { nonce: 7 };
 
 const fn at(millis: u64) -> Moment {
     Moment::from_millis(millis)
 }
 
-fn told(version: u64, age: u64) -> Confirmation {
+fn confirmation(version: u64, age: u64) -> Confirmation {
     let age = Some(Duration::from_millis(age));
-    Confirmation::new(QUESTION, known(Some(version), age)).expect("knowledge")
+    Confirmation::new(REQUEST, key_state(Some(version), age)).expect("knowledge")
 }
 
-fn known(version: Option<u64>, age: Option<Duration>) -> Known {
-    Known {
+fn key_state(version: Option<u64>, age: Option<Duration>) -> KeyState {
+    KeyState {
         version,
         age,
-        evacuations: 3,
+        evacuations_digest: 3,
     }
 }
 
 #[test]
-fn verify_what_an_answer_is_worth() {
-    let asked = Asked {
-        question: QUESTION,
-        at: at(10_000),
+fn verify_verdicts_on_confirmations() {
+    let asked = PendingRequest {
+        request: REQUEST,
+        sent_at: at(10_000),
     };
     let other = Confirmation {
         nonce: 8,
-        ..told(5, 0)
+        ..confirmation(5, 0)
     };
     let rows = [
         // The age counts from the question, and is rounded up.
-        (told(5, 0), Some(5), Verdict::Newest(at(9_999))),
-        (told(5, 700), Some(5), Verdict::Newest(at(9_299))),
+        (confirmation(5, 0), Some(5), Verdict::CurrentAsOf(at(9_999))),
+        (
+            confirmation(5, 700),
+            Some(5),
+            Verdict::CurrentAsOf(at(9_299)),
+        ),
         // A router that is behind confirms what is newer here, but not the other way round.
-        (told(4, 700), Some(5), Verdict::Newest(at(9_299))),
-        (told(6, 0), Some(5), Verdict::Outdated),
-        (told(5, 0), None, Verdict::Outdated),
-        (told(5, 1_300), Some(5), Verdict::Nothing),
-        (other, Some(5), Verdict::Nothing),
+        (
+            confirmation(4, 700),
+            Some(5),
+            Verdict::CurrentAsOf(at(9_299)),
+        ),
+        (confirmation(6, 0), Some(5), Verdict::Outdated),
+        (confirmation(5, 0), None, Verdict::Outdated),
+        (confirmation(5, 1_300), Some(5), Verdict::Unusable),
+        (other, Some(5), Verdict::Unusable),
     ];
     for (told, version, verdict) in rows {
-        assert_eq!(asked.judge(told, version), verdict, "{told:?} {version:?}");
+        assert_eq!(
+            asked.evaluate(told, version),
+            verdict,
+            "{told:?} {version:?}"
+        );
     }
 }
 
 #[test]
-fn verify_knowledge_from_before_the_clock_began_is_worth_nothing() {
+fn verify_a_time_before_the_clock_origin_is_unusable() {
     // As the moment at which it was known cannot be told, it would count from the clock's origin.
-    let asked = Asked {
-        question: QUESTION,
-        at: at(300),
+    let asked = PendingRequest {
+        request: REQUEST,
+        sent_at: at(300),
     };
-    assert_eq!(asked.judge(told(5, 700), Some(5)), Verdict::Nothing);
-    assert_eq!(asked.judge(told(5, 200), Some(5)), Verdict::Newest(at(99)));
+    assert_eq!(
+        asked.evaluate(confirmation(5, 700), Some(5)),
+        Verdict::Unusable
+    );
+    assert_eq!(
+        asked.evaluate(confirmation(5, 200), Some(5)),
+        Verdict::CurrentAsOf(at(99))
+    );
 }
 
 #[test]
-fn verify_nothing_is_told_where_nothing_is_known() {
+fn verify_no_confirmation_without_a_version_and_an_age() {
     let age = Some(Duration::ZERO);
-    assert_eq!(Confirmation::new(QUESTION, known(None, age)), None);
-    assert_eq!(Confirmation::new(QUESTION, known(Some(1), None)), None);
+    assert_eq!(Confirmation::new(REQUEST, key_state(None, age)), None);
+    assert_eq!(Confirmation::new(REQUEST, key_state(Some(1), None)), None);
 }
 
 #[test]
-fn verify_a_chain_of_routers_is_never_younger_than_the_store_was_asked() {
+fn verify_a_chain_of_confirmations_never_understates_the_age() {
     // The clocks of the three differ; the store was asked at 0 of the common time.
     let offsets = [5_000, 90_000, 40_000];
     let mut freshness = Freshness::new(None);
@@ -91,12 +109,12 @@
         // A question takes 60 ms, the one who answers stands still for 200, the answer takes 90.
         let (sent, answered) = (common + 60, common + 120);
         let age = freshness.age(at(offsets[hop - 1] + answered));
-        let told = Confirmation::new(QUESTION, known(Some(1), age)).expect("knowledge");
-        let asked = Asked {
-            question: QUESTION,
-            at: at(offsets[hop] + sent),
+        let told = Confirmation::new(REQUEST, key_state(Some(1), age)).expect("knowledge");
+        let asked = PendingRequest {
+            request: REQUEST,
+            sent_at: at(offsets[hop] + sent),
         };
-        let Verdict::Newest(moment) = asked.judge(told, Some(1)) else {
+        let Verdict::CurrentAsOf(moment) = asked.evaluate(told, Some(1)) else {
             panic!("{told:?}");
         };
         assert!(moment <= at(offsets[hop]), "hop {hop}");
@@ -114,13 +132,13 @@
         let mut turned = sorted.clone();
         turned.rotate_left(count / 2);
         // Whatever order a router knows the others in.
-        assert_eq!(askers(turned), sorted[..ask]);
+        assert_eq!(store_readers(turned), sorted[..ask]);
     }
 }
 
 /// What a router of an earlier version reads of a confirmation.
 #[derive(Debug, Deserialize, PartialEq, Eq)]
-struct Earlier {
+struct EarlierConfirmation {
     nonce: u64,
     version: u64,
     age: u32,
@@ -128,12 +146,12 @@
 
 #[test]
 fn verify_routers_of_two_versions_confirm_to_each_other_or_ask_the_store() {
-    let mut datagram = Datagram::Confirmation(told(5, 700));
+    let mut datagram = Datagram::Confirmation(confirmation(5, 700));
     let bytes = datagram.encode().expect("a datagram");
     // The first byte tells which kind of datagram it is.
-    let earlier = postcard::from_bytes::<Earlier>(&bytes[1..]);
-    let expected = Earlier {
-        nonce: QUESTION.nonce,
+    let earlier = postcard::from_bytes::<EarlierConfirmation>(&bytes[1..]);
+    let expected = EarlierConfirmation {
+        nonce: REQUEST.nonce,
         version: 5,
         age: 701,
     };
--- a/crates/peppercrank-direct/tests/verify_congestion.rs
+++ b/crates/peppercrank-direct/tests/verify_congestion.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 use peppercrank_direct::congestion::LinkState;
-use peppercrank_direct::congestion::MANY;
-use peppercrank_direct::congestion::SLOW;
+use peppercrank_direct::congestion::MIN_PENDING;
+use peppercrank_direct::congestion::SLOW_CONNECT;
 use peppercrank_direct::congestion::is_congested;
 
 const MS: Duration = Duration::from_millis(1);
@@ -40,34 +40,34 @@
 const TABLE: &[Row] = &[
     // A process that starts makes its first ones.
     row(0, 0, None, false),
-    row(MANY - 1, 290, None, false),
+    row(MIN_PENDING - 1, 290, None, false),
     // None of many came through, or the last one was slow, or it is long ago.
-    row(MANY, 290, None, true),
-    row(MANY, 120, Some((5, 250)), true),
-    row(MANY, 290, Some((400, 3)), true),
+    row(MIN_PENDING, 290, None, true),
+    row(MIN_PENDING, 120, Some((5, 250)), true),
+    row(MIN_PENDING, 290, Some((400, 3)), true),
     // Half of the targets are dark: connections to the others are made all the while.
-    row(MANY, 290, Some((5, 3)), false),
-    row(10 * MANY, 290, Some((20, 4)), false),
+    row(MIN_PENDING, 290, Some((5, 3)), false),
+    row(10 * MIN_PENDING, 290, Some((20, 4)), false),
     // A burst of requests at a router that was idle.
-    row(10 * MANY, 2, None, false),
-    row(10 * MANY, 2, Some((60_000, 3)), false),
+    row(10 * MIN_PENDING, 2, None, false),
+    row(10 * MIN_PENDING, 2, Some((60_000, 3)), false),
     // A slow path with little on it is no full link.
     row(3, 290, Some((5, 250)), false),
 ];
 
 #[test]
-fn verify_a_full_link_is_told_from_targets_that_do_not_answer() {
+fn verify_a_full_link_is_distinguished_from_unresponsive_targets() {
     for row in TABLE {
         let last = row.last.map(|(age, took)| (MS * age, MS * took));
         let link = LinkState {
-            opening: row.count,
-            longest: MS * row.longest,
-            last,
+            pending: row.count,
+            longest_pending: MS * row.longest,
+            last_connected: last,
         };
         assert_eq!(is_congested(&link), row.congested, "{link:?}");
     }
     assert!(
-        SLOW > 10 * MS,
+        SLOW_CONNECT > 10 * MS,
         "several round trips between availability zones"
     );
 }
--- a/crates/peppercrank-direct/tests/verify_content.rs
+++ b/crates/peppercrank-direct/tests/verify_content.rs
@@ -3,10 +3,10 @@
 
 //! When two requests count as the same.
 
-use peppercrank_direct::content::Content;
 use peppercrank_direct::content::Fingerprint;
+use peppercrank_direct::content::RequestContent;
 
-const QUESTION: Content<'static> = Content {
+const REQUEST: RequestContent<'static> = RequestContent {
     method: "POST",
     host: b"one.example",
     path: "/safe/x?page=1",
@@ -15,53 +15,53 @@
 };
 
 #[test]
-fn verify_each_part_of_a_request_tells_it_apart() {
+fn verify_each_part_of_a_request_changes_its_fingerprint() {
     let others = [
-        Content {
+        RequestContent {
             method: "PUT",
-            ..QUESTION
+            ..REQUEST
         },
-        Content {
+        RequestContent {
             host: b"two.example",
-            ..QUESTION
+            ..REQUEST
         },
-        Content {
+        RequestContent {
             path: "/safe/x?page=2",
-            ..QUESTION
+            ..REQUEST
         },
-        Content {
+        RequestContent {
             organisation: Some("org-two"),
-            ..QUESTION
+            ..REQUEST
         },
-        Content {
+        RequestContent {
             organisation: None,
-            ..QUESTION
+            ..REQUEST
         },
-        Content {
+        RequestContent {
             body: b"question!",
-            ..QUESTION
+            ..REQUEST
         },
     ];
-    let known = Fingerprint::of(&QUESTION);
-    assert_eq!(known, Fingerprint::of(&QUESTION));
+    let known = Fingerprint::of(&REQUEST);
+    assert_eq!(known, Fingerprint::of(&REQUEST));
     for other in others {
         assert_ne!(known, Fingerprint::of(&other), "{other:?}");
     }
 }
 
 #[test]
-fn verify_no_part_is_taken_for_the_beginning_of_the_next() {
-    let moved = Content {
+fn verify_bytes_cannot_move_between_parts() {
+    let moved = RequestContent {
         path: "/safe/x?page=1org",
         organisation: Some("-one"),
-        ..QUESTION
+        ..REQUEST
     };
-    assert_ne!(Fingerprint::of(&QUESTION), Fingerprint::of(&moved));
+    assert_ne!(Fingerprint::of(&REQUEST), Fingerprint::of(&moved));
 }
 
 #[test]
 fn verify_a_fingerprint_is_the_same_in_every_process_and_version() {
     // Made by another program from the same definition.
-    let told = Fingerprint::of(&QUESTION).to_string();
+    let told = Fingerprint::of(&REQUEST).to_string();
     assert_eq!(told, "8f5d5a1aca286f98");
 }
--- a/crates/peppercrank-direct/tests/verify_decide.rs
+++ b/crates/peppercrank-direct/tests/verify_decide.rs
@@ -19,8 +19,8 @@
 use peppercrank_direct::stats::Stats;
 
 const LEAST_URGENT: Rank = Rank {
-    place: 2,
-    places: 3,
+    level: 2,
+    levels: 3,
 };
 
 fn request() -> PlacementRequest {
@@ -49,8 +49,8 @@
 /// A target with so many prompt tokens to read.
 fn target(reading: u64) -> Candidate {
     let mut stats = Stats::default();
-    stats.running = 4;
-    stats.reading = reading;
+    stats.in_flight = 4;
+    stats.prefill_tokens = reading;
     Candidate {
         key: TargetKey::default(),
         name: 1,
@@ -94,11 +94,11 @@
     let mut admission = Admission::default();
     let mut targets = [target(200_000), target(200_000), target(200_000)];
     for target in &mut targets {
-        target.stats.running = 60;
+        target.stats.in_flight = 60;
     }
     let refused = at(0, &mut admission, true, &targets);
     assert!(matches!(refused, Decision::Full { .. }), "{refused:?}");
-    targets[1].stats.reading = 0;
+    targets[1].stats.prefill_tokens = 0;
     targets[1].slots = 65;
     let sent = at(0, &mut admission, true, &targets);
     assert!(
--- a/crates/peppercrank-direct/tests/verify_hot_prompts.rs
+++ b/crates/peppercrank-direct/tests/verify_hot_prompts.rs
@@ -115,7 +115,7 @@
     /// Each router tells the next ones of its work.
     fn tell(&mut self, now: u64) {
         for from in 0..ROUTERS {
-            let work = self.routers[from].stats.iter().map(|s| s.running);
+            let work = self.routers[from].stats.iter().map(|s| s.in_flight);
             let work = work.collect::<Vec<_>>();
             for _ in 0..TOLD {
                 let to = (from + 1 + self.routers[from].next) % ROUTERS;
@@ -124,7 +124,7 @@
                 peer.told[from] = (now, work.clone());
                 for target in 0..TARGETS {
                     let sum = peer.told.iter().map(|(_, work)| work[target]).sum();
-                    peer.stats[target].peers_running = sum;
+                    peer.stats[target].peers_in_flight = sum;
                 }
             }
         }
@@ -159,7 +159,7 @@
             held: if home == Some(target) { 10_000 } else { 0 },
             fresh: false,
             lag,
-            stats: self.routers[router].stats[target].at(at(now), lag, hold_millis()),
+            stats: self.routers[router].stats[target].as_of(at(now), lag, hold_millis()),
         };
         let candidates = (0..TARGETS).map(candidate).collect::<Vec<_>>();
         let request = PlacementRequest {
@@ -189,8 +189,8 @@
         self.held[target] += 1;
         let hold = HOLD / 2 + self.draw(HOLD);
         let stats = &mut self.routers[router].stats[target];
-        stats.running += 1;
-        stats.sent(at(now));
+        stats.in_flight += 1;
+        stats.record_sent(at(now));
         let mut then = |after, step| {
             let steps = self.steps.entry(now + after).or_default();
             steps.push((step, router, target));
@@ -208,10 +208,10 @@
         {
             let stats = &mut self.routers[router].stats[target];
             match step {
-                Step::Head => stats.reported(at(now), self.held[target]),
+                Step::Head => stats.record_report(at(now), self.held[target]),
                 Step::End => {
                     self.held[target] -= 1;
-                    stats.ended();
+                    stats.record_end();
                 }
             }
         }
--- a/crates/peppercrank-direct/tests/verify_knowledge.rs
+++ b/crates/peppercrank-direct/tests/verify_knowledge.rs
@@ -29,18 +29,18 @@
 use peppercrank_direct::freshness::SILENCE;
 use peppercrank_direct::freshness::Source;
 use peppercrank_direct::peers::Datagram;
-use peppercrank_direct::peers::Hint;
-use peppercrank_direct::peers::MOST_BYTES;
-use peppercrank_direct::peers::Outbox;
+use peppercrank_direct::peers::HintQueue;
+use peppercrank_direct::peers::MAX_DATAGRAM_BYTES;
+use peppercrank_direct::peers::MIN_PEER_TIMEOUT;
 use peppercrank_direct::peers::Peers;
-use peppercrank_direct::peers::SILENT;
+use peppercrank_direct::peers::PrefixHint;
 use peppercrank_direct::peers::Summary;
 use peppercrank_direct::peers::TargetId;
 use peppercrank_direct::peers::Work;
-use peppercrank_direct::peers::silent;
-use peppercrank_direct::prefixes::MOST;
-use peppercrank_direct::prefixes::Part;
-use peppercrank_direct::prefixes::Prefixes;
+use peppercrank_direct::peers::peer_timeout;
+use peppercrank_direct::prefixes::MAX_PARTS;
+use peppercrank_direct::prefixes::PrefixIndex;
+use peppercrank_direct::prefixes::PromptPart;
 use peppercrank_direct::rates::Rates;
 use peppercrank_direct::regions::Regions;
 use peppercrank_direct::starts::Start;
@@ -210,53 +210,56 @@
 #[test]
 fn verify_a_part_counts_only_after_all_before_it() {
     let (one, two) = two_keys();
-    let parts = [(1, 100), (2, 200), (3, 300)].map(|(chain, tokens)| Part { chain, tokens });
-    let mut prefixes = Prefixes::default();
+    let parts = [(1, 100), (2, 200), (3, 300)].map(|(chain, tokens)| PromptPart {
+        prefix_hash: chain,
+        tokens,
+    });
+    let mut prefixes = PrefixIndex::default();
     for (target, part) in [(one, 1), (one, 2), (two, 2), (two, 3)] {
-        assert!(prefixes.note(at(0), target, part));
-        assert!(!prefixes.note(at(1), target, part));
+        assert!(prefixes.record(at(0), target, part));
+        assert!(!prefixes.record(at(1), target, part));
     }
-    assert_eq!(prefixes.held(one, &parts), 300);
-    assert_eq!(prefixes.held(two, &parts), 0);
-    prefixes.forget(one);
-    assert_eq!(prefixes.held(one, &parts), 0);
+    assert_eq!(prefixes.held_tokens(one, &parts), 300);
+    assert_eq!(prefixes.held_tokens(two, &parts), 0);
+    prefixes.remove_target(one);
+    assert_eq!(prefixes.held_tokens(one, &parts), 0);
 }
 
 #[test]
 fn verify_parts_remembered_are_bounded_and_the_newest_stay() {
     let (one, _) = two_keys();
-    let mut prefixes = Prefixes::default();
-    let most = 3 * MOST as u64;
+    let mut prefixes = PrefixIndex::default();
+    let most = 3 * MAX_PARTS as u64;
     for n in 0..most {
-        prefixes.note(at(n), one, n);
+        prefixes.record(at(n), one, n);
     }
-    assert!(prefixes.len() <= MOST);
-    let newest = Part {
-        chain: most - 1,
+    assert!(prefixes.len() <= MAX_PARTS);
+    let newest = PromptPart {
+        prefix_hash: most - 1,
         tokens: 7,
     };
-    assert_eq!(prefixes.held(one, &[newest]), 7);
+    assert_eq!(prefixes.held_tokens(one, &[newest]), 7);
 }
 
 #[test]
 fn verify_speeds_are_learnt() {
     let mut rates = Rates::default();
     for _ in 0..200 {
-        rates.learn(0, Duration::from_millis(40));
+        rates.record_first_part(0, Duration::from_millis(40));
         // 10,000 tokens in 200 ms more.
-        rates.learn(10_000, Duration::from_millis(240));
+        rates.record_first_part(10_000, Duration::from_millis(240));
     }
-    assert!((rates.base() - 40.0).abs() < 1.0, "{}", rates.base());
-    assert!((rates.reading(5_000) - 100.0).abs() < 3.0);
+    assert!((rates.base_ms() - 40.0).abs() < 1.0, "{}", rates.base_ms());
+    assert!((rates.prefill_ms(5_000) - 100.0).abs() < 3.0);
     // Ten more than 64 places wait for a sixth of the time that each is held.
     for _ in 0..200 {
-        rates.held(Duration::from_secs(2));
+        rates.record_hold(Duration::from_secs(2));
     }
-    assert!((rates.waiting(10, 64) - 312.5).abs() < 5.0);
-    assert!(rates.waiting(0, 64) < 1.0);
+    assert!((rates.queue_wait_ms(10, 64) - 312.5).abs() < 5.0);
+    assert!(rates.queue_wait_ms(0, 64) < 1.0);
     // One absurd sample moves little.
-    rates.learn(10_000, Duration::from_secs(60));
-    assert!(rates.reading(5_000) < 110.0);
+    rates.record_first_part(10_000, Duration::from_secs(60));
+    assert!(rates.prefill_ms(5_000) < 110.0);
 }
 
 #[test]
@@ -307,8 +310,8 @@
         sequence,
         work: vec![Work {
             target: TargetId(1),
-            running,
-            reading: 10,
+            in_flight: running,
+            prefill_tokens: 10,
         }],
         hints: Vec::new(),
     }
@@ -319,17 +322,17 @@
     let one = "10.0.0.1:1".parse().expect("an address");
     let two = "10.0.0.2:1".parse().expect("an address");
     let mut peers = Peers::default();
-    assert!(peers.take(at(0), one, &summary(1, 2, 5)));
-    assert!(!peers.take(at(0), one, &summary(1, 1, 9)));
-    assert!(!peers.take(at(0), one, &summary(1, 2, 9)));
-    assert!(peers.take(at(0), two, &summary(9, 1, 2)));
-    let sum = |peers: &Peers| peers.sum(TargetId(1)).running;
+    assert!(peers.record_summary(at(0), one, &summary(1, 2, 5)));
+    assert!(!peers.record_summary(at(0), one, &summary(1, 1, 9)));
+    assert!(!peers.record_summary(at(0), one, &summary(1, 2, 9)));
+    assert!(peers.record_summary(at(0), two, &summary(9, 1, 2)));
+    let sum = |peers: &Peers| peers.work_on(TargetId(1)).in_flight;
     assert_eq!(sum(&peers), 7);
-    let later = at(0) + SILENT;
-    peers.take(later, two, &summary(9, 2, 2));
+    let later = at(0) + MIN_PEER_TIMEOUT;
+    peers.record_summary(later, two, &summary(9, 2, 2));
     peers.expire(later);
     assert_eq!(sum(&peers), 2);
-    assert_eq!(peers.alive(later), 1);
+    assert_eq!(peers.alive_count(later), 1);
 }
 
 quickcheck::quickcheck! {
@@ -343,17 +346,17 @@
             let from = std::net::SocketAddr::from(([10, 0, 0, peer % 3], 1));
             let mut summary = summary(1, n as u64 + 1, running.into());
             summary.work[0].target = TargetId(u32::from(target % 3));
-            peers.take(now, from, &summary);
+            peers.record_summary(now, from, &summary);
             peers.expire(now);
             newest.insert(from, summary.work[0]);
             heard.insert(from, now);
-            newest.retain(|from, _| now.since(heard[from]) < SILENT);
+            newest.retain(|from, _| now.since(heard[from]) < MIN_PEER_TIMEOUT);
         }
         (0..3).map(TargetId).all(|target| {
             let of = newest.values().filter(|w| w.target == target);
-            let running = of.clone().map(|w| u64::from(w.running)).sum::<u64>();
-            let sum = peers.sum(target);
-            sum.running == running && sum.reading == of.count() as u64 * 10
+            let running = of.clone().map(|w| u64::from(w.in_flight)).sum::<u64>();
+            let sum = peers.work_on(target);
+            sum.in_flight == running && sum.prefill_tokens == of.count() as u64 * 10
         })
     }
 }
@@ -367,90 +370,96 @@
     // A later start, and one whose clock was set back meanwhile.
     for again in [9, 3] {
         let mut peers = Peers::default();
-        assert!(peers.take(at(0), from, &summary(5, 800, 4)));
-        assert!(peers.take(at(100), from, &summary(again, 1, 2)), "{again}");
-        assert_eq!(peers.sum(TargetId(1)).running, 2);
-        assert!(peers.take(at(200), from, &summary(again, 2, 3)), "{again}");
-        assert_eq!(peers.sum(TargetId(1)).running, 3);
+        assert!(peers.record_summary(at(0), from, &summary(5, 800, 4)));
+        assert!(
+            peers.record_summary(at(100), from, &summary(again, 1, 2)),
+            "{again}"
+        );
+        assert_eq!(peers.work_on(TargetId(1)).in_flight, 2);
+        assert!(
+            peers.record_summary(at(200), from, &summary(again, 2, 3)),
+            "{again}"
+        );
+        assert_eq!(peers.work_on(TargetId(1)).in_flight, 3);
     }
     // A datagram of the start before that comes late counts no more.
     let mut peers = Peers::default();
-    assert!(peers.take(at(0), from, &summary(5, 800, 4)));
-    assert!(peers.take(at(100), from, &summary(9, 1, 2)));
-    assert!(!peers.take(at(101), from, &summary(5, 801, 4)));
-    assert_eq!(peers.sum(TargetId(1)).running, 2);
+    assert!(peers.record_summary(at(0), from, &summary(5, 800, 4)));
+    assert!(peers.record_summary(at(100), from, &summary(9, 1, 2)));
+    assert!(!peers.record_summary(at(101), from, &summary(5, 801, 4)));
+    assert_eq!(peers.work_on(TargetId(1)).in_flight, 2);
     // A peer that was first heard of after its new start: the late one does not outlast the next word.
     let mut peers = Peers::default();
-    assert!(peers.take(at(0), from, &summary(9, 1, 2)));
-    assert!(peers.take(at(1), from, &summary(5, 801, 4)));
-    assert!(peers.take(at(100), from, &summary(9, 2, 3)));
-    assert_eq!(peers.sum(TargetId(1)).running, 3);
+    assert!(peers.record_summary(at(0), from, &summary(9, 1, 2)));
+    assert!(peers.record_summary(at(1), from, &summary(5, 801, 4)));
+    assert!(peers.record_summary(at(100), from, &summary(9, 2, 3)));
+    assert_eq!(peers.work_on(TargetId(1)).in_flight, 3);
 }
 
 #[test]
 fn verify_only_changed_sums_are_told_once() {
     let one = "10.0.0.1:1".parse().expect("an address");
     let mut peers = Peers::default();
-    assert!(peers.changed().is_empty());
-    peers.take(at(0), one, &summary(1, 1, 5));
-    let told = peers.changed();
+    assert!(peers.take_changed().is_empty());
+    peers.record_summary(at(0), one, &summary(1, 1, 5));
+    let told = peers.take_changed();
     assert_eq!(told.len(), 1);
-    assert_eq!(told[0].1.running, 5);
-    assert!(peers.changed().is_empty());
+    assert_eq!(told[0].1.in_flight, 5);
+    assert!(peers.take_changed().is_empty());
     // A peer that falls silent takes its work along.
-    peers.expire(at(0) + SILENT);
-    let told = peers.changed();
+    peers.expire(at(0) + MIN_PEER_TIMEOUT);
+    let told = peers.take_changed();
     assert_eq!(told.len(), 1);
-    assert_eq!(told[0].1.running, 0);
+    assert_eq!(told[0].1.in_flight, 0);
 }
 
 #[test]
 fn verify_news_goes_round_once() {
     let peers = 28;
-    let mut outbox = Outbox::default();
-    let hint = |chain| Hint {
+    let mut outbox = HintQueue::default();
+    let hint = |chain| PrefixHint {
         target: TargetId(1),
-        chain,
+        prefix_hash: chain,
     };
     for chain in 0..100 {
-        outbox.add(hint(chain), peers);
+        outbox.push(hint(chain), peers);
     }
     let mut told = vec![0; 100];
     // Each summary goes to the next five peers.
     loop {
-        let hints = outbox.take(5);
+        let hints = outbox.take_batch(5);
         if hints.is_empty() {
             break;
         }
         for hint in hints {
-            told[usize::try_from(hint.chain).expect("small")] += 5;
+            told[usize::try_from(hint.prefix_hash).expect("small")] += 5;
         }
     }
     assert!(
         told.iter().all(|n| (peers..peers + 5).contains(n)),
         "{told:?}"
     );
-    outbox.add(hint(1), 0);
-    assert!(outbox.take(5).is_empty());
+    outbox.push(hint(1), 0);
+    assert!(outbox.take_batch(5).is_empty());
 }
 
 #[test]
 fn verify_peers_of_a_large_fleet_may_be_silent_longer() {
-    assert_eq!(silent(3), SILENT);
+    assert_eq!(peer_timeout(3), MIN_PEER_TIMEOUT);
     // 370 peers are gone round at 200 ms a round of four, or slower with longer summaries.
-    assert!(silent(370) > Duration::from_millis(200 * 370 / 4));
+    assert!(peer_timeout(370) > Duration::from_millis(200 * 370 / 4));
 }
 
 #[test]
 fn verify_datagrams_are_bounded_and_their_work_is_kept() {
     let mut long = summary(1, 1, 5);
-    let hint = |chain| Hint {
+    let hint = |chain| PrefixHint {
         target: TargetId(u32::MAX),
-        chain,
+        prefix_hash: chain,
     };
     long.hints = (0..1_000).map(|n| hint(u64::MAX - n)).collect();
     let bytes = Datagram::Summary(long).encode().expect("bytes");
-    assert!(bytes.len() <= MOST_BYTES);
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
     let read = Datagram::decode(&bytes).expect("a datagram");
     let Datagram::Summary(read) = read else {
         panic!("{read:?}");
--- a/crates/peppercrank-direct/tests/verify_overcount.rs
+++ b/crates/peppercrank-direct/tests/verify_overcount.rs
@@ -28,15 +28,15 @@
 use slotmap::SlotMap;
 
 /// Requests that each target held, and that peers told of there.
-const HELD: u32 = 26;
-const TOLD: u32 = 40;
+const ACTUAL_LOAD: u32 = 26;
+const PEER_COUNT: u32 = 40;
 
 /// Requests at the target that holds the prompt.
-const HOT: u32 = 61;
+const HOT_LOAD: u32 = 61;
 
 /// Targets that told of their load, and all.
-const REPORTED: usize = 10;
-const ALL: usize = 57;
+const REPORTING_TARGETS: usize = 10;
+const TARGETS: usize = 57;
 
 const PROMPT: u64 = 8_000;
 
@@ -46,9 +46,9 @@
 
 fn candidate(key: TargetKey, n: usize, told: u32, reported: Option<u32>) -> Candidate {
     let mut stats = Stats::default();
-    stats.peers_running = told;
+    stats.peers_in_flight = told;
     if let Some(load) = reported {
-        stats.reported(now(), load);
+        stats.record_report(now(), load);
     }
     Candidate {
         key,
@@ -66,12 +66,12 @@
 fn pool() -> Vec<Candidate> {
     let mut targets = SlotMap::<TargetKey, ()>::with_key();
     let mut pool = Vec::new();
-    for n in 0..ALL {
+    for n in 0..TARGETS {
         let key = targets.insert(());
         pool.push(match n {
-            0 => candidate(key, n, HOT, Some(HOT)),
-            _ if n <= REPORTED => candidate(key, n, TOLD, Some(HELD)),
-            _ => candidate(key, n, TOLD, None),
+            0 => candidate(key, n, HOT_LOAD, Some(HOT_LOAD)),
+            _ if n <= REPORTING_TARGETS => candidate(key, n, PEER_COUNT, Some(ACTUAL_LOAD)),
+            _ => candidate(key, n, PEER_COUNT, None),
         });
     }
     pool[0].held = PROMPT;
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn verify_a_target_over_twice_the_mean_gets_nothing_where_peers_tell_of_too_much() {
+fn verify_a_target_over_twice_the_mean_gets_nothing_where_peers_overcount() {
     let candidates = pool();
     let request = PlacementRequest {
         policy: Policy::Cost,
@@ -112,44 +112,45 @@
     let Decision::Send(choice) = decision else {
         panic!("{decision:?}");
     };
-    assert_ne!(choice.key, candidates[0].key, "it holds {HOT}");
+    assert_ne!(choice.key, candidates[0].key, "it holds {HOT_LOAD}");
 }
 
 #[test]
-fn verify_what_targets_tell_corrects_the_mean() {
-    let held = (f64::from(HELD) * (count(ALL) - 1.0) + f64::from(HOT)) / count(ALL);
+fn verify_reported_loads_correct_the_mean() {
+    let held =
+        (f64::from(ACTUAL_LOAD) * (count(TARGETS) - 1.0) + f64::from(HOT_LOAD)) / count(TARGETS);
     let mean = mean(&pool());
     assert!((mean - held).abs() < 2.0, "{mean}");
 }
 
 #[test]
-fn verify_a_router_s_own_requests_and_little_evidence_change_nothing() {
+fn verify_own_requests_and_few_reports_leave_the_mean_unchanged() {
     let mut own = pool();
     for candidate in &mut own {
-        candidate.stats.running = candidate.stats.peers_running;
-        candidate.stats.peers_running = 0;
+        candidate.stats.in_flight = candidate.stats.peers_in_flight;
+        candidate.stats.peers_in_flight = 0;
     }
     assert_same(&own);
     // One target with a few requests says nothing of 56 others.
     let mut few = pool();
-    for candidate in &mut few[1..=REPORTED] {
-        candidate.stats.peers_running = 0;
+    for candidate in &mut few[1..=REPORTING_TARGETS] {
+        candidate.stats.peers_in_flight = 0;
     }
-    few[0].stats.peers_running = 7;
+    few[0].stats.peers_in_flight = 7;
     assert_same(&few);
 }
 
 #[test]
-fn verify_targets_that_hold_more_than_was_told_raise_no_other() {
+fn verify_higher_reports_do_not_raise_other_targets() {
     let mut more = pool();
-    for candidate in &mut more[1..=REPORTED] {
-        candidate.stats.reported(now(), 3 * TOLD);
+    for candidate in &mut more[1..=REPORTING_TARGETS] {
+        candidate.stats.record_report(now(), 3 * PEER_COUNT);
     }
     assert_same(&more);
 }
 
 fn mean(candidates: &[Candidate]) -> f64 {
-    overcount::mean(candidates.iter().map(|c| &c.stats))
+    overcount::mean_load(candidates.iter().map(|c| &c.stats))
 }
 
 /// The mean is that of the loads as they are counted.
--- a/crates/peppercrank-direct/tests/verify_place.rs
+++ b/crates/peppercrank-direct/tests/verify_place.rs
@@ -105,9 +105,9 @@
     let holder = candidates.iter().position(|c| c.key != home);
     let holder = holder.expect("another one");
     candidates[holder].held = 10_000;
-    candidates[holder].stats.running = 1;
+    candidates[holder].stats.in_flight = 1;
     // A few hundred milliseconds of reading wait there.
-    candidates[holder].stats.reading = 10_000;
+    candidates[holder].stats.prefill_tokens = 10_000;
     let choice = choose(&request(), &candidates);
     assert_eq!(choice.key, candidates[holder].key);
     assert_eq!(choice.reading, 1_000);
@@ -117,7 +117,7 @@
 fn verify_a_request_that_would_be_late_is_read_again_elsewhere_if_it_is_short() {
     let mut candidates = idle(3);
     candidates[0].held = 500;
-    candidates[0].stats.reading = 200_000;
+    candidates[0].stats.prefill_tokens = 200_000;
     let short = PlacementRequest {
         tokens: 600,
         shared: 500,
@@ -145,7 +145,7 @@
 fn verify_an_engine_copies_what_another_holds() {
     let mut candidates = ranked(3);
     candidates[0].held = 10_000;
-    candidates[0].stats.reading = 60_000;
+    candidates[0].stats.prefill_tokens = 60_000;
     let choice = choose(&copying(), &candidates);
     assert_ne!(choice.key, candidates[0].key);
     assert_eq!(choice.copy, Some((candidates[0].key, 10_000)));
@@ -196,11 +196,11 @@
     };
     // With the idle one the mean is 8.25 where the home holds 17, which is too much; without it, it would be 11.
     for candidate in &mut candidates {
-        candidate.stats.running = 8;
+        candidate.stats.in_flight = 8;
     }
     let home = candidates[0].key;
     for (running, placed_at_home) in [(14, true), (17, false)] {
-        candidates[0].stats.running = running;
+        candidates[0].stats.in_flight = running;
         let holders = [holder];
         let placed = place(
             NOW,
@@ -228,10 +228,10 @@
         let mut candidates = ranked(20);
         for candidate in &mut candidates {
             candidate.slots = 16;
-            candidate.stats.running = mean;
+            candidate.stats.in_flight = mean;
         }
         candidates[0].held = 10_000;
-        candidates[0].stats.running = home;
+        candidates[0].stats.in_flight = home;
         choose(&copying(), &candidates).key == candidates[0].key
     };
     // Below the places that targets have, 1.7 times the mean and two.
@@ -261,7 +261,7 @@
 #[test]
 fn verify_peers_reading_is_over_after_its_time() {
     let mut candidates = ranked(2);
-    candidates[0].stats.peers_reading = 200_000;
+    candidates[0].stats.peers_prefill_tokens = 200_000;
     assert_ne!(choose(&copying(), &candidates).key, candidates[0].key);
     // At 50 tokens a millisecond it was read since they told of it.
     for candidate in &mut candidates {
@@ -277,7 +277,7 @@
     for _ in 0..500 {
         let choice = choose(&request(), &candidates);
         let chosen = candidates.iter_mut().find(|c| c.key == choice.key);
-        chosen.expect("a candidate").stats.running += 1;
+        chosen.expect("a candidate").stats.in_flight += 1;
         let loads = candidates.iter().map(|c| c.stats.load());
         let sum = loads.clone().sum::<u32>();
         let most = f64::from(sum) / 9.0 * 2.0 + 3.0;
@@ -292,13 +292,13 @@
     let home = candidates.iter().position(|c| c.key == home);
     let home = home.expect("a candidate");
     let stats = &mut candidates[home].stats;
-    assert!(!stats.failed(NOW));
-    assert!(!stats.failed(NOW));
-    assert!(stats.failed(NOW));
+    assert!(!stats.record_failure(NOW));
+    assert!(!stats.record_failure(NOW));
+    assert!(stats.record_failure(NOW));
     assert_ne!(choose(&request(), &candidates).key, candidates[home].key);
     // Once its time is over one request tries it; until that one ends it gets no other.
     let later = Moment::from_millis(60_000);
-    candidates[1 - home].stats.reading = 10_000_000;
+    candidates[1 - home].stats.prefill_tokens = 10_000_000;
     let at = |candidates: &[Candidate]| match place(
         later,
         &Rates::default(),
@@ -311,9 +311,9 @@
         other => panic!("{other:?}"),
     };
     assert_eq!(at(&candidates), candidates[home].key);
-    candidates[home].stats.sent(later);
+    candidates[home].stats.record_sent(later);
     assert_ne!(at(&candidates), candidates[home].key);
-    candidates[home].stats.succeeded();
+    candidates[home].stats.record_success();
     assert_eq!(at(&candidates), candidates[home].key);
 }
 
@@ -321,14 +321,14 @@
 fn verify_a_trial_that_ends_without_a_verdict_leaves_the_next_one() {
     let mut stats = Stats::default();
     for _ in 0..3 {
-        stats.failed(NOW);
+        stats.record_failure(NOW);
     }
     let later = Moment::from_millis(60_000);
     let mut candidates = idle(2);
     candidates[0].stats = stats;
-    candidates[1].stats.reading = 10_000_000;
-    candidates[0].stats.sent(later);
-    candidates[0].stats.ended();
+    candidates[1].stats.prefill_tokens = 10_000_000;
+    candidates[0].stats.record_sent(later);
+    candidates[0].stats.record_end();
     let placed = place(later, &Rates::default(), &request(), None, &candidates, &[]);
     assert!(matches!(placed, Placed::At(c) if c.key == candidates[0].key));
 }
@@ -338,7 +338,7 @@
     let mut candidates = idle(3);
     for candidate in &mut candidates {
         for _ in 0..3 {
-            candidate.stats.failed(NOW);
+            candidate.stats.record_failure(NOW);
         }
     }
     let placed = place(NOW, &Rates::default(), &request(), None, &candidates, &[]);
@@ -354,7 +354,7 @@
     let home = candidates.iter().position(|c| c.key == home);
     let home = home.expect("a candidate");
     for _ in 0..30 {
-        candidates[home].stats.timed(4_000.0, 200.0);
+        candidates[home].stats.record_latency(4_000.0, 200.0);
     }
     assert_ne!(choose(&request(), &candidates).key, candidates[home].key);
 }
@@ -362,10 +362,10 @@
 #[test]
 fn verify_the_baselines_choose_as_they_say() {
     let mut candidates = ranked(4);
-    candidates[0].stats.running = 5;
-    candidates[1].stats.running = 4;
-    candidates[2].stats.running = 3;
-    candidates[3].stats.running = 4;
+    candidates[0].stats.in_flight = 5;
+    candidates[1].stats.in_flight = 4;
+    candidates[2].stats.in_flight = 3;
+    candidates[3].stats.in_flight = 4;
     let with = |policy, id| PlacementRequest {
         policy,
         id,
@@ -387,14 +387,14 @@
     // Each target ended what it had, and told so; the routers still count 40 on each.
     let mut candidates = ranked(9);
     for candidate in &mut candidates {
-        candidate.stats.running = 20;
-        candidate.stats.peers_running = 20;
-        candidate.stats.reported(NOW, 2);
+        candidate.stats.in_flight = 20;
+        candidate.stats.peers_in_flight = 20;
+        candidate.stats.record_report(NOW, 2);
     }
     let mut sent = 0;
     while choose(&request(), &candidates).key == candidates[0].key {
-        candidates[0].stats.running += 1;
-        candidates[0].stats.sent(NOW);
+        candidates[0].stats.in_flight += 1;
+        candidates[0].stats.record_sent(NOW);
         sent += 1;
         assert!(
             sent < 10,
@@ -404,10 +404,16 @@
     // Later the target's word is too old to count.
     let later = Moment::from_millis(5_000);
     assert_eq!(
-        candidates[1].stats.at(later, Duration::ZERO, HOLD).load(),
+        candidates[1]
+            .stats
+            .as_of(later, Duration::ZERO, HOLD)
+            .load(),
         40
     );
-    assert_eq!(candidates[1].stats.at(NOW, Duration::ZERO, HOLD).load(), 2);
+    assert_eq!(
+        candidates[1].stats.as_of(NOW, Duration::ZERO, HOLD).load(),
+        2
+    );
 }
 
 #[test]
--- a/crates/peppercrank-direct/tests/verify_ranks.rs
+++ b/crates/peppercrank-direct/tests/verify_ranks.rs
@@ -75,8 +75,8 @@
     let place = |route: usize, organisation: usize| {
         let organisation = &desired.organisations[organisation];
         let rank = ranks.rank("engines", &desired.routes[route], Some(organisation));
-        assert_eq!(rank.places, 4);
-        rank.place
+        assert_eq!(rank.levels, 4);
+        rank.level
     };
     assert_eq!(
         [place(0, 1), place(1, 1), place(0, 0), place(1, 0)],
@@ -92,29 +92,35 @@
         let ranks = Ranks::new(&desired);
         let organisation = desired.organisations.first();
         let rank = |route: usize| ranks.rank("engines", &desired.routes[route], organisation);
-        assert_eq!((rank(0).place, rank(0).places), (0, 2));
-        assert_eq!((rank(1).place, rank(1).places), (1, 2));
+        assert_eq!((rank(0).level, rank(0).levels), (0, 2));
+        assert_eq!((rank(1).level, rank(1).levels), (1, 2));
     }
 }
 
 #[test]
 fn verify_a_pool_has_the_shortest_goal_of_its_routes() {
     let ranks = Ranks::new(&desired(Vec::new()));
-    assert_eq!(ranks.goal("engines"), Duration::from_millis(600));
-    assert_eq!(ranks.goal("services"), Duration::from_millis(150));
-    assert!(!ranks.goal("unknown").is_zero());
+    assert_eq!(ranks.shortest_goal("engines"), Duration::from_millis(600));
+    assert_eq!(ranks.shortest_goal("services"), Duration::from_millis(150));
+    assert!(!ranks.shortest_goal("unknown").is_zero());
 }
 
 #[test]
 fn verify_ranks_fit_on_a_shorter_scale_in_order() {
     let places = 0..30;
-    let scaled = places.map(|place| Rank { place, places: 30 }.scaled(9));
+    let scaled = places.map(|place| {
+        Rank {
+            level: place,
+            levels: 30,
+        }
+        .scaled(9)
+    });
     let scaled = scaled.collect::<Vec<_>>();
     assert!(scaled.is_sorted());
     assert_eq!((scaled[0], scaled[29]), (0, 9));
     let few = Rank {
-        place: 2,
-        places: 6,
+        level: 2,
+        levels: 6,
     };
     assert_eq!(few.scaled(9), 2);
     assert_eq!(Rank::default().scaled(9), 0);
--- a/crates/peppercrank-direct/tests/verify_reports.rs
+++ b/crates/peppercrank-direct/tests/verify_reports.rs
@@ -23,20 +23,20 @@
 use peppercrank_direct::place::place;
 use peppercrank_direct::rates::Rates;
 use peppercrank_direct::reports::LoadReport;
-use peppercrank_direct::reports::MOST_BYTES;
-use peppercrank_direct::reports::choose;
-use peppercrank_direct::reports::share;
+use peppercrank_direct::reports::MAX_REPORTS_BYTES;
+use peppercrank_direct::reports::report_bytes;
+use peppercrank_direct::reports::select;
 use peppercrank_direct::stats::Stats;
 use slotmap::SlotMap;
 
 /// How long a request holds its place, in milliseconds.
-const HOLD: f64 = 700.0;
+const HOLD_MS: f64 = 700.0;
 
 /// The age of peers' counts in a large fleet, and in a small one.
-const OLD: Duration = Duration::from_millis(1_750);
-const RECENT: Duration = Duration::from_millis(60);
+const LARGE_FLEET_LAG: Duration = Duration::from_millis(1_750);
+const SMALL_FLEET_LAG: Duration = Duration::from_millis(60);
 
-const ALL: usize = 120;
+const TARGETS: usize = 120;
 
 fn now() -> Moment {
     Moment::from_millis(60_000)
@@ -46,9 +46,9 @@
     Moment::from_millis(60_000 - millis)
 }
 
-fn counted(running: u32) -> Stats {
+fn counted_stats(running: u32) -> Stats {
     let mut stats = Stats::default();
-    stats.peers_running = running;
+    stats.peers_in_flight = running;
     stats
 }
 
@@ -65,9 +65,9 @@
 fn pool_of(others: u32, count: u32, told: Option<u32>, lag: Duration) -> Vec<Candidate> {
     let mut keys = SlotMap::<TargetKey, ()>::with_key();
     let candidate = |n: usize| {
-        let mut stats = counted(if n == 0 { count } else { others });
+        let mut stats = counted_stats(if n == 0 { count } else { others });
         if let Some(load) = told.filter(|_| n == 0) {
-            stats.relayed(ago(100), load);
+            stats.record_relayed_report(ago(100), load);
         }
         Candidate {
             key: keys.insert(()),
@@ -76,14 +76,14 @@
             near: true,
             held: if n == 0 { 10_000 } else { 0 },
             fresh: false,
-            lag: RECENT,
-            stats: stats.at(now(), lag, HOLD),
+            lag: SMALL_FLEET_LAG,
+            stats: stats.as_of(now(), lag, HOLD_MS),
         }
     };
-    (0..ALL).map(candidate).collect()
+    (0..TARGETS).map(candidate).collect()
 }
 
-fn goes_to_first(pool: &[Candidate]) -> bool {
+fn is_sent_to_first(pool: &[Candidate]) -> bool {
     let request = PlacementRequest {
         policy: Policy::Cost,
         id: 7,
@@ -102,22 +102,22 @@
 }
 
 #[test]
-fn verify_a_target_that_told_another_router_of_too_much_gets_nothing() {
+fn verify_a_target_over_the_cap_by_a_relayed_report_gets_nothing() {
     assert!(
-        goes_to_first(&pool(6, None, OLD)),
+        is_sent_to_first(&pool(6, None, LARGE_FLEET_LAG)),
         "six of nine are allowed"
     );
-    assert!(!goes_to_first(&pool(6, Some(12), OLD)));
-    assert!(!goes_to_first(&pool(14, Some(64), OLD)));
+    assert!(!is_sent_to_first(&pool(6, Some(12), LARGE_FLEET_LAG)));
+    assert!(!is_sent_to_first(&pool(14, Some(64), LARGE_FLEET_LAG)));
     // Counts that are recent are right where a report was not passed on for a while.
-    assert!(goes_to_first(&pool(6, Some(12), RECENT)));
+    assert!(is_sent_to_first(&pool(6, Some(12), SMALL_FLEET_LAG)));
 }
 
 #[test]
-fn verify_a_target_whose_load_is_not_seen_keeps_a_margin() {
+fn verify_the_cap_keeps_a_margin_for_unreported_load() {
     // Allowed are 2 x 0.85 of a mean of five, and two: 10.6.
-    assert!(goes_to_first(&pool_of(5, 10, None, RECENT)));
-    assert!(!goes_to_first(&pool_of(
+    assert!(is_sent_to_first(&pool_of(5, 10, None, SMALL_FLEET_LAG)));
+    assert!(!is_sent_to_first(&pool_of(
         5,
         10,
         None,
@@ -126,11 +126,11 @@
 }
 
 #[test]
-fn verify_a_report_counts_as_far_as_its_requests_still_run() {
+fn verify_a_report_fades_as_its_requests_end() {
     let load = |age: u64| {
-        let mut stats = counted(4);
-        stats.relayed(ago(age), 14);
-        stats.at(now(), OLD, HOLD).load()
+        let mut stats = counted_stats(4);
+        stats.record_relayed_report(ago(age), 14);
+        stats.as_of(now(), LARGE_FLEET_LAG, HOLD_MS).load()
     };
     assert_eq!(load(0), 14);
     // After the time that a request takes, a third of it.
@@ -141,11 +141,11 @@
 }
 
 #[test]
-fn verify_a_report_that_is_younger_than_the_counts_counts() {
+fn verify_a_report_newer_than_the_counts_is_used() {
     let load = |age: u64, lag: u64, told: u32| {
-        let mut stats = counted(12);
-        stats.relayed(ago(age), told);
-        stats.at(now(), Duration::from_millis(lag), 1e9).load()
+        let mut stats = counted_stats(12);
+        stats.record_relayed_report(ago(age), told);
+        stats.as_of(now(), Duration::from_millis(lag), 1e9).load()
     };
     assert_eq!(load(100, 750, 20), 20);
     assert_eq!(load(100, 750, 5), 5);
@@ -158,30 +158,35 @@
 
 #[test]
 fn verify_the_newest_report_counts_with_what_was_sent_since() {
-    let mut stats = counted(4);
-    stats.relayed(ago(300), 9);
-    stats.relayed(ago(400), 30);
-    stats.sent(ago(200));
-    let load = |stats: Stats| stats.at(now(), OLD, 1e9).load();
+    let mut stats = counted_stats(4);
+    stats.record_relayed_report(ago(300), 9);
+    stats.record_relayed_report(ago(400), 30);
+    stats.record_sent(ago(200));
+    let load = |stats: Stats| stats.as_of(now(), LARGE_FLEET_LAG, 1e9).load();
     assert_eq!(load(stats), 10, "an older report changes nothing");
-    stats.relayed(ago(250), 11);
+    stats.record_relayed_report(ago(250), 11);
     assert_eq!(load(stats), 12, "it was sent after that");
-    stats.relayed(ago(100), 11);
+    stats.record_relayed_report(ago(100), 11);
     assert_eq!(load(stats), 11, "the report shows it");
 }
 
 #[test]
-fn verify_a_small_fleet_counts_as_before() {
-    let mut stats = counted(4);
-    stats.relayed(ago(100), 14);
-    assert_eq!(stats.at(now(), RECENT, HOLD).load(), 4);
-    assert!(stats.at(now(), RECENT, HOLD).unseen() == 0.0);
-    stats.relayed(ago(50), 2);
-    assert_eq!(stats.at(now(), RECENT, HOLD).load(), 2);
+fn verify_a_small_fleet_uses_the_counts() {
+    let mut stats = counted_stats(4);
+    stats.record_relayed_report(ago(100), 14);
+    assert_eq!(stats.as_of(now(), SMALL_FLEET_LAG, HOLD_MS).load(), 4);
+    assert!(
+        stats
+            .as_of(now(), SMALL_FLEET_LAG, HOLD_MS)
+            .load_deviation()
+            == 0.0
+    );
+    stats.record_relayed_report(ago(50), 2);
+    assert_eq!(stats.as_of(now(), SMALL_FLEET_LAG, HOLD_MS).load(), 2);
 }
 
 #[test]
-fn verify_the_busiest_targets_are_passed_on_first_and_fit_the_allowance() {
+fn verify_reports_of_the_busiest_targets_go_first_and_fit_the_datagram() {
     let mut reports = Vec::new();
     for n in 0..60 {
         reports.push(report(u32::MAX - n, 3, u64::from(n)));
@@ -189,16 +194,16 @@
     for n in 0..10 {
         reports.push(report(n, 1_000 + n, 1_400 - u64::from(n)));
     }
-    choose(&mut reports);
+    select(&mut reports);
     assert!(reports[..10].iter().all(|r| r.load() >= 1_000));
     let ages = reports[10..].iter().map(LoadReport::age);
     assert!(ages.collect::<Vec<_>>().is_sorted());
-    let bytes = Datagram::Reports(reports).encode().expect("a datagram");
-    assert!(bytes.len() <= MOST_BYTES, "{} bytes", bytes.len());
+    let bytes = Datagram::LoadReports(reports).encode().expect("a datagram");
+    assert!(bytes.len() <= MAX_REPORTS_BYTES, "{} bytes", bytes.len());
 }
 
 #[test]
-fn verify_a_report_never_looks_younger_than_it_is() {
+fn verify_a_report_never_understates_its_age() {
     for age in [0, 1, 19, 20, 21, 999, 1_499] {
         let told = report(7, 3, age).age();
         assert!(told >= Duration::from_millis(age), "{age}: {told:?}");
@@ -208,8 +213,8 @@
 }
 
 #[test]
-fn verify_reports_take_bytes_where_summaries_come_round_late_only() {
-    let shares = |peers| share(400, peers, 700, 4_096);
+fn verify_reports_get_bytes_only_where_summaries_are_slow() {
+    let shares = |peers| report_bytes(400, peers, 700, 4_096);
     assert_eq!(shares(0), 0);
     assert_eq!(shares(4), 0);
     assert_eq!(shares(28), 240);
@@ -217,7 +222,7 @@
 }
 
 #[test]
-fn verify_what_is_no_datagram_is_none() {
+fn verify_malformed_datagrams_are_rejected() {
     // Three reports are announced and one is there; a number runs on; an unknown kind.
     for bytes in [&[3, 3, 1, 2, 3, 4, 5, 6][..], &[3, 255, 255, 255], &[9, 0]] {
         assert!(Datagram::decode(bytes).is_err(), "{bytes:?}");
@@ -226,23 +231,27 @@
 
 /// A prompt stays at its home though the report of its load swings, as long as that is below the cap.
 #[test]
-fn verify_waits_are_judged_by_what_routers_count() {
+fn verify_the_queue_load_ignores_higher_reports() {
     let waiting = |told: u32, lag: Duration| {
-        let mut stats = counted(9);
-        stats.relayed(ago(300), told);
-        stats.at(now(), lag, HOLD).waiting()
+        let mut stats = counted_stats(9);
+        stats.record_relayed_report(ago(300), told);
+        stats.as_of(now(), lag, HOLD_MS).queue_load()
     };
-    assert_eq!(waiting(30, OLD), 9);
-    assert_eq!(waiting(30, RECENT), 9);
+    assert_eq!(waiting(30, LARGE_FLEET_LAG), 9);
+    assert_eq!(waiting(30, SMALL_FLEET_LAG), 9);
     // Requests whose answers were lost wait nowhere.
-    assert_eq!(waiting(2, OLD), 2);
-    assert_eq!(waiting(2, RECENT), 2);
+    assert_eq!(waiting(2, LARGE_FLEET_LAG), 2);
+    assert_eq!(waiting(2, SMALL_FLEET_LAG), 2);
 }
 
 #[test]
-fn verify_counts_are_as_old_as_what_peers_told_last() {
+fn verify_the_age_of_counts_is_the_mean_age_of_summaries() {
     let mut peers = Peers::default();
-    assert_eq!(peers.lag(now()), Duration::ZERO, "a lone router knows all");
+    assert_eq!(
+        peers.mean_age(now()),
+        Duration::ZERO,
+        "a lone router knows all"
+    );
     for (n, heard) in [ago(3_000), ago(1_000)].into_iter().enumerate() {
         let summary = Summary {
             incarnation: 1,
@@ -251,7 +260,7 @@
             hints: Vec::new(),
         };
         let from = ([10, 0, 0, u8::try_from(n).expect("a small number")], 7340).into();
-        assert!(peers.take(heard, from, &summary));
+        assert!(peers.record_summary(heard, from, &summary));
     }
-    assert_eq!(peers.lag(now()), Duration::from_secs(2));
+    assert_eq!(peers.mean_age(now()), Duration::from_secs(2));
 }
--- a/crates/peppercrank-direct/tests/verify_retries.rs
+++ b/crates/peppercrank-direct/tests/verify_retries.rs
@@ -7,16 +7,16 @@
 use std::time::Duration;
 
 use peppercrank_core::time::Moment;
-use peppercrank_direct::retries::After::Again;
-use peppercrank_direct::retries::After::AgainIfAllowed;
-use peppercrank_direct::retries::After::Fail;
-use peppercrank_direct::retries::After::Refuse;
 use peppercrank_direct::retries::ExecutionState;
-use peppercrank_direct::retries::Plan;
+use peppercrank_direct::retries::NextStep::Fail;
+use peppercrank_direct::retries::NextStep::Refuse;
+use peppercrank_direct::retries::NextStep::Retry;
+use peppercrank_direct::retries::NextStep::RetryWithinBudget;
 use peppercrank_direct::retries::RetryBudget;
-use peppercrank_direct::retries::Terms;
+use peppercrank_direct::retries::RetryLimits;
+use peppercrank_direct::retries::RetryPlan;
 
-const TERMS: Terms = Terms {
+const LIMITS: RetryLimits = RetryLimits {
     share: 0.2,
     extra: 50.0,
     window: Duration::from_secs(10),
@@ -25,7 +25,7 @@
 /// So many routers spend all that they may; returns the most repeats of any window.
 fn spend_all(routers: usize, restart: bool) -> (usize, usize) {
     let pool: Arc<str> = "pool".into();
-    let new = |at| RetryBudget::new(Moment::from_millis(at), TERMS);
+    let new = |at| RetryBudget::new(Moment::from_millis(at), LIMITS);
     let mut budgets = (0..routers).map(|_| new(0)).collect::<Vec<_>>();
     let (mut repeats, mut requests) = (Vec::new(), Vec::new());
     for millis in (0..40_000).step_by(20) {
@@ -34,9 +34,9 @@
             budgets = (0..routers).map(|_| new(millis)).collect();
         }
         let budget = &mut budgets[usize::try_from(millis / 20).expect("small") % routers];
-        budget.request(now, &pool);
+        budget.record_request(now, &pool);
         requests.push(millis);
-        while budget.spend(now, &pool, routers) {
+        while budget.try_spend(now, &pool, routers) {
             repeats.push(millis);
         }
     }
@@ -69,50 +69,50 @@
 }
 
 #[test]
-fn verify_what_follows_each_fate() {
+fn verify_the_next_step_for_each_execution_state() {
     let rows = [
-        (false, 1, ExecutionState::NotSent, Again),
-        (false, 1, ExecutionState::NotRun, AgainIfAllowed),
+        (false, 1, ExecutionState::NotSent, Retry),
+        (false, 1, ExecutionState::NotRun, RetryWithinBudget),
         (false, 1, ExecutionState::Unknown, Fail),
         (false, 3, ExecutionState::Unknown, Fail),
         (false, 3, ExecutionState::Failed, Fail),
         (true, 1, ExecutionState::Unknown, Fail),
-        (true, 2, ExecutionState::Unknown, AgainIfAllowed),
-        (true, 2, ExecutionState::Failed, AgainIfAllowed),
+        (true, 2, ExecutionState::Unknown, RetryWithinBudget),
+        (true, 2, ExecutionState::Failed, RetryWithinBudget),
     ];
-    for (repeats, attempts, execution, after) in rows {
-        let mut plan = Plan::new(repeats, attempts);
+    for (repeatable, max_runs, execution, next) in rows {
+        let mut plan = RetryPlan::new(repeatable, max_runs);
         assert_eq!(
-            plan.after(execution),
-            after,
-            "{repeats} {attempts} {execution:?}"
+            plan.record_attempt(execution),
+            next,
+            "{repeatable} {max_runs} {execution:?}"
         );
-        assert_eq!(plan.give_up() == Refuse, !plan.has_run());
+        assert_eq!(plan.give_up() == Refuse, !plan.may_have_run());
     }
 }
 
 #[test]
 fn verify_a_request_that_may_have_run_is_never_called_not_run() {
-    let fates = [
+    let states = [
         ExecutionState::NotSent,
         ExecutionState::NotRun,
         ExecutionState::Unknown,
         ExecutionState::Failed,
     ];
-    for repeats in [false, true] {
+    for repeatable in [false, true] {
         for code in 0..4_usize.pow(4) {
-            let mut plan = Plan::new(repeats, 2);
+            let mut plan = RetryPlan::new(repeatable, 2);
             let mut ran = 0;
             for step in 0..4 {
-                let execution = fates[code / 4_usize.pow(step) % 4];
+                let execution = states[code / 4_usize.pow(step) % 4];
                 ran += u32::from(matches!(
                     execution,
                     ExecutionState::Unknown | ExecutionState::Failed
                 ));
-                match plan.after(execution) {
-                    Again | AgainIfAllowed => {
+                match plan.record_attempt(execution) {
+                    Retry | RetryWithinBudget => {
                         assert!(ran < 2);
-                        assert!(repeats || ran == 0);
+                        assert!(repeatable || ran == 0);
                     }
                     Refuse => {
                         assert_eq!(ran, 0);
@@ -129,26 +129,29 @@
 }
 
 #[test]
-fn verify_an_outage_is_not_fed() {
-    let mut plan = Plan::new(true, 9);
+fn verify_attempts_are_bounded_in_an_outage() {
+    let mut plan = RetryPlan::new(true, 9);
     for _ in 0..3 {
-        assert_eq!(plan.after(ExecutionState::NotRun), AgainIfAllowed);
+        assert_eq!(
+            plan.record_attempt(ExecutionState::NotRun),
+            RetryWithinBudget
+        );
     }
-    assert_eq!(plan.after(ExecutionState::NotRun), Refuse);
+    assert_eq!(plan.record_attempt(ExecutionState::NotRun), Refuse);
 }
 
 #[test]
-fn verify_asking_for_a_repeat_takes_none() {
+fn verify_checking_the_budget_spends_nothing() {
     let pool: Arc<str> = "pool".into();
-    let mut budget = RetryBudget::new(Moment::ZERO, TERMS);
+    let mut budget = RetryBudget::new(Moment::ZERO, LIMITS);
     let now = Moment::from_millis(10_000);
-    budget.request(now, &pool);
+    budget.record_request(now, &pool);
     let mut spent = 0;
     while budget.can_spend(now, &pool, 4) {
         assert!(budget.can_spend(now, &pool, 4));
-        assert!(budget.spend(now, &pool, 4));
+        assert!(budget.try_spend(now, &pool, 4));
         spent += 1;
     }
-    assert!(!budget.spend(now, &pool, 4));
+    assert!(!budget.try_spend(now, &pool, 4));
     assert_eq!(spent, 8);
 }
--- a/crates/peppercrank-direct/tests/verify_silence.rs
+++ b/crates/peppercrank-direct/tests/verify_silence.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use peppercrank_core::time::Moment;
-use peppercrank_direct::silence::Heard;
-use peppercrank_direct::silence::Silence;
+use peppercrank_direct::silence::SilenceDetector;
+use peppercrank_direct::silence::StreamState;
 
 const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -18,20 +18,26 @@
     let start = Moment::ZERO;
     // The pause that is named, one that is too short to tell silence by, and none.
     for (pause, limit) in [(Some(800), 600), (Some(50), 300), (None, 1_000)] {
-        let silence = Silence::new(start, pause.map(ms));
+        let silence = SilenceDetector::new(start, pause.map(ms));
         let until = start + ms(limit);
-        assert_eq!(silence.at(start), Heard::Until(until));
-        assert_eq!(silence.at(start + ms(limit - 1)), Heard::Until(until));
-        assert_eq!(silence.at(until), Heard::Silent);
+        assert_eq!(silence.state(start), StreamState::ActiveUntil(until));
+        assert_eq!(
+            silence.state(start + ms(limit - 1)),
+            StreamState::ActiveUntil(until)
+        );
+        assert_eq!(silence.state(until), StreamState::Silent);
     }
 }
 
 #[test]
-fn verify_each_part_begins_the_pause_anew() {
+fn verify_each_part_restarts_the_limit() {
     let start = Moment::ZERO;
-    let mut silence = Silence::new(start, Some(ms(800)));
-    silence.heard(start + ms(500));
+    let mut silence = SilenceDetector::new(start, Some(ms(800)));
+    silence.record_part(start + ms(500));
     let until = start + ms(1_100);
-    assert_eq!(silence.at(start + ms(900)), Heard::Until(until));
-    assert_eq!(silence.at(until), Heard::Silent);
+    assert_eq!(
+        silence.state(start + ms(900)),
+        StreamState::ActiveUntil(until)
+    );
+    assert_eq!(silence.state(until), StreamState::Silent);
 }
--- a/crates/peppercrank-direct/tests/verify_spread.rs
+++ b/crates/peppercrank-direct/tests/verify_spread.rs
@@ -15,160 +15,160 @@
 use peppercrank_direct::content::Fingerprint;
 use peppercrank_direct::peers::Datagram;
 use peppercrank_direct::peers::TargetId;
-use peppercrank_direct::quarantine::Broken;
-use peppercrank_direct::quarantine::Change;
 use peppercrank_direct::quarantine::CrashReport;
+use peppercrank_direct::quarantine::ProbeAction;
 use peppercrank_direct::quarantine::Quarantine;
-use peppercrank_direct::quarantine::spread::AGAIN;
-use peppercrank_direct::quarantine::spread::ASKED;
-use peppercrank_direct::quarantine::spread::GATHER;
-use peppercrank_direct::quarantine::spread::Spread;
-use peppercrank_direct::quarantine::spread::passes_on;
-use peppercrank_direct::quarantine::spread::reply;
+use peppercrank_direct::quarantine::Update;
+use peppercrank_direct::quarantine::spread::BATCH_DELAY;
+use peppercrank_direct::quarantine::spread::Gossip;
+use peppercrank_direct::quarantine::spread::RETRANSMIT_INTERVAL;
+use peppercrank_direct::quarantine::spread::STARTUP_FANOUT;
+use peppercrank_direct::quarantine::spread::missing_reports;
+use peppercrank_direct::quarantine::spread::should_relay;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::Rng;
 use rand_chacha::rand_core::SeedableRng;
 
-const DEADLY: Fingerprint = Fingerprint(7);
+const CRASHING: Fingerprint = Fingerprint(7);
 
 /// Time after the third end from which users count.
-const COUNTED: Duration = Duration::from_secs(3);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// Sendings that users allow then.
-const MOST_LATER: usize = 3;
+const MAX_LATE_SENDS: usize = 3;
 
 /// Time from a router's questions until it gets callers, at the least: it reads configuration and targets and tells the balancer.
-const UP: Duration = Duration::from_millis(20);
+const STARTUP_TIME: Duration = Duration::from_millis(20);
 
 /// Sendings then by routers that had just started: one whose questions are on their way may send it to two targets.
-const MOST_FRESH: usize = 2;
+const MAX_STARTUP_SENDS: usize = 2;
 
 /// Time that is played.
-const PLAYED: Duration = Duration::from_secs(60);
+const SIMULATED_TIME: Duration = Duration::from_secs(60);
 
 /// Time until a target that crashed is back.
-const BACK: Duration = Duration::from_secs(3);
+const RECOVERY_TIME: Duration = Duration::from_secs(3);
 
 /// Bytes of the headers of a datagram, IPv4 and UDP.
-const HEADERS: usize = 28;
+const HEADER_BYTES: usize = 28;
 
 /// Most bytes a second that a router may send for this on average: a quarter of what it may for control.
-const BYTES: usize = 1_024;
+const BYTES_PER_SECOND: usize = 1_024;
 
 /// Bytes that it may have saved up, with the last turn, which may go beyond them.
-const SAVED: usize = 4_096 + 4 * 1_228;
+const BURST_BYTES: usize = 4_096 + 4 * 1_228;
 
 /// `Day` is what is played.
 #[derive(Debug, Clone, Copy)]
-struct Day {
+struct Scenario {
     routers: usize,
     targets: usize,
     /// Arrivals a second.
     arrivals: u64,
     /// Whether one router after the other starts again, one a second.
-    roll: bool,
+    rolling_restart: bool,
     seed: u64,
 }
 
 #[derive(Debug)]
 enum Event {
     /// The request arrives at a router.
-    Arrives,
+    Arrival,
     /// A target crashes, if it is still the same start.
-    Crashes(usize, TargetId),
+    Crash(usize, TargetId),
     /// A router tells others.
-    Tells(usize),
+    Broadcast(usize),
     /// A router hears a datagram.
-    Hears(usize, usize, Vec<CrashReport>),
+    Receive(usize, usize, Vec<CrashReport>),
     /// A router starts again.
-    Restarts(usize),
+    Restart(usize),
 }
 
 #[derive(Debug)]
 struct Router {
     quarantine: Quarantine,
-    spread: Spread,
-    began: Moment,
+    gossip: Gossip,
+    started_at: Moment,
     /// Whether it is to tell others at some time.
-    telling: bool,
-    bytes: usize,
+    broadcast_scheduled: bool,
+    bytes_sent: usize,
 }
 
 #[derive(Debug)]
 struct Target {
     start: TargetId,
-    back: Moment,
+    up_at: Moment,
     /// Sendings at work: their routers, and whether another may follow.
-    at_work: Vec<(usize, bool)>,
+    in_flight: Vec<(usize, bool)>,
 }
 
 /// `Told` is what came of a day.
 #[derive(Debug, Default)]
-struct Told {
-    sent: usize,
+struct Results {
+    sends: usize,
     /// Sendings later than `COUNTED` after the third end, by routers that were up for so long.
-    later: usize,
+    late_sends: usize,
     /// Sendings then by routers that had just started.
-    fresh: usize,
-    ends: usize,
+    startup_sends: usize,
+    crashes: usize,
     /// The most bytes that one router sent.
-    bytes: usize,
+    max_bytes: usize,
     /// Time from the third end until all routers refuse it.
-    settled: Option<Duration>,
+    settled_after: Option<Duration>,
 }
 
-struct World {
-    day: Day,
+struct Simulation {
+    scenario: Scenario,
     rng: ChaCha8Rng,
     now: Moment,
     events: BTreeMap<(Moment, u64), Event>,
-    number: u64,
+    events_scheduled: u64,
     routers: Vec<Router>,
     targets: Vec<Target>,
     starts: u32,
-    third: Option<Moment>,
-    told: Told,
+    third_crash: Option<Moment>,
+    results: Results,
 }
 
-impl World {
-    fn new(day: Day) -> Self {
+impl Simulation {
+    fn new(scenario: Scenario) -> Self {
         let now = Moment::from_millis(1_000_000);
         let router = |_| Router {
             quarantine: Quarantine::default(),
-            spread: Spread::new(now),
-            began: now,
-            telling: false,
-            bytes: 0,
+            gossip: Gossip::new(now),
+            started_at: now,
+            broadcast_scheduled: false,
+            bytes_sent: 0,
         };
-        let mut world = Self {
-            day,
-            rng: ChaCha8Rng::seed_from_u64(day.seed),
+        let mut simulation = Self {
+            scenario,
+            rng: ChaCha8Rng::seed_from_u64(scenario.seed),
             now,
             events: BTreeMap::new(),
-            number: 0,
-            routers: (0..day.routers).map(router).collect(),
+            events_scheduled: 0,
+            routers: (0..scenario.routers).map(router).collect(),
             targets: Vec::new(),
             starts: 0,
-            third: None,
-            told: Told::default(),
+            third_crash: None,
+            results: Results::default(),
         };
-        for _ in 0..day.targets {
-            let target = world.start(now);
-            world.targets.push(target);
+        for _ in 0..scenario.targets {
+            let target = simulation.new_target(now);
+            simulation.targets.push(target);
         }
-        world.after(0, Event::Arrives);
-        if day.roll {
-            world.after(1_000, Event::Restarts(0));
+        simulation.schedule(0, Event::Arrival);
+        if scenario.rolling_restart {
+            simulation.schedule(1_000, Event::Restart(0));
         }
-        world
+        simulation
     }
 
-    fn start(&mut self, back: Moment) -> Target {
+    fn new_target(&mut self, up_at: Moment) -> Target {
         self.starts += 1;
         Target {
             start: TargetId(self.starts),
-            back,
-            at_work: Vec::new(),
+            up_at,
+            in_flight: Vec::new(),
         }
     }
 
@@ -177,14 +177,14 @@
         usize::try_from(self.rng.next_u64() % most as u64).expect("small")
     }
 
-    fn after(&mut self, millis: u64, event: Event) {
-        self.number += 1;
+    fn schedule(&mut self, millis: u64, event: Event) {
+        self.events_scheduled += 1;
         let at = self.now + Duration::from_millis(millis);
-        self.events.insert((at, self.number), event);
+        self.events.insert((at, self.events_scheduled), event);
     }
 
-    fn play(mut self) -> Told {
-        let end = self.now + PLAYED;
+    fn run(mut self) -> Results {
+        let end = self.now + SIMULATED_TIME;
         while let Some(((at, _), event)) = self.events.pop_first() {
             if at > end {
                 break;
@@ -192,87 +192,89 @@
             self.now = at;
             self.step(event);
         }
-        let bytes = self.routers.iter().map(|r| r.bytes).max();
-        self.told.bytes = bytes.unwrap_or(0);
-        self.told
+        let bytes = self.routers.iter().map(|r| r.bytes_sent).max();
+        self.results.max_bytes = bytes.unwrap_or(0);
+        self.results
     }
 
     fn step(&mut self, event: Event) {
         match event {
-            Event::Arrives => {
-                self.after(1_000 / self.day.arrivals, Event::Arrives);
-                let router = self.draw(self.day.routers);
-                let began = self.routers[router].began;
+            Event::Arrival => {
+                self.schedule(1_000 / self.scenario.arrivals, Event::Arrival);
+                let router = self.draw(self.scenario.routers);
+                let began = self.routers[router].started_at;
                 // What comes to one that is not up yet goes to the next.
-                let up = !self.day.roll || self.now.since(began) >= UP;
+                let up = !self.scenario.rolling_restart || self.now.since(began) >= STARTUP_TIME;
                 self.send(
                     if up {
                         router
                     } else {
-                        (router + 1) % self.day.routers
+                        (router + 1) % self.scenario.routers
                     },
                     true,
                 );
             }
-            Event::Crashes(target, start) => self.crash(target, start),
-            Event::Tells(router) => self.tell(router),
-            Event::Hears(to, from, reports) => self.hear(to, from, &reports),
-            Event::Restarts(router) => {
+            Event::Crash(target, start) => self.crash(target, start),
+            Event::Broadcast(router) => self.broadcast(router),
+            Event::Receive(to, from, reports) => self.receive(to, from, &reports),
+            Event::Restart(router) => {
                 self.routers[router].quarantine = Quarantine::default();
-                self.routers[router].began = self.now;
-                self.ask(router);
-                self.after(1_000, Event::Restarts((router + 1) % self.day.routers));
+                self.routers[router].started_at = self.now;
+                self.query_peers(router);
+                self.schedule(1_000, Event::Restart((router + 1) % self.scenario.routers));
             }
         }
-        self.settle();
+        self.record_settled();
     }
 
     /// Sends the request to a target that is up, if its router lets it.
-    fn send(&mut self, router: usize, more: bool) {
+    fn send(&mut self, router: usize, retry: bool) {
         let now = self.now;
-        let refused = self.routers[router].quarantine.refuses(now, DEADLY);
-        let up = |t: &usize| self.targets[*t].back <= now;
+        let refused = self.routers[router].quarantine.refuse(now, CRASHING);
+        let up = |t: &usize| self.targets[*t].up_at <= now;
         let up = (0..self.targets.len()).filter(up).collect::<Vec<_>>();
         if refused.is_some() || up.is_empty() {
             return;
         }
         let target = up[self.draw(up.len())];
-        self.told.sent += 1;
-        let late = self.third.is_some_and(|t| now.since(t) > COUNTED);
-        let fresh = now.since(self.routers[router].began) < COUNTED;
-        self.told.later += usize::from(late && !fresh);
-        self.told.fresh += usize::from(late && fresh);
-        self.targets[target].at_work.push((router, more));
+        self.results.sends += 1;
+        let late = self.third_crash.is_some_and(|t| now.since(t) > SETTLE_TIME);
+        let fresh = now.since(self.routers[router].started_at) < SETTLE_TIME;
+        self.results.late_sends += usize::from(late && !fresh);
+        self.results.startup_sends += usize::from(late && fresh);
+        self.targets[target].in_flight.push((router, retry));
         let start = self.targets[target].start;
         let millis = 20 + self.draw(480) as u64;
-        self.after(millis, Event::Crashes(target, start));
+        self.schedule(millis, Event::Crash(target, start));
     }
 
     fn crash(&mut self, target: usize, start: TargetId) {
         let known = &self.targets[target];
-        if known.start != start || known.at_work.is_empty() {
+        if known.start != start || known.in_flight.is_empty() {
             return;
         }
-        let back = self.now + BACK;
-        let next = self.start(back);
+        let back = self.now + RECOVERY_TIME;
+        let next = self.new_target(back);
         let ended = std::mem::replace(&mut self.targets[target], next);
-        self.told.ends += 1;
-        if self.told.ends == 3 {
-            self.third = Some(self.now);
+        self.results.crashes += 1;
+        if self.results.crashes == 3 {
+            self.third_crash = Some(self.now);
         }
-        for (router, more) in ended.at_work {
+        for (router, more) in ended.in_flight {
             let quarantine = &mut self.routers[router].quarantine;
-            let first = quarantine.broke_off(DEADLY, start) == Broken::AskFirst;
+            let first = quarantine.record_broken_answer(CRASHING, start) == ProbeAction::ProbeFirst;
             // What is not waited for is known only after the next target was chosen.
             if !first && more {
                 self.send(router, false);
             }
-            let changes = self.routers[router].quarantine.ended(self.now, start);
-            if changes.iter().any(|(_, c)| *c != Change::Known) {
-                self.will_tell(router, GATHER);
+            let changes = self.routers[router]
+                .quarantine
+                .record_crash(self.now, start);
+            if changes.iter().any(|(_, c)| *c != Update::Unchanged) {
+                self.schedule_broadcast(router, BATCH_DELAY);
             }
-            if changes.iter().any(|(_, c)| *c == Change::Quarantined) {
-                self.give_up(router);
+            if changes.iter().any(|(_, c)| *c == Update::Quarantined) {
+                self.cancel_work(router);
             }
             if first && more {
                 self.send(router, false);
@@ -280,110 +282,123 @@
         }
     }
 
-    fn will_tell(&mut self, router: usize, pause: Duration) {
-        if !self.routers[router].telling {
-            self.routers[router].telling = true;
+    fn schedule_broadcast(&mut self, router: usize, pause: Duration) {
+        if !self.routers[router].broadcast_scheduled {
+            self.routers[router].broadcast_scheduled = true;
             let millis = u64::try_from(pause.as_millis()).expect("short");
-            self.after(millis, Event::Tells(router));
+            self.schedule(millis, Event::Broadcast(router));
         }
     }
 
-    fn tell(&mut self, from: usize) {
+    fn broadcast(&mut self, from: usize) {
         let now = self.now;
         let router = &mut self.routers[from];
-        router.telling = false;
-        if let Some(telling) = router.spread.turn(now, &mut router.quarantine) {
-            let first = self.draw(self.day.routers - 1);
-            for n in 0..telling.peers.min(self.day.routers - 1) {
-                let to = (from + 1 + (first + n) % (self.day.routers - 1)) % self.day.routers;
-                self.datagram(from, to, telling.reports.clone());
+        router.broadcast_scheduled = false;
+        if let Some(broadcast) = router.gossip.next_broadcast(now, &mut router.quarantine) {
+            let first = self.draw(self.scenario.routers - 1);
+            for n in 0..broadcast.fanout.min(self.scenario.routers - 1) {
+                let to =
+                    (from + 1 + (first + n) % (self.scenario.routers - 1)) % self.scenario.routers;
+                self.send_datagram(from, to, broadcast.reports.clone());
             }
         }
         if !self.routers[from].quarantine.is_empty() {
-            self.will_tell(from, AGAIN);
+            self.schedule_broadcast(from, RETRANSMIT_INTERVAL);
         }
     }
 
     /// A router that starts again asks others before it serves.
-    fn ask(&mut self, router: usize) {
-        let others = self.day.routers - 1;
+    fn query_peers(&mut self, router: usize) {
+        let others = self.scenario.routers - 1;
         let first = self.draw(others);
-        for n in 0..ASKED.min(others) {
-            let to = (router + 1 + (first + n) % others) % self.day.routers;
-            self.datagram(router, to, Vec::new());
+        for n in 0..STARTUP_FANOUT.min(others) {
+            let to = (router + 1 + (first + n) % others) % self.scenario.routers;
+            self.send_datagram(router, to, Vec::new());
         }
     }
 
-    fn datagram(&mut self, from: usize, to: usize, reports: Vec<CrashReport>) {
-        let bytes = Datagram::Crashes(reports.clone()).encode();
-        let bytes = bytes.expect("a datagram").len() + HEADERS;
-        self.routers[from].bytes += bytes;
-        self.routers[from].spread.sent(bytes);
+    fn send_datagram(&mut self, from: usize, to: usize, reports: Vec<CrashReport>) {
+        let bytes = Datagram::CrashReports(reports.clone()).encode();
+        let bytes = bytes.expect("a datagram").len() + HEADER_BYTES;
+        self.routers[from].bytes_sent += bytes;
+        self.routers[from].gossip.record_sent(bytes);
         if self.draw(100) > 0 {
             let millis = 1 + self.draw(3) as u64;
-            self.after(millis, Event::Hears(to, from, reports));
+            self.schedule(millis, Event::Receive(to, from, reports));
         }
     }
 
-    fn hear(&mut self, to: usize, from: usize, reports: &[CrashReport]) {
+    fn receive(&mut self, to: usize, from: usize, reports: &[CrashReport]) {
         let now = self.now;
-        let relay = passes_on(self.day.routers - 1);
+        let relay = should_relay(self.scenario.routers - 1);
         for report in reports {
             let quarantine = &mut self.routers[to].quarantine;
-            if quarantine.hear(now, report, relay) == Change::Quarantined {
-                self.give_up(to);
+            if quarantine.merge_report(now, report, relay) == Update::Quarantined {
+                self.cancel_work(to);
             }
         }
-        let reply = reply(now, &self.routers[to].quarantine, reports);
+        let reply = missing_reports(now, &self.routers[to].quarantine, reports);
         if !reply.is_empty() {
-            self.datagram(to, from, reply);
+            self.send_datagram(to, from, reply);
         }
-        if self.routers[to].quarantine.has_news() {
-            self.will_tell(to, GATHER);
+        if self.routers[to].quarantine.has_pending_reports() {
+            self.schedule_broadcast(to, BATCH_DELAY);
         }
     }
 
     /// A router that learns that it is quarantined gives up what it has at work; a target that has none left does not crash.
-    fn give_up(&mut self, router: usize) {
+    fn cancel_work(&mut self, router: usize) {
         for target in &mut self.targets {
-            target.at_work.retain(|(r, _)| *r != router);
+            target.in_flight.retain(|(r, _)| *r != router);
         }
     }
 
     /// Notes when all routers refuse it.
-    fn settle(&mut self) {
-        let Some(third) = self.third.filter(|_| self.told.settled.is_none()) else {
+    fn record_settled(&mut self) {
+        let Some(third) = self
+            .third_crash
+            .filter(|_| self.results.settled_after.is_none())
+        else {
             return;
         };
         let now = self.now;
-        let refuses = |r: &Router| r.quarantine.quarantined() > 0;
+        let refuses = |r: &Router| r.quarantine.quarantined_count() > 0;
         if self.routers.iter().all(refuses) {
-            self.told.settled = Some(now.since(third));
+            self.results.settled_after = Some(now.since(third));
         }
     }
 }
 
 /// Plays a day and holds it to what users ask.
-fn play(day: Day) {
-    let told = World::new(day).play();
-    println!("{day:?}: {told:?}");
-    assert!(told.later <= MOST_LATER, "{day:?}: {told:?}");
+fn check(scenario: Scenario) {
+    let results = Simulation::new(scenario).run();
+    println!("{scenario:?}: {results:?}");
+    assert!(
+        results.late_sends <= MAX_LATE_SENDS,
+        "{scenario:?}: {results:?}"
+    );
     // A router that starts serves only some milliseconds after it has asked.
-    assert!(told.fresh <= MOST_FRESH, "{day:?}: {told:?}");
-    let seconds = usize::try_from(PLAYED.as_secs()).expect("short");
-    assert!(told.bytes <= seconds * BYTES + SAVED, "{day:?}: {told:?}");
+    assert!(
+        results.startup_sends <= MAX_STARTUP_SENDS,
+        "{scenario:?}: {results:?}"
+    );
+    let seconds = usize::try_from(SIMULATED_TIME.as_secs()).expect("short");
+    assert!(
+        results.max_bytes <= seconds * BYTES_PER_SECOND + BURST_BYTES,
+        "{scenario:?}: {results:?}"
+    );
 }
 
 /// Plays all sizes, rates and seeds.
-fn play_all(roll: bool) {
+fn check_all(rolling_restart: bool) {
     for (routers, targets) in [(6, 9), (30, 53), (68, 120)] {
         for arrivals in [1, 10, 50] {
             for seed in 1..=3 {
-                play(Day {
+                check(Scenario {
                     routers,
                     targets,
                     arrivals,
-                    roll,
+                    rolling_restart,
                     seed,
                 });
             }
@@ -392,11 +407,11 @@
 }
 
 #[test]
-fn verify_it_reaches_no_more_targets_once_three_have_ended() {
-    play_all(false);
+fn verify_few_sends_follow_the_third_crash() {
+    check_all(false);
 }
 
 #[test]
-fn verify_routers_that_start_again_learn_it_from_the_others() {
-    play_all(true);
+fn verify_restarted_routers_learn_of_the_quarantine() {
+    check_all(true);
 }
--- a/crates/peppercrank-gateway/src/choose.rs
+++ b/crates/peppercrank-gateway/src/choose.rs
@@ -86,8 +86,8 @@
         now,
         job,
         settings: &settings,
-        lag: state.peers.lag(now),
-        hold: rates.hold(),
+        lag: state.peers.mean_age(now),
+        hold: rates.hold_ms(),
     };
     let candidates = survey.candidates(&eligible.open, tried);
     let holders = survey.holders(&eligible);
@@ -131,9 +131,9 @@
 pub fn link_state(gateway: &Gateway) -> LinkState {
     let openings = gateway.client.openings();
     LinkState {
-        opening: openings.count(),
-        longest: openings.oldest().map_or(Duration::ZERO, |o| o.elapsed()),
-        last: openings.last().map(|made| (made.at.elapsed(), made.took)),
+        pending: openings.count(),
+        longest_pending: openings.oldest().map_or(Duration::ZERO, |o| o.elapsed()),
+        last_connected: openings.last().map(|made| (made.at.elapsed(), made.took)),
     }
 }
 
@@ -162,7 +162,7 @@
     state.gate.sent(now, key);
     if let Some(own) = job.parts.last() {
         // Peers gain nothing from the last part, which is the request's own.
-        state.prefixes.note(now, key, own.chain);
+        state.prefixes.record(now, key, own.prefix_hash);
     }
     Some(Flight {
         termination: state.terminations.subscribe(key),
@@ -207,10 +207,10 @@
             name: registration.draw(),
             slots: registration.slots,
             near: *registration.zone == *self.settings.zone,
-            held: state.prefixes.held(key, &self.job.parts),
+            held: state.prefixes.held_tokens(key, &self.job.parts),
             fresh: is_fresh(state, *now, state.directory.came(key)?),
             lag: now.since(state.heard),
-            stats: state.board.get(key).at(*now, self.lag, self.hold),
+            stats: state.board.get(key).as_of(*now, self.lag, self.hold),
         })
     }
 
@@ -229,10 +229,10 @@
             state, now, job, ..
         } = self;
         let registration = &state.directory.get(key)?.registration;
-        let counted = counts.then(|| state.board.get(key).at(*now, self.lag, self.hold));
+        let counted = counts.then(|| state.board.get(key).as_of(*now, self.lag, self.hold));
         let copies = job.copying.is_some() && eligible::is_allowed(state, job, self.settings, key);
         let held = if copies {
-            state.prefixes.held(key, job.shared())
+            state.prefixes.held_tokens(key, job.shared())
         } else {
             0
         };
--- a/crates/peppercrank-gateway/src/confirm.rs
+++ b/crates/peppercrank-gateway/src/confirm.rs
@@ -7,12 +7,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use peppercrank_direct::confirm::Asked;
 use peppercrank_direct::confirm::Confirmation;
-use peppercrank_direct::confirm::Known;
-use peppercrank_direct::confirm::Question;
+use peppercrank_direct::confirm::ConfirmationRequest;
+use peppercrank_direct::confirm::KeyState;
+use peppercrank_direct::confirm::PendingRequest;
 use peppercrank_direct::confirm::Verdict;
-use peppercrank_direct::confirm::askers;
+use peppercrank_direct::confirm::store_readers;
 use peppercrank_direct::freshness::Source;
 use peppercrank_direct::peers::Datagram;
 use tokio::net::UdpSocket;
@@ -62,11 +62,14 @@
             return false;
         };
         let nonce = rand::random();
-        let question = Question { nonce };
+        let question = ConfirmationRequest { nonce };
         let at = self.gateway.now();
-        self.gateway.state().asked = Some(Asked { question, at });
+        self.gateway.state().asked = Some(PendingRequest {
+            request: question,
+            sent_at: at,
+        });
         let answered = self.gateway.answered.notified();
-        let datagram = Datagram::Question(question);
+        let datagram = Datagram::ConfirmationRequest(question);
         gossip::send(&self.gateway, &self.socket, to, datagram).await;
         let answered = timeout(ANSWER, answered).await.is_ok();
         let confirmed = self.gateway.state().asked.take().is_none();
@@ -81,9 +84,9 @@
         let own = self.gateway.settings().name.clone();
         let state = self.gateway.state();
         let alive = state.routers.iter();
-        let alive = alive.filter(|(_, r)| state.peers.hears(now, r.address));
+        let alive = alive.filter(|(_, r)| state.peers.is_alive(now, r.address));
         let names = alive.map(|(name, _)| &**name).chain([own.as_str()]);
-        let askers = askers(names.collect());
+        let askers = store_readers(names.collect());
         if askers.contains(&own.as_str()) {
             return None;
         }
@@ -94,13 +97,13 @@
 
 /// `answer` answers another router's question; none where nothing is known.
 #[must_use]
-pub fn answer(gateway: &Gateway, question: Question) -> Option<Confirmation> {
+pub fn answer(gateway: &Gateway, question: ConfirmationRequest) -> Option<Confirmation> {
     let now = gateway.now();
     let state = gateway.state();
-    let known = Known {
+    let known = KeyState {
         version: state.config.index().map(|i| i.desired().version),
         age: state.freshness.age(now),
-        evacuations: state.directory.evacuations.digest(),
+        evacuations_digest: state.directory.evacuations.digest(),
     };
     Confirmation::new(question, known)
 }
@@ -109,17 +112,17 @@
 pub fn take(gateway: &Gateway, told: Confirmation) {
     let mut state = gateway.state();
     let version = state.config.index().map(|i| i.desired().version);
-    let verdict = state.asked.map(|asked| asked.judge(told, version));
+    let verdict = state.asked.map(|asked| asked.evaluate(told, version));
     match verdict {
-        Some(Verdict::Newest(at)) => {
+        Some(Verdict::CurrentAsOf(at)) => {
             state.freshness.confirm(at, Source::Router);
             state.asked = None;
         }
         // The question stays, which tells that its answer confirmed nothing.
         Some(Verdict::Outdated) => {}
-        Some(Verdict::Nothing) | None => return,
+        Some(Verdict::Unusable) | None => return,
     }
     drop(state);
-    evacuations::compare(gateway, told.evacuations);
+    evacuations::compare(gateway, told.evacuations_digest);
     gateway.answered.notify_waiters();
 }
--- a/crates/peppercrank-gateway/src/crashes.rs
+++ b/crates/peppercrank-gateway/src/crashes.rs
@@ -11,16 +11,16 @@
 use peppercrank_direct::content::Fingerprint;
 use peppercrank_direct::peers::Datagram;
 use peppercrank_direct::peers::TargetId;
-use peppercrank_direct::quarantine::Broken;
-use peppercrank_direct::quarantine::Change;
 use peppercrank_direct::quarantine::CrashReport;
-use peppercrank_direct::quarantine::spread::AGAIN;
-use peppercrank_direct::quarantine::spread::ASKED;
-use peppercrank_direct::quarantine::spread::GATHER;
-use peppercrank_direct::quarantine::spread::Spread;
-use peppercrank_direct::quarantine::spread::Telling;
-use peppercrank_direct::quarantine::spread::passes_on;
-use peppercrank_direct::quarantine::spread::reply;
+use peppercrank_direct::quarantine::ProbeAction;
+use peppercrank_direct::quarantine::Update;
+use peppercrank_direct::quarantine::spread::BATCH_DELAY;
+use peppercrank_direct::quarantine::spread::Broadcast;
+use peppercrank_direct::quarantine::spread::Gossip;
+use peppercrank_direct::quarantine::spread::RETRANSMIT_INTERVAL;
+use peppercrank_direct::quarantine::spread::STARTUP_FANOUT;
+use peppercrank_direct::quarantine::spread::missing_reports;
+use peppercrank_direct::quarantine::spread::should_relay;
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 use tokio::time::timeout;
@@ -35,11 +35,11 @@
 
 /// `tell` tells other routers at once under which requests targets ended, and reminds them of what is quarantined.
 pub async fn tell(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
-    let mut spread = Spread::new(gateway.now());
+    let mut spread = Gossip::new(gateway.now());
     ask_others(&gateway, &socket).await;
     loop {
         wait(&gateway).await;
-        sleep(GATHER).await;
+        sleep(BATCH_DELAY).await;
         turn(&gateway, &socket, &mut spread).await;
     }
 }
@@ -47,9 +47,9 @@
 /// Asks others what is quarantined, once this router has read who they are.
 async fn ask_others(gateway: &Gateway, socket: &UdpSocket) {
     gateway.routers_listed.notified().await;
-    let peers = draw(&gateway.state(), ASKED);
+    let peers = draw(&gateway.state(), STARTUP_FANOUT);
     for to in peers {
-        send(gateway, socket, to, Datagram::Crashes(Vec::new())).await;
+        send(gateway, socket, to, Datagram::CrashReports(Vec::new())).await;
     }
 }
 
@@ -60,25 +60,28 @@
         return news.await;
     }
     // Over at the time or before it: either way there is something to tell.
-    let _over = timeout(AGAIN, news).await;
+    let _over = timeout(RETRANSMIT_INTERVAL, news).await;
 }
 
-async fn turn(gateway: &Gateway, socket: &UdpSocket, spread: &mut Spread) {
+async fn turn(gateway: &Gateway, socket: &UdpSocket, spread: &mut Gossip) {
     let Some((reports, peers)) = next(gateway, spread) else {
         return;
     };
-    let datagram = Datagram::Crashes(reports);
+    let datagram = Datagram::CrashReports(reports);
     for to in peers {
         let bytes = send(gateway, socket, to, datagram.clone()).await;
-        spread.sent(bytes + HEADERS);
+        spread.record_sent(bytes + HEADERS);
     }
 }
 
 /// What is told now, and to whom.
-fn next(gateway: &Gateway, spread: &mut Spread) -> Option<(Vec<CrashReport>, Vec<SocketAddr>)> {
+fn next(gateway: &Gateway, spread: &mut Gossip) -> Option<(Vec<CrashReport>, Vec<SocketAddr>)> {
     let now = gateway.now();
     let mut state = gateway.state();
-    let Telling { reports, peers } = spread.turn(now, &mut state.quarantine)?;
+    let Broadcast {
+        reports,
+        fanout: peers,
+    } = spread.next_broadcast(now, &mut state.quarantine)?;
     Some((reports, draw(&state, peers)))
 }
 
@@ -86,13 +89,16 @@
 pub async fn broke_off(gateway: &Arc<Gateway>, job: &Job, flight: &Flight) {
     let content = job.fingerprint();
     let target = flight.target;
-    let broken = gateway.state().quarantine.broke_off(content, target);
-    if broken == Broken::Asked {
+    let broken = gateway
+        .state()
+        .quarantine
+        .record_broken_answer(content, target);
+    if broken == ProbeAction::AlreadyProbing {
         return;
     }
     // From a task of its own, as a caller who leaves must not take the answer from the others that wait for it.
     let asking = tokio::spawn(ask(Arc::clone(gateway), target, flight.address));
-    if broken == Broken::AskFirst {
+    if broken == ProbeAction::ProbeFirst {
         // It ends early only with the process.
         let _over = asking.await;
     }
@@ -103,10 +109,13 @@
     let connected = gateway.client.connect(address).await.is_ok();
     // Where this router's own link is at fault, nothing is known of the target.
     if connected || is_congested(&link_state(&gateway)) {
-        gateway.state().quarantine.lives(target);
+        gateway.state().quarantine.record_alive(target);
         return;
     }
-    let changes = gateway.state().quarantine.ended(gateway.now(), target);
+    let changes = gateway
+        .state()
+        .quarantine
+        .record_crash(gateway.now(), target);
     for (content, change) in changes {
         learnt(&gateway, content, change);
     }
@@ -117,7 +126,9 @@
     let content = job.fingerprint();
     let now = gateway.now();
     let mut state = gateway.state();
-    let change = state.quarantine.ended_under(now, content, flight.target);
+    let change = state
+        .quarantine
+        .record_crash_of(now, content, flight.target);
     drop(state);
     learnt(gateway, content, change);
 }
@@ -142,15 +153,15 @@
     if state.quarantine.is_empty() {
         return None;
     }
-    state.quarantine.refuses(now, job.fingerprint())
+    state.quarantine.refuse(now, job.fingerprint())
 }
 
 /// Tells the log and other routers what this one has learnt.
-fn learnt(gateway: &Gateway, content: Fingerprint, change: Change) {
+fn learnt(gateway: &Gateway, content: Fingerprint, change: Update) {
     match change {
-        Change::Known => return,
-        Change::News => {}
-        Change::Quarantined => gateway.note_quarantined(content, "here"),
+        Update::Unchanged => return,
+        Update::NewEvidence => {}
+        Update::Quarantined => gateway.note_quarantined(content, "here"),
     }
     gateway.crashed.notify_one();
 }
@@ -164,7 +175,7 @@
 ) {
     let unknown = take(gateway, reports);
     if !unknown.is_empty() {
-        send(gateway, socket, from, Datagram::Crashes(unknown)).await;
+        send(gateway, socket, from, Datagram::CrashReports(unknown)).await;
     }
 }
 
@@ -172,15 +183,15 @@
 fn take(gateway: &Gateway, reports: &[CrashReport]) -> Vec<CrashReport> {
     let now = gateway.now();
     let mut state = gateway.state();
-    let relay = passes_on(state.routers.len());
+    let relay = should_relay(state.routers.len());
     let mut quarantined = Vec::new();
     for report in reports {
-        if state.quarantine.hear(now, report, relay) == Change::Quarantined {
+        if state.quarantine.merge_report(now, report, relay) == Update::Quarantined {
             quarantined.push(report.content());
         }
     }
-    let unknown = reply(now, &state.quarantine, reports);
-    let news = state.quarantine.has_news();
+    let unknown = missing_reports(now, &state.quarantine, reports);
+    let news = state.quarantine.has_pending_reports();
     drop(state);
     if news {
         gateway.crashed.notify_one();
--- a/crates/peppercrank-gateway/src/eligible.rs
+++ b/crates/peppercrank-gateway/src/eligible.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use peppercrank_core::time::Moment;
-use peppercrank_direct::admission::SOONEST;
+use peppercrank_direct::admission::MIN_RETRY_AFTER;
 use peppercrank_direct::directory::TargetKey;
 use peppercrank_direct::directory::Withheld;
 use peppercrank_direct::warm_up::Allowance;
@@ -30,7 +30,7 @@
 impl Rejection {
     /// `now` is a refusal of which no more is known.
     pub(crate) const fn now(reason: Reason) -> Self {
-        let after = SOONEST;
+        let after = MIN_RETRY_AFTER;
         Self { reason, after }
     }
 }
--- a/crates/peppercrank-gateway/src/flight.rs
+++ b/crates/peppercrank-gateway/src/flight.rs
@@ -43,20 +43,20 @@
     /// `first` notes the answer's first part: the prompt is read.
     pub fn first(&mut self) {
         let now = self.gateway.now();
-        let took = now.since(self.counted.sent);
+        let took = now.since(self.counted.sent_at);
         self.gateway.metrics.target_answered(&self.instance, took);
         let mut state = self.gateway.state();
         let State { board, rates, .. } = &mut *state;
         let rates = rates.entry(Arc::clone(&self.pool)).or_default();
-        self.counted.first(now, board, rates);
+        self.counted.record_first_part(now, board, rates);
     }
 
     /// `told` notes what the target tells of its load.
     pub fn told(&self, load: Load) {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
-        if let Some(stats) = state.board.of(self.counted.choice.key) {
-            stats.reported(now, load.running.saturating_add(load.waiting));
+        if let Some(stats) = state.board.get_mut(self.counted.choice.key) {
+            stats.record_report(now, load.running.saturating_add(load.waiting));
         }
     }
 
@@ -107,6 +107,6 @@
         let mut state = self.gateway.state();
         let State { board, rates, .. } = &mut *state;
         let rates = rates.entry(Arc::clone(&self.pool)).or_default();
-        self.counted.end(now, board, rates);
+        self.counted.finish(now, board, rates);
     }
 }
--- a/crates/peppercrank-gateway/src/gateway.rs
+++ b/crates/peppercrank-gateway/src/gateway.rs
@@ -210,7 +210,10 @@
         let now = self.now();
         self.metrics.target_failed(&target.instance);
         let mut state = self.state();
-        let ejected = state.board.of(target.key).is_some_and(|s| s.failed(now));
+        let ejected = state
+            .board
+            .get_mut(target.key)
+            .is_some_and(|s| s.record_failure(now));
         drop(state);
         if ejected {
             let fields = [("target", Field::Text(&target.instance))];
--- a/crates/peppercrank-gateway/src/gossip.rs
+++ b/crates/peppercrank-gateway/src/gossip.rs
@@ -59,7 +59,7 @@
     /// Adds what one turn allows.
     fn earn(&mut self, peers: usize) {
         let each = BYTES_A_SECOND / usize::try_from(1_000 / EVERY.as_millis()).unwrap_or(1);
-        let reports = reports::share(each, peers, self.size, BYTES_A_SECOND);
+        let reports = reports::report_bytes(each, peers, self.size, BYTES_A_SECOND);
         // What a pause saved does not add up to a burst.
         self.allowance = (self.allowance + each - reports).min(2 * each.max(self.size));
         self.reports = (self.reports + reports).min(2 * each);
@@ -90,7 +90,7 @@
             hints: if to == 0 {
                 Vec::new()
             } else {
-                state.outbox.take(to)
+                state.outbox.take_batch(to)
             },
         }
     }
@@ -132,22 +132,23 @@
 
 /// Passes load reports on to one peer, drawn anew each time, as far as the allowance goes.
 async fn pass_on(gateway: &Gateway, socket: &UdpSocket, round: &mut Round) {
-    if round.reports < reports::MOST_BYTES + HEADERS {
+    if round.reports < reports::MAX_REPORTS_BYTES + HEADERS {
         return;
     }
     let Some((reports, to)) = reports_to_pass(gateway.now(), &gateway.state()) else {
         return;
     };
-    let bytes = send(gateway, socket, to, Datagram::Reports(reports)).await;
+    let bytes = send(gateway, socket, to, Datagram::LoadReports(reports)).await;
     round.reports = round.reports.saturating_sub(bytes + HEADERS);
 }
 
 /// The newest load reports, and a peer; none where there are none.
 fn reports_to_pass(now: Moment, state: &State) -> Option<(Vec<LoadReport>, SocketAddr)> {
-    let report =
-        |(name, key): (&TargetId, &TargetKey)| LoadReport::of(*name, &state.board.get(*key), now);
+    let report = |(name, key): (&TargetId, &TargetKey)| {
+        LoadReport::from_stats(*name, &state.board.get(*key), now)
+    };
     let mut reports = state.names.iter().filter_map(report).collect::<Vec<_>>();
-    reports::choose(&mut reports);
+    reports::select(&mut reports);
     if reports.is_empty() {
         return None;
     }
@@ -176,8 +177,8 @@
         let Some(key) = state.names.get(&report.target()).copied() else {
             continue;
         };
-        if let Some(stats) = state.board.of(key) {
-            stats.relayed(report.told(now), report.load());
+        if let Some(stats) = state.board.get_mut(key) {
+            stats.record_relayed_report(report.earliest_time(now), report.load());
         }
     }
 }
@@ -191,11 +192,11 @@
 /// This router's own work on a target, if there is any.
 fn work(state: &State, target: TargetId, key: TargetKey) -> Option<Work> {
     let known = state.board.get(key);
-    let busy = known.running > 0;
+    let busy = known.in_flight > 0;
     busy.then_some(Work {
         target,
-        running: known.running,
-        reading: known.reading,
+        in_flight: known.in_flight,
+        prefill_tokens: known.prefill_tokens,
     })
 }
 
@@ -211,14 +212,14 @@
         };
         match Datagram::decode(&space[..len]) {
             Ok(Datagram::Summary(summary)) => take(&gateway, from, &summary),
-            Ok(Datagram::Question(question)) => {
+            Ok(Datagram::ConfirmationRequest(question)) => {
                 if let Some(told) = confirm::answer(&gateway, question) {
                     send(&gateway, &socket, from, Datagram::Confirmation(told)).await;
                 }
             }
             Ok(Datagram::Confirmation(told)) => confirm::take(&gateway, told),
-            Ok(Datagram::Reports(reports)) => take_reports(&gateway, &reports),
-            Ok(Datagram::Crashes(reports)) => {
+            Ok(Datagram::LoadReports(reports)) => take_reports(&gateway, &reports),
+            Ok(Datagram::CrashReports(reports)) => {
                 crashes::hear(&gateway, &socket, from, &reports).await;
             }
             Err(_) => gateway.metrics.missed("malformed datagram"),
@@ -244,19 +245,19 @@
 fn take(gateway: &Gateway, from: SocketAddr, summary: &Summary) {
     let now = gateway.now();
     let mut state = gateway.state();
-    if !state.peers.take(now, from, summary) {
+    if !state.peers.record_summary(now, from, summary) {
         return;
     }
     state.peers.expire(now);
     for hint in &summary.hints {
         if let Some(key) = state.names.get(&hint.target).copied() {
-            state.prefixes.note(now, key, hint.chain);
+            state.prefixes.record(now, key, hint.prefix_hash);
         }
     }
     state.heard = now;
-    for (target, sum) in state.peers.changed() {
+    for (target, sum) in state.peers.take_changed() {
         if let Some(key) = state.names.get(&target).copied() {
-            state.board.hear(key, sum);
+            state.board.set_peer_work(key, sum);
         }
     }
 }
--- a/crates/peppercrank-gateway/src/job.rs
+++ b/crates/peppercrank-gateway/src/job.rs
@@ -11,13 +11,13 @@
 use http::request::Parts;
 use peppercrank_core::hash::hash64;
 use peppercrank_core::time::Moment;
-use peppercrank_direct::content::Content;
 use peppercrank_direct::content::Fingerprint;
+use peppercrank_direct::content::RequestContent;
 use peppercrank_direct::desired::Allowed;
 use peppercrank_direct::desired::Index;
 use peppercrank_direct::desired::Route;
 use peppercrank_direct::desired::RouteKind;
-use peppercrank_direct::prefixes::Part;
+use peppercrank_direct::prefixes::PromptPart;
 use peppercrank_direct::ranks::Rank;
 use peppercrank_direct::regions::Regions;
 use peppercrank_direct::warm_up::WarmUp;
@@ -75,7 +75,7 @@
     /// The regions in which it may run.
     pub regions: Regions,
     /// Parts of its prompt.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
     /// When it came.
     pub begun: Moment,
     /// When it must have its final answer.
@@ -91,7 +91,7 @@
     #[must_use]
     pub fn home(&self) -> u64 {
         match self.shared().last() {
-            Some(part) => part.chain,
+            Some(part) => part.prefix_hash,
             None => self.own(),
         }
     }
@@ -109,7 +109,7 @@
         *self.fingerprint.get_or_init(|| {
             let host = self.head.headers.get(http::header::HOST);
             let path = self.head.uri.path_and_query();
-            Fingerprint::of(&Content {
+            Fingerprint::of(&RequestContent {
                 method: self.head.method.as_str(),
                 host: host.map_or(&[], |h| h.as_bytes()),
                 path: path.map_or("", |p| p.as_str()),
@@ -121,7 +121,7 @@
 
     /// `shared` are the parts of its prompt that other requests share: all but its own last one.
     #[must_use]
-    pub fn shared(&self) -> &[Part] {
+    pub fn shared(&self) -> &[PromptPart] {
         let most = self.parts.len().saturating_sub(1);
         &self.parts[..most]
     }
@@ -187,7 +187,7 @@
             pause: route.pause,
             organisation: organisation.map(|o| Arc::clone(&o.name)),
             rank: index.ranks().rank(pool, route, organisation),
-            pool_goal: index.ranks().goal(pool),
+            pool_goal: index.ranks().shortest_goal(pool),
             tokens: prompt.tokens,
             output: prompt.output,
             copying: memory.and_then(|m| m.copying()),
--- a/crates/peppercrank-gateway/src/metrics.rs
+++ b/crates/peppercrank-gateway/src/metrics.rs
@@ -348,7 +348,7 @@
         let routers = state.sharers(now);
         let pools = state.budget.pools().cloned().collect::<Vec<_>>();
         for pool in pools {
-            let left = state.budget.left(now, &pool, routers);
+            let left = state.budget.remaining(now, &pool, routers);
             let pool = pool.to_string();
             self.budget.get_or_create(&PoolLabel { pool }).set(left);
         }
@@ -365,9 +365,9 @@
         self.dropped.set(signed(u128::from(gateway.log.dropped())));
         let age = state.freshness.age(now).map(|a| a.as_millis());
         self.age.set(age.map_or(-1, signed));
-        let quarantined = state.quarantine.quarantined();
+        let quarantined = state.quarantine.quarantined_count();
         self.quarantined.set(signed(quarantined as u128));
-        self.peers.set(signed(state.peers.alive(now) as u128));
+        self.peers.set(signed(state.peers.alive_count(now) as u128));
         self.targets.set(signed(state.directory.len() as u128));
         drop(state);
         let mut text = String::new();
--- a/crates/peppercrank-gateway/src/register.rs
+++ b/crates/peppercrank-gateway/src/register.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use peppercrank_core::events::Event;
-use peppercrank_direct::peers::silent;
+use peppercrank_direct::peers::peer_timeout;
 use peppercrank_log::Field;
 use peppercrank_platform::router::RouterEntry;
 use peppercrank_platform::store;
@@ -116,9 +116,9 @@
     let now = gateway.now();
     let mut state = gateway.state();
     let State { routers, peers, .. } = &mut *state;
-    let rounds = silent(routers.len()) * 2;
+    let rounds = peer_timeout(routers.len()) * 2;
     for registered in routers.values_mut() {
-        if peers.hears(now, registered.address) {
+        if peers.is_alive(now, registered.address) {
             registered.heard = now;
         }
     }
--- a/crates/peppercrank-gateway/src/relay.rs
+++ b/crates/peppercrank-gateway/src/relay.rs
@@ -13,10 +13,10 @@
 use peppercrank_core::events::Event;
 use peppercrank_direct::desired::RouteKind;
 use peppercrank_direct::events::Events;
-use peppercrank_direct::retries::After;
 use peppercrank_direct::retries::ExecutionState;
-use peppercrank_direct::silence::Heard;
-use peppercrank_direct::silence::Silence;
+use peppercrank_direct::retries::NextStep;
+use peppercrank_direct::silence::SilenceDetector;
+use peppercrank_direct::silence::StreamState;
 use peppercrank_log::Field;
 use peppercrank_wire::body;
 use peppercrank_wire::body::Body;
@@ -48,7 +48,7 @@
     began: Duration,
     /// Whole events only, of streams that may be resumed.
     events: Option<Events>,
-    silence: Silence,
+    silence: SilenceDetector,
 }
 
 /// `Step` is what happened to a stream.
@@ -74,7 +74,7 @@
         feed,
         began: run.held(),
         events: resumable.then(Events::default),
-        silence: Silence::new(run.gateway.now(), run.job.pause),
+        silence: SilenceDetector::new(run.gateway.now(), run.job.pause),
     };
     tokio::spawn(relay.go(first));
     body
@@ -109,7 +109,7 @@
                 }
                 // It may speak again, so it is waited for unless another run may go on.
                 Step::Silent if !self.run.could_go_on() => {
-                    self.silence.heard(self.run.gateway.now());
+                    self.silence.record_part(self.run.gateway.now());
                 }
                 Step::Silent => {
                     if !self.go_on("stream silent", Loss::Other).await {
@@ -171,9 +171,9 @@
     fn passed(&mut self) {
         let gateway = &self.run.gateway;
         let now = gateway.now();
-        let quiet = self.silence.quiet(now);
+        let quiet = self.silence.idle_time(now);
         gateway.metrics.paused(self.run.job.kind, quiet);
-        self.silence.heard(now);
+        self.silence.record_part(now);
     }
 
     fn is_whole(&self) -> bool {
@@ -183,8 +183,8 @@
     /// Goes on at another target after the last whole event.
     async fn resume(&mut self) -> bool {
         while self.events.is_some() {
-            let after = self.run.plan.after(ExecutionState::Unknown);
-            if after != After::AgainIfAllowed || !self.run.may_repeat() {
+            let after = self.run.plan.record_attempt(ExecutionState::Unknown);
+            if after != NextStep::RetryWithinBudget || !self.run.may_repeat() {
                 return false;
             }
             if self.resume_once().await {
@@ -220,7 +220,7 @@
                 run.gateway.log.write(Event::Resumed, &fields);
                 self.flight = flight;
                 self.rest = Some(rest);
-                self.silence.heard(self.run.gateway.now());
+                self.silence.record_part(self.run.gateway.now());
                 self.pass(first).await.is_ok()
             }
             Ok(TargetAnswer::Failure(_)) => {
@@ -251,7 +251,7 @@
     /// Ends a stream before its end: the feed is dropped unfinished, so that the caller's
     /// connection breaks off.
     fn over(self, what: &'static str) {
-        let quiet = self.silence.quiet(self.run.gateway.now());
+        let quiet = self.silence.idle_time(self.run.gateway.now());
         let content = self.run.job.fingerprint().to_string();
         let fields = [
             ("request", Field::Text(&self.run.job.id)),
@@ -268,8 +268,8 @@
 }
 
 /// Returns once a stream is silent.
-async fn quiet(gateway: &Gateway, silence: Silence) {
-    while let Heard::Until(at) = silence.at(gateway.now()) {
+async fn quiet(gateway: &Gateway, silence: SilenceDetector) {
+    while let StreamState::ActiveUntil(at) = silence.state(gateway.now()) {
         gateway.until(at).await;
     }
 }
--- a/crates/peppercrank-gateway/src/reload.rs
+++ b/crates/peppercrank-gateway/src/reload.rs
@@ -56,7 +56,7 @@
     match GatewaySettings::parse(&text) {
         Ok(new) if new == *settings.borrow().as_ref() => {}
         Ok(new) => {
-            gateway.state().budget.set(terms(&new));
+            gateway.state().budget.set_limits(terms(&new));
             settings.send_replace(Arc::new(new));
             gateway.log.write(Event::SettingsRead, &[]);
         }
