--- a/crates/peppercrank-gateway/src/serve.rs
+++ b/crates/peppercrank-gateway/src/serve.rs
@@ -11,13 +11,13 @@
 use peppercrank_core::events::Event;
 use peppercrank_core::time::Moment;
 use peppercrank_direct::admission::Admission;
-use peppercrank_direct::admission::SOONEST;
+use peppercrank_direct::admission::MIN_RETRY_AFTER;
 use peppercrank_direct::attribution::Attribution;
-use peppercrank_direct::attribution::End;
+use peppercrank_direct::attribution::RequestEnd;
 use peppercrank_direct::directory::TargetKey;
-use peppercrank_direct::retries::After;
 use peppercrank_direct::retries::ExecutionState;
-use peppercrank_direct::retries::Plan;
+use peppercrank_direct::retries::NextStep;
+use peppercrank_direct::retries::RetryPlan;
 use peppercrank_log::Field;
 use peppercrank_platform::call;
 use peppercrank_wire::body;
@@ -67,7 +67,7 @@
             ];
             let fields = [&fields[..], &gateway.beliefs().fields()[..]].concat();
             gateway.log.write(Event::Refused, &fields);
-            refuse(reason, SOONEST)
+            refuse(reason, MIN_RETRY_AFTER)
         }
     }
 }
@@ -75,13 +75,13 @@
 /// Carries a judged request to its answer.
 async fn carry(gateway: &Arc<Gateway>, job: Arc<Job>) -> Reply {
     let now = gateway.now();
-    gateway.state().budget.request(now, &job.pool);
+    gateway.state().budget.record_request(now, &job.pool);
     let mut run = Run {
         open: Arc::new(Open::new(gateway, &job)),
         gateway: Arc::clone(gateway),
-        plan: Plan::new(job.kind.repeats(), job.attempts),
+        plan: RetryPlan::new(job.kind.repeats(), job.attempts),
         tried: Vec::new(),
-        after: SOONEST,
+        after: MIN_RETRY_AFTER,
         attribution: Attribution::default(),
         failure: None,
         job,
@@ -134,7 +134,7 @@
     /// The request.
     pub job: Arc<Job>,
     /// How far it has come.
-    pub plan: Plan,
+    pub plan: RetryPlan,
     /// The targets that it was sent to.
     pub tried: Vec<TargetKey>,
     /// When its caller may fare better, if it is refused.
@@ -189,7 +189,7 @@
         let now = self.gateway.now();
         let mut state = self.gateway.state();
         if !state.quarantine.is_empty() {
-            state.quarantine.served(now, self.job.fingerprint());
+            state.quarantine.record_success(now, self.job.fingerprint());
         }
     }
 
@@ -204,23 +204,23 @@
         let wanted = self.job.goal.mul_f64(PATIENCE);
         let predicted =
             Duration::from_secs_f64(flight.counted.choice.first.max(0.0) * SLACK / 1_000.0);
-        (flight.counted.sent + wanted.max(predicted)).min(self.job.deadline)
+        (flight.counted.sent_at + wanted.max(predicted)).min(self.job.deadline)
     }
 
     /// Takes a target's answer: passes it on, or tries elsewhere after a failure.
     fn take(&mut self, flight: Flight, answer: TargetAnswer) -> Next {
         match answer {
             TargetAnswer::Whole(whole) => {
-                self.settle(End::Served);
+                self.settle(RequestEnd::Served);
                 self.cleared();
                 self.gateway.metrics.answered(self.job.kind, self.held());
                 self.done(&flight, whole.status, self.held());
                 Next::Answer(whole_reply(whole))
             }
             TargetAnswer::Failure(whole) => {
-                self.attribution.suspect(flight.suspect());
+                self.attribution.add_suspect(flight.suspect());
                 self.note(&flight, FAILURE);
-                let after = self.plan.after(ExecutionState::Failed);
+                let after = self.plan.record_attempt(ExecutionState::Failed);
                 self.failure = Some(whole);
                 self.follow(after, Reason::Failed)
             }
@@ -230,7 +230,7 @@
                 first,
                 rest,
             } => {
-                self.settle(End::Served);
+                self.settle(RequestEnd::Served);
                 self.gateway.metrics.answered(self.job.kind, self.held());
                 let body = relay::start(self, flight, first, rest);
                 Next::Answer(reply(status, headers, body))
@@ -239,8 +239,8 @@
     }
 
     /// Counts the failures that targets answered at those against which they speak.
-    fn settle(&mut self, end: End) {
-        for suspect in self.attribution.settle(end) {
+    fn settle(&mut self, end: RequestEnd) {
+        for suspect in self.attribution.resolve(end) {
             self.gateway.count_failure(&suspect);
         }
     }
@@ -249,7 +249,7 @@
     async fn miss(&mut self, flight: &Flight, error: AttemptError) -> Next {
         self.note(flight, error.what);
         self.lost(flight, error.loss).await;
-        let after = self.plan.after(error.execution);
+        let after = self.plan.record_attempt(error.execution);
         // Before it takes a repeat from the fleet's budget.
         if let Some(next) = self.refuse_quarantined() {
             return next;
@@ -261,11 +261,11 @@
         self.follow(after, reason)
     }
 
-    fn follow(&mut self, after: After, reason: Reason) -> Next {
+    fn follow(&mut self, after: NextStep, reason: Reason) -> Next {
         match after {
-            After::Again => Next::Again,
-            After::AgainIfAllowed if self.may_repeat() => Next::Again,
-            After::AgainIfAllowed | After::Refuse | After::Fail => {
+            NextStep::Retry => Next::Again,
+            NextStep::RetryWithinBudget if self.may_repeat() => Next::Again,
+            NextStep::RetryWithinBudget | NextStep::Refuse | NextStep::Fail => {
                 Next::Answer(self.give_up(reason))
             }
         }
@@ -288,7 +288,7 @@
     #[must_use]
     pub fn could_go_on(&self) -> bool {
         let mut plan = self.plan;
-        let may = plan.after(ExecutionState::Unknown) == After::AgainIfAllowed;
+        let may = plan.record_attempt(ExecutionState::Unknown) == NextStep::RetryWithinBudget;
         may && self.could_repeat() && could_begin(&self.gateway, &self.job, &self.tried)
     }
 
@@ -297,7 +297,7 @@
         let now = self.gateway.now();
         let mut state = self.gateway.state();
         let routers = state.sharers(now);
-        let may = state.budget.spend(now, &self.job.pool, routers);
+        let may = state.budget.try_spend(now, &self.job.pool, routers);
         drop(state);
         self.gateway.metrics.repeated(may);
         may
@@ -305,13 +305,13 @@
 
     /// Ends the request with the best answer that there is.
     fn give_up(&mut self, reason: Reason) -> Reply {
-        self.settle(End::Failed);
+        self.settle(RequestEnd::Failed);
         if let Some(whole) = self.failure.take() {
             self.passed_on(whole.status);
             return whole_reply(whole);
         }
         let late = self.gateway.now() >= self.job.deadline;
-        let reason = match (self.plan.has_run(), late) {
+        let reason = match (self.plan.may_have_run(), late) {
             (true, true) => Reason::TimedOut,
             (true, false) => Reason::Failed,
             (false, true) => Reason::Late,
--- a/crates/peppercrank-gateway/src/state.rs
+++ b/crates/peppercrank-gateway/src/state.rs
@@ -11,26 +11,26 @@
 use peppercrank_core::time::Moment;
 use peppercrank_direct::admission::Admission;
 use peppercrank_direct::catch_up::CatchUp;
-use peppercrank_direct::confirm::Asked;
+use peppercrank_direct::confirm::PendingRequest;
 use peppercrank_direct::desired::InForce;
 use peppercrank_direct::directory::Directory;
 use peppercrank_direct::directory::Registration;
 use peppercrank_direct::directory::TargetKey;
 use peppercrank_direct::era::Eras;
 use peppercrank_direct::freshness::Freshness;
-use peppercrank_direct::peers::Hint;
-use peppercrank_direct::peers::Outbox;
+use peppercrank_direct::peers::HintQueue;
 use peppercrank_direct::peers::Peers;
+use peppercrank_direct::peers::PrefixHint;
 use peppercrank_direct::peers::TargetId;
 use peppercrank_direct::place::Choice;
-use peppercrank_direct::prefixes::Part;
-use peppercrank_direct::prefixes::Prefixes;
+use peppercrank_direct::prefixes::PrefixIndex;
+use peppercrank_direct::prefixes::PromptPart;
 use peppercrank_direct::quarantine::Quarantine;
 use peppercrank_direct::rates::Rates;
 use peppercrank_direct::retries::RetryBudget;
-use peppercrank_direct::retries::Terms;
+use peppercrank_direct::retries::RetryLimits;
 use peppercrank_direct::starts::Start;
-use peppercrank_direct::stats::Board;
+use peppercrank_direct::stats::StatsMap;
 use peppercrank_direct::warm_up::Gate;
 use peppercrank_direct::warm_up::MARGIN;
 use peppercrank_settings::GatewaySettings;
@@ -48,7 +48,7 @@
     /// How old the knowledge of keys is.
     pub freshness: Freshness,
     /// The question to another router that is on its way.
-    pub asked: Option<Asked>,
+    pub asked: Option<PendingRequest>,
     /// How far the configuration was read.
     pub catch_up: CatchUp,
     /// The store's eras.
@@ -60,7 +60,7 @@
     /// When peers' work was heard of last.
     pub heard: Moment,
     /// What is known of each target.
-    pub board: Board,
+    pub board: StatsMap,
     /// Targets by their names on datagrams.
     pub names: HashMap<TargetId, TargetKey>,
     /// What lines say of the targets, also of those just gone.
@@ -68,7 +68,7 @@
     /// Tells attempts that their target's start has ended.
     pub terminations: Terminations,
     /// Who holds which part of a prompt.
-    pub prefixes: Prefixes,
+    pub prefixes: PrefixIndex,
     /// What is learnt of each pool's speed.
     pub rates: HashMap<Arc<str>, Rates>,
     /// Who is admitted to each pool.
@@ -86,7 +86,7 @@
     /// The ids of the requests in progress.
     pub open: SlotMap<OpenKey, String>,
     /// News of who holds what, for the peers.
-    pub outbox: Outbox,
+    pub outbox: HintQueue,
 }
 
 /// `Label` is what lines say of a target's start.
@@ -130,8 +130,8 @@
 
 /// `terms` are the bounds on repeats that the settings give.
 #[must_use]
-pub fn terms(settings: &GatewaySettings) -> Terms {
-    Terms {
+pub fn terms(settings: &GatewaySettings) -> RetryLimits {
+    RetryLimits {
         share: settings.retry.share,
         extra: f64::from(settings.retry.extra),
         window: settings.retry.window_seconds,
@@ -151,11 +151,11 @@
             directory: Directory::default(),
             away: None,
             heard: now,
-            board: Board::default(),
+            board: StatsMap::default(),
             names: HashMap::new(),
             labels: SecondaryMap::new(),
             terminations: Terminations::default(),
-            prefixes: Prefixes::default(),
+            prefixes: PrefixIndex::default(),
             rates: HashMap::new(),
             admission: HashMap::new(),
             budget: RetryBudget::new(now, terms(settings)),
@@ -164,7 +164,7 @@
             peers: Peers::default(),
             routers: HashMap::new(),
             open: SlotMap::with_key(),
-            outbox: Outbox::default(),
+            outbox: HintQueue::default(),
         }
     }
 
@@ -180,8 +180,8 @@
 
     /// `forget` drops all that is known of a target's start that is gone.
     pub fn forget(&mut self, key: TargetKey) {
-        self.board.forget(key);
-        self.prefixes.forget(key);
+        self.board.remove(key);
+        self.prefixes.remove_target(key);
         self.names.retain(|_, k| *k != key);
         self.terminations.forget(key);
         self.gate.forget(key);
@@ -189,12 +189,15 @@
     }
 
     /// `sent` notes that a target was sent these parts, and tells the peers what is news.
-    pub fn sent(&mut self, now: Moment, choice: &Choice, target: TargetId, parts: &[Part]) {
+    pub fn sent(&mut self, now: Moment, choice: &Choice, target: TargetId, parts: &[PromptPart]) {
         for part in parts {
-            if self.prefixes.note(now, choice.key, part.chain) {
-                let chain = part.chain;
-                let hint = Hint { target, chain };
-                self.outbox.add(hint, self.routers.len());
+            if self.prefixes.record(now, choice.key, part.prefix_hash) {
+                let chain = part.prefix_hash;
+                let hint = PrefixHint {
+                    target,
+                    prefix_hash: chain,
+                };
+                self.outbox.push(hint, self.routers.len());
             }
         }
     }
@@ -217,6 +220,6 @@
     /// and this one.
     #[must_use]
     pub fn sharers(&self, now: Moment) -> usize {
-        self.routers.len().max(self.peers.alive(now)) + 1
+        self.routers.len().max(self.peers.alive_count(now)) + 1
     }
 }
--- a/crates/peppercrank-gateway/src/targets.rs
+++ b/crates/peppercrank-gateway/src/targets.rs
@@ -65,8 +65,8 @@
     let target = target.registration.id();
     state.names.insert(target, key);
     // Peers may have known of it sooner.
-    let sum = state.peers.sum(target);
-    state.board.hear(key, sum);
+    let sum = state.peers.work_on(target);
+    state.board.set_peer_work(key, sum);
     state.labels.insert(key, label);
     state.terminations.track(key);
 }
