--- a/crates/peppercrank-direct/src/admission.rs
+++ b/crates/peppercrank-direct/src/admission.rs
@@ -1,15 +1,16 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Who is admitted to a pool that cannot serve all who ask.
+//! Admission control for a pool that is offered more requests than it can serve.
 //!
-//! The load that this answers is one beyond what the pool finishes for longer than a moment: then
-//! its queues only grow, and each answer comes as late as the queue is long. More waiting serves
-//! nobody, so the wait is bounded, and the bound decides who is served: the less urgent a rank, the
-//! shorter the wait at which it is refused. The wait settles at the bound of the least urgent rank
-//! that the pool has room for; those before it are admitted whole, those behind it are refused.
+//! Under a sustained overload the queues only grow, and every answer is as late as the queue is
+//! long. A longer queue serves no additional request, so the wait is bounded, and the bound decides
+//! who is served: the less urgent a rank, the shorter the wait at which it is refused. The wait
+//! settles at the bound of the least urgent rank that the pool has capacity for; more urgent ranks
+//! are admitted in full, less urgent ones are refused.
 //!
-//! Each router decides alone, by the waits that it predicts from its own and its peers' work.
+//! Each router decides on its own, by the waits that it predicts from its own work and its peers'
+//! work.
 
 use std::time::Duration;
 
@@ -17,55 +18,56 @@
 
 use crate::ranks::Rank;
 
-/// Wait at which the most urgent rank is refused, as a part of the pool's shortest goal. Its answers
-/// still come in time though predictions are off by a third and more.
+/// Predicted wait at which the most urgent rank is refused, as a fraction of the pool's shortest
+/// latency goal. Answers still meet the goal when predictions are off by a third or more.
 const MOST_URGENT_WAIT_SHARE: f64 = 0.3;
 
-/// The same for the least urgent rank: a wait of that length at all targets is a queue, not the
-/// scatter of arrivals.
+/// Predicted wait at which the least urgent rank is refused, as a fraction of the pool's shortest
+/// latency goal. A wait of that length at every target is a queue, not random variation in
+/// arrivals.
 const LEAST_URGENT_WAIT_SHARE: f64 = 0.05;
 
-/// Part of the pool's share of admitted requests that each rank is granted: a rank below it is
-/// admitted like the least urgent one that is admitted whole. Users ask that no kind of request is
-/// served less than a quarter as often as all.
+/// Fraction of the pool's mean admission rate that each rank is guaranteed. A rank below it is
+/// admitted like the least urgent rank that is fully admitted. The requirement is that no kind of
+/// request is served less than a quarter as often as the mean.
 const GUARANTEED_SHARE: f64 = 0.35;
 
-/// Share of admitted requests from which a rank counts as admitted whole.
+/// Admission rate from which a rank counts as fully admitted.
 const FULLY_ADMITTED_SHARE: f64 = 0.9;
 
-/// Time in which a counted request's weight falls to a third, in seconds: a surge changes within
-/// seconds, and a router of a small fleet sees some ten requests of a rank in that time.
+/// Time constant of the exponential decay of request counts, in seconds: a surge changes within
+/// seconds, and a router of a small fleet sees about ten requests of a rank in that time.
 const DECAY_SECONDS: f64 = 2.0;
 
-/// Requests that must have been counted before a rank's share says anything.
+/// Decayed number of requests below which the admission rate of a rank is not judged.
 const MIN_SAMPLES: f64 = 5.0;
 
-/// `SOONEST` is the soonest return of a refused request: several times the lag of peers' loads.
+/// Shortest delay after which a refused request is told to retry: several times the lag of the
+/// peers' reported loads.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Part of the time for which an overload has lasted that a refused request is told to wait: late enough not to be refused again,
-/// and soon enough to be answered in time.
+/// Divisor of the overload's duration so far that gives the delay of a retry: late enough not to be
+/// refused again, and soon enough to be answered in time.
 const OVERLOAD_AGE_DIVISOR: u32 = 2;
 
-/// Part of its time left that a refused request is told to wait at most; callers follow no longer
-/// wait.
+/// Divisor of a request's remaining time that bounds the delay of its retry; callers do not honour
+/// longer delays.
 const TIME_LEFT_DIVISOR: u32 = 3;
 
-/// `Pool` is what admission needs to know of a pool.
+/// State of a pool that admission depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolLoad {
-    /// The shortest goal of its requests.
+    /// Shortest latency goal of the pool's routes.
     pub goal: Duration,
-    /// The time of an answer that reads nothing, in milliseconds.
+    /// Time to the first part of an answer without prefill, in milliseconds.
     pub base_ms: f64,
-    /// The time in which one place of a busy target becomes free, in milliseconds.
+    /// Time in which one slot of a busy target becomes free, in milliseconds.
     pub slot_turnover_ms: f64,
-    /// The wait at the target that has the least of it, in milliseconds; infinite where there is no
-    /// target.
+    /// Shortest predicted wait among the targets, in milliseconds; infinite if there is no target.
     pub min_wait_ms: f64,
 }
 
-/// Requests of one rank, counted with a weight that fades.
+/// Exponentially decayed request counts of one rank.
 #[derive(Debug, Clone, Copy, Default)]
 struct RankCounts {
     requested: f64,
@@ -78,20 +80,21 @@
     }
 }
 
-/// `Admission` decides for one pool.
+/// Admission control of one pool.
 #[derive(Debug, Default)]
 pub struct Admission {
-    /// Since when all targets have been beyond the bound of the least urgent rank.
+    /// Start of the overload: since then the wait at every target has exceeded the bound of the
+    /// least urgent rank. `None` without an overload.
     overloaded_since: Option<Moment>,
-    /// Requests by the place of their rank.
+    /// Request counts, indexed by the level of their rank.
     counts: Vec<RankCounts>,
-    /// When the counts faded last.
+    /// When the counts were last decayed.
     decayed_at: Moment,
 }
 
 impl Admission {
-    /// `limit` is the longest wait at which a request of this rank is admitted; none while the
-    /// pool keeps up.
+    /// Returns the longest predicted wait at which a request of this rank is admitted; `None` while
+    /// the pool is not overloaded.
     pub fn max_wait(&mut self, now: Moment, pool: &PoolLoad, rank: Rank) -> Option<Duration> {
         self.observe(now, pool);
         if !self.is_overloaded() {
@@ -107,13 +110,13 @@
         ))
     }
 
-    /// `is_overloaded` tells whether all targets are beyond the bound of the least urgent rank.
+    /// Returns whether the wait at every target exceeds the bound of the least urgent rank.
     #[must_use]
     pub const fn is_overloaded(&self) -> bool {
         self.overloaded_since.is_some()
     }
 
-    /// `count` counts a request that was admitted or refused.
+    /// Records that a request was admitted or refused.
     pub fn record(&mut self, now: Moment, rank: Rank, admitted: bool) {
         self.decay(now);
         let level = usize::from(rank.level);
@@ -125,10 +128,12 @@
         counted.admitted += f64::from(u8::from(admitted));
     }
 
-    /// `come_back` is when a refused request with so much time left should return.
+    /// Returns the delay after which a refused request with `left` time to its deadline should
+    /// retry.
     ///
-    /// How long an overload will last is not known; the longer it has lasted, the longer it is
-    /// likely to last. A return into the same overload is lost, and callers return once.
+    /// The duration of an overload is not known in advance, but the longer it has lasted, the
+    /// longer it is likely to last. A retry into the same overload is wasted, and callers retry
+    /// only once.
     #[must_use]
     pub fn retry_after(&self, now: Moment, left: Duration) -> Duration {
         let lasted = self
@@ -147,8 +152,8 @@
         }
     }
 
-    /// Whether a rank is admitted so rarely that it starves; never while it fares better than a more
-    /// urgent one.
+    /// Returns whether a rank is admitted so rarely that it starves; never true while its admission
+    /// rate is higher than that of a more urgent rank.
     fn is_starved(&self, rank: Rank) -> bool {
         let level = usize::from(rank.level);
         let Some(counted) = self
@@ -170,7 +175,8 @@
             && urgent.all(|c| share < c.admitted_share())
     }
 
-    /// The least urgent rank that is admitted whole, as are all before it; else the most urgent.
+    /// Returns the least urgent rank that is fully admitted, as are all more urgent ones; the most
+    /// urgent rank if there is none.
     fn least_urgent_fully_admitted(&self, rank: Rank) -> Rank {
         let is_whole = |c: &&RankCounts| {
             c.requested < MIN_SAMPLES || c.admitted_share() >= FULLY_ADMITTED_SHARE
@@ -194,12 +200,13 @@
     }
 }
 
-/// The wait, in milliseconds, at which a rank is refused that lies so far behind the most urgent.
+/// Returns the wait at which a rank is refused, in milliseconds. `position` is 0 for the most
+/// urgent rank and 1 for the least urgent one.
 fn max_wait_ms(pool: &PoolLoad, position: f64) -> f64 {
     let goal = pool.goal.as_secs_f64() * 1_000.0;
     let queue = goal
         * (MOST_URGENT_WAIT_SHARE - (MOST_URGENT_WAIT_SHARE - LEAST_URGENT_WAIT_SHARE) * position);
-    // One request that waits for a place is no queue: where targets run few at once and each takes
-    // long, all places are often taken well below what the pool can serve.
+    // A single request that waits for a slot is not a queue: where targets run few requests at once
+    // and each takes long, all slots are often taken well below the pool's capacity.
     queue.max(pool.base_ms).max(pool.slot_turnover_ms)
 }
--- a/crates/peppercrank-direct/src/attribution.rs
+++ b/crates/peppercrank-direct/src/attribution.rs
@@ -1,49 +1,50 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Whom a failure that a target answers speaks against: the target, or the request itself.
+//! Attribution of a failed answer to the target or to the request itself.
 //!
-//! Some requests fail wherever they run. Counted against their targets they would eject sound ones, so
-//! the next target's answer is heard first.
+//! Some requests fail on every target. If their failures were counted at once, they would eject
+//! healthy targets, so the answer of the next target decides.
 
 use std::sync::Arc;
 
 use crate::directory::TargetKey;
 
-/// `Suspect` is a target that answered a request with a failure.
+/// Target that answered a request with a failure.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Suspect {
-    /// The target.
+    /// Key of the target.
     pub key: TargetKey,
-    /// Its name.
+    /// Name of its instance.
     pub instance: Arc<str>,
 }
 
-/// `End` is how a request ended that targets had failed.
+/// How a request ended for which targets had answered with failures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestEnd {
     /// Another target served it.
     Served,
-    /// No target did.
+    /// No target served it.
     Failed,
 }
 
-/// `Attribution` is which targets failed one request, until it is known what that says.
+/// Targets that failed one request, until it is known what to attribute the failures to.
 #[derive(Debug, Clone, Default)]
 pub struct Attribution {
     suspects: Vec<Suspect>,
 }
 
 impl Attribution {
-    /// `suspect` notes a target that answered with a failure.
+    /// Records a target that answered with a failure.
     pub fn add_suspect(&mut self, suspect: Suspect) {
         self.suspects.push(suspect);
     }
 
-    /// `settle` lists the targets that the failures speak against, and forgets them.
+    /// Returns the targets that the failures count against, and forgets them.
     ///
-    /// What another target served was not the request's fault; what two failed was. Where nobody else was asked, as the
-    /// request may run once only, it speaks against the one that was.
+    /// If another target served the request, the request was not the cause; if two targets failed
+    /// it, the request was. If only one target was tried, because the request may run only once,
+    /// the failure counts against that target.
     pub fn resolve(&mut self, end: RequestEnd) -> Vec<Suspect> {
         let suspects = std::mem::take(&mut self.suspects);
         match end {
--- a/crates/peppercrank-direct/src/confirm.rs
+++ b/crates/peppercrank-direct/src/confirm.rs
@@ -1,13 +1,13 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Routers confirm to each other that what they know of keys is the store's newest.
+//! Confirmations between routers that their API keys are current.
 //!
-//! Each router must know at any moment how old its knowledge of keys is, and each question to the
-//! store has its price. So a few routers ask the store, and the others ask one of these. A
-//! confirmation names the version in force there and the age of the knowledge when it was given. The
-//! one who asked counts that age from the moment of its own question, so that neither a slow network nor
-//! a process that stood still makes knowledge look younger than it is.
+//! Each router must always know how old its copy of the API keys is, and every query to the store
+//! has a cost. So a few routers query the store, and the others ask one of these. A confirmation
+//! gives the version in force at the answering router and the age of its copy. The asking router
+//! counts that age from the time at which it sent its own request, so that neither a slow network
+//! nor a stalled process makes a copy look newer than it is.
 
 use std::time::Duration;
 
@@ -15,48 +15,50 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Routers that ask the store at least: one may fail.
+/// Minimum number of routers that query the store, since one may fail.
 const MIN_STORE_READERS: usize = 2;
 
-/// Routers of which one more asks the store, so that none answers more than some twenty others.
+/// Number of routers for each one that queries the store, so that each of these answers about
+/// twenty others at most.
 const ROUTERS_PER_STORE_READER: usize = 20;
 
-/// The oldest knowledge that is worth taking over: those who ask the store do so more often.
+/// Maximum age of a confirmation; routers that query the store do so more often.
 pub const MAX_AGE: Duration = Duration::from_millis(1_200);
 
-/// `Question` asks another router for a confirmation.
+/// Request to another router for a confirmation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfirmationRequest {
-    /// Names the question in its answer.
+    /// Identifies the request in its answer.
     pub nonce: u64,
 }
 
-/// `Confirmation` answers a question.
+/// Answer to a confirmation request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Confirmation {
-    /// The question's.
+    /// Nonce of the request.
     pub nonce: u64,
-    /// The version in force there.
+    /// Configuration version in force at the answering router.
     pub version: u64,
-    /// The age of the knowledge there, in milliseconds, rounded up.
+    /// Age of the answering router's copy of the keys in milliseconds, rounded up.
     pub age_ms: u32,
-    /// The digest of the zones that are evacuated by what is known there. Routers that do not know it yet pass over it.
+    /// Digest of the zones that the answering router considers evacuated. Routers of versions
+    /// without this field ignore it.
     pub evacuations_digest: u64,
 }
 
-/// `Known` is what a router confirms to others.
+/// State that a router confirms to others.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct KeyState {
-    /// The version in force.
+    /// Configuration version in force; `None` without a configuration.
     pub version: Option<u64>,
-    /// The age of the knowledge of keys.
+    /// Age of the copy of the keys; `None` if it is not known.
     pub age: Option<Duration>,
-    /// The digest of the evacuated zones.
+    /// Digest of the evacuated zones.
     pub evacuations_digest: u64,
 }
 
 impl Confirmation {
-    /// `new` answers a question by what is known at this moment; none where nothing is.
+    /// Answers a request from the current state; `None` if the version or the age is not known.
     #[must_use]
     pub fn new(question: ConfirmationRequest, known: KeyState) -> Option<Self> {
         let age = u32::try_from(known.age?.as_millis()).ok()?;
@@ -69,36 +71,36 @@
     }
 }
 
-/// `Asked` is a question on its way.
+/// Confirmation request that has not been answered yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PendingRequest {
-    /// The question.
+    /// The request.
     pub request: ConfirmationRequest,
     /// When it was sent.
     pub sent_at: Moment,
 }
 
-/// `Verdict` is what a confirmation is worth.
+/// What a confirmation proves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// What is in force here was the newest at this moment.
+    /// The version in force here was the newest one at this time.
     CurrentAsOf(Moment),
-    /// There is a newer version, which the store has.
+    /// The store has a newer version.
     Outdated,
-    /// It answers another question, or is too old to be worth anything.
+    /// It answers another request, or is too old to be of use.
     Unusable,
 }
 
 impl PendingRequest {
-    /// `judge` tells what an answer is worth where this version is in force.
+    /// Returns what a confirmation proves to a router that has this version in force.
     #[must_use]
     pub fn evaluate(&self, confirmation: Confirmation, version: Option<u64>) -> Verdict {
         let age = Duration::from_millis(u64::from(confirmation.age_ms));
         if confirmation.nonce != self.request.nonce || age > MAX_AGE {
             return Verdict::Unusable;
         }
-        // A moment before this process's clock began cannot be told, and a later one would make
-        // the knowledge look younger.
+        // A time before the origin of this process's clock cannot be represented, and a later one
+        // would make the copy look newer than it is.
         let Some(since) = self.sent_at.since_origin().checked_sub(age) else {
             return Verdict::Unusable;
         };
@@ -111,7 +113,7 @@
     }
 }
 
-/// `askers` are those of these routers that ask the store: the first ones by name.
+/// Returns the routers among `names` that query the store: the first ones by name.
 #[must_use]
 pub fn store_readers(mut names: Vec<&str>) -> Vec<&str> {
     names.sort_unstable();
@@ -119,7 +121,7 @@
     names
 }
 
-/// `asking` is how many of so many routers ask the store.
+/// Returns the number of routers that query the store in a fleet of `routers`.
 #[must_use]
 pub const fn store_reader_count(routers: usize) -> usize {
     let part = routers / ROUTERS_PER_STORE_READER;
--- a/crates/peppercrank-direct/src/congestion.rs
+++ b/crates/peppercrank-direct/src/congestion.rs
@@ -1,36 +1,38 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Whether this router's own link is the bottleneck.
+//! Detection of congestion on the router's own link.
 //!
-//! On a link whose queue is longer than the time for a connection, requests wait for connections that do not come, count as
-//! work at their targets meanwhile and make sound targets look broken; what they add to the queue keeps it long. So
-//! they are refused at once.
+//! If the queue on the link is longer than the connect timeout, requests wait for connections that
+//! are never established, meanwhile count as load on their targets, and make healthy targets look
+//! broken; what they add to the queue keeps it long. So requests are refused at once.
 
 use std::time::Duration;
 
-/// Connections that are being made at a time from which the link may be the reason. They take 3 to 5 ms on a link that
-/// is not full, so a router that makes a thousand a second has five.
+/// Number of pending connections from which the link may be the cause. A connection takes 3 to 5 ms
+/// on a link that is not full, so a router that opens a thousand per second has five pending.
 pub const MIN_PENDING: usize = 16;
 
-/// Time for a connection from which it is slow: a third of what it may take.
+/// Time from which a connection counts as slow: a third of the connect timeout.
 pub const SLOW_CONNECT: Duration = Duration::from_millis(100);
 
-/// `LinkState` is how connections to targets fare on this router's link.
+/// State of connections to targets on the router's link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LinkState {
-    /// Connections that are being made.
+    /// Number of connections being established.
     pub pending: usize,
-    /// For how long the one that takes longest has been waited for.
+    /// How long the oldest of these has been pending.
     pub longest_pending: Duration,
-    /// The last one that was made: how long ago that was, and the time that it took.
+    /// Latest established connection: the time since it was established, and the time that it took.
+    /// `None` before the first one.
     pub last_connected: Option<(Duration, Duration)>,
 }
 
-/// `is_congested` tells whether connections to all targets are slow.
+/// Returns whether connections to all targets are slow.
 ///
-/// Where only some targets do not answer, connections to the others are made in a few milliseconds all the while. Many that were begun
-/// just now are a burst.
+/// If only some targets do not respond, connections to the others are still established within a
+/// few milliseconds. Many connections that have only just been started are a burst and no
+/// congestion.
 #[must_use]
 pub fn is_congested(link: &LinkState) -> bool {
     let quick = link
--- a/crates/peppercrank-direct/src/content.rs
+++ b/crates/peppercrank-direct/src/content.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What tells that a request is the same as an earlier one, though its id is new.
+//! Fingerprints that identify a request by its content, since a repeated request has a new id.
 
 use std::fmt;
 
@@ -10,29 +10,30 @@
 use sha2::Digest;
 use sha2::Sha256;
 
-/// `Content` is what a request consists of, whoever sends it anew: all that decides what a target does with it.
+/// Content of a request: everything that determines what a target does with it, whoever sends it.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestContent<'a> {
-    /// The method.
+    /// HTTP method.
     pub method: &'a str,
-    /// The host that it is for.
+    /// Host that the request is addressed to.
     pub host: &'a [u8],
-    /// The path with its query.
+    /// Path with the query.
     pub path: &'a str,
-    /// The organisation that its caller belongs to; none on an open route.
+    /// Organisation of the caller; `None` on an open route.
     pub organisation: Option<&'a str>,
-    /// The whole body.
+    /// Complete body.
     pub body: &'a [u8],
 }
 
-/// `Fingerprint` stands for a request's content on all routers.
+/// Fingerprint of a request's content, which is the same on all routers.
 ///
-/// It is the beginning of a SHA-256, so that no caller can make a request which counts as another organisation's.
+/// It is the first eight bytes of a SHA-256, so that no caller can craft a request that collides
+/// with one of another organisation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// `of` is the fingerprint of a request's content.
+    /// Returns the fingerprint of a request's content.
     #[must_use]
     pub fn of(content: &RequestContent<'_>) -> Self {
         let mut hash = Sha256::new();
@@ -44,7 +45,8 @@
             organisation,
             content.body,
         ] {
-            // With its length before it, no part can be taken for the beginning of the next.
+            // Each part is preceded by its length, so that no bytes can move from one part to the
+            // next.
             hash.update((part.len() as u64).to_le_bytes());
             hash.update(part);
         }
--- a/crates/peppercrank-direct/src/in_flight.rs
+++ b/crates/peppercrank-direct/src/in_flight.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What one attempt counts for at its target, from its sending to its end, and what is learnt of it.
+//! Accounting of one attempt at its target, from sending to its end.
 
 use peppercrank_core::time::Moment;
 
@@ -9,21 +9,21 @@
 use crate::rates::Rates;
 use crate::stats::StatsMap;
 
-/// `InFlight` is one attempt that is counted at its target until it has ended.
+/// Attempt that is counted at its target until it ends.
 #[derive(Debug, Clone, Copy)]
 pub struct InFlight {
-    /// The target, and what is expected of it.
+    /// Chosen target, with the predictions for it.
     pub choice: Choice,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Moment,
-    /// Whether its target had nothing else to read when it was sent.
+    /// Whether the target had no other prefill work when the attempt was sent.
     was_idle: bool,
-    /// Whether its prompt counts as unread.
+    /// Whether the prompt still counts as prefill work.
     in_prefill: bool,
 }
 
 impl InFlight {
-    /// `begin` counts an attempt that is sent.
+    /// Starts to count an attempt that is being sent.
     pub fn begin(now: Moment, board: &mut StatsMap, choice: Choice) -> Self {
         let mut was_idle = true;
         if let Some(stats) = board.get_mut(choice.key) {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// `first` notes the answer's first part: the prompt is read.
+    /// Records the first part of the answer, which ends the prefill.
     pub fn record_first_part(&mut self, now: Moment, board: &mut StatsMap, rates: &mut Rates) {
         let took = now.since(self.sent_at);
         self.end_prefill(board);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// `end` counts the attempt no more, whatever came of it.
+    /// Stops counting the attempt, whatever its outcome.
     pub fn finish(&mut self, now: Moment, board: &mut StatsMap, rates: &mut Rates) {
         if !self.in_prefill {
             rates.record_hold(now.since(self.sent_at));
--- a/crates/peppercrank-direct/src/lib.rs
+++ b/crates/peppercrank-direct/src/lib.rs
@@ -1,34 +1,41 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Decisions of a router that sends requests straight to targets, without input or output.
+//! Sans-I/O decision logic of a router that sends requests directly to targets.
 //!
-//! - [`admission`]: who is admitted to a pool that cannot serve all who ask.
-//! - [`content`]: what tells that a request is the same as an earlier one.
+//! - [`admission`]: admission control for overloaded pools.
+//! - [`attribution`]: whether a failure counts against its target or the request.
+//! - [`catch_up`]: how the configuration is read anew, and what an answer proves.
+//! - [`confirm`]: confirmations between routers that their API keys are current.
+//! - [`congestion`]: whether the router's own link is congested.
+//! - [`content`]: fingerprints that identify requests by their content.
 //! - [`decide`]: whether a request is sent, and where to.
 //! - [`desired`]: the operators' configuration, indexed for the request path.
-//! - [`directory`]: the targets there are, and which of them leave.
-//! - [`era`]: which life of the store an answer tells of.
+//! - [`directory`]: the known targets, and which of them are leaving.
+//! - [`era`]: which generation of the store an answer belongs to.
 //! - [`evacuations`]: the availability zones whose targets get no new work.
 //! - [`events`]: whole events of streams that may be resumed.
-//! - [`freshness`]: how old the knowledge of keys may be before requests are refused.
-//! - [`in_flight`]: what an attempt counts for at its target.
-//! - [`notice`]: what a target says of new work in its answers.
-//! - [`place`]: which target a request goes to, by its predicted first token.
-//! - [`prefixes`]: which target holds which part of which prompt.
-//! - [`catch_up`]: how the configuration is read anew, and what an answer proves.
-//! - [`quarantine`]: requests under which targets end are kept from further ones.
-//! - [`ranks`]: how urgent requests are among those of their pool.
-//! - [`rates`]: what is learnt of a pool's speed.
-//! - [`regions`]: in which regions a request may run.
-//! - [`registration`]: what targets tell of themselves.
-//! - [`retries`]: the fleet's retry budget, and what follows a failed attempt.
+//! - [`freshness`]: how old the knowledge of API keys may be before requests are refused.
+//! - [`in_flight`]: accounting of one attempt at its target.
+//! - [`notice`]: what a target's answers say about new work.
+//! - [`overcount`]: correction of a pool's mean load for work that peers overcount.
+//! - [`peers`]: datagrams between routers, and the work of the other routers.
+//! - [`place`]: choice of a request's target by the predicted time to the first token.
+//! - [`prefixes`]: index of the prompt prefixes that targets hold.
+//! - [`quarantine`]: quarantine of requests that crash targets.
+//! - [`ranks`]: order of requests by priority within a pool.
+//! - [`rates`]: running estimates of a pool's speed.
+//! - [`regions`]: the regions in which a request may run.
+//! - [`registration`]: what targets register about themselves.
+//! - [`reports`]: load reports of targets, relayed between routers.
+//! - [`retries`]: the fleet's retry budget, and the next step after a failed attempt.
+//! - [`silence`]: detection of streams that have stalled.
 //! - [`starts`]: which start of a target is meant.
-//! - [`stats`]: what a router knows of each target.
+//! - [`stats`]: load, latency and failures of each target.
 //! - [`suspension`]: whether the machine was suspended.
-//! - [`target`]: whether one target takes new work, and why not.
-//! - [`peers`]: what routers tell each other.
-//! - [`warm_up`]: how little a cold target gets from all routers together.
+//! - [`target`]: whether a target takes new work, and why not.
+//! - [`truncation`]: whether an answer of the store may have been truncated.
+//! - [`warm_up`]: limits on the work of a cold target, summed over all routers.
 
 pub mod admission;
 pub mod attribution;
--- a/crates/peppercrank-direct/src/overcount.rs
+++ b/crates/peppercrank-direct/src/overcount.rs
@@ -1,22 +1,24 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! How much of the work that peers tell of is still at the targets.
+//! Correction of a pool's mean load for work that peers overcount.
 //!
-//! Peers on full links tell late, and count requests that have not reached their targets or whose answers wait on
-//! the link. What a target tells of its load corrects this for itself only, so the mean of the pool, and with it what
-//! a target may hold, would be too high.
+//! Peers on congested links send their counts late, and include requests that have not reached
+//! their targets or whose answers are stuck on the link. The load report of a target corrects this
+//! for that target only, so the mean load of the pool, and with it the load cap, would be too high.
 
 use crate::rates::as_f64;
 use crate::stats::Stats;
 
-/// Requests of peers at targets that told of their load, from which these say something of the others.
+/// Minimum number of peers' requests at targets with load reports from which the share of
+/// overcounting is estimated.
 const MIN_REPORTED_WORK: f64 = 8.0;
 
-/// `mean` is the mean load of a pool, the peers' work at targets that did not tell of their load scaled by what is left of it
-/// at those that did.
+/// Returns the mean load of a pool. At targets without a load report, the peers' work is scaled by
+/// the fraction of it that is left at targets with a report.
 ///
-/// Only the mean is corrected: a target that is dark tells nothing, and would look empty where its own load was scaled.
+/// Only the mean is corrected: an unreachable target reports nothing, and would look idle if its
+/// own load were scaled.
 #[must_use]
 pub fn mean_load<'a>(pool: impl Iterator<Item = &'a Stats> + Clone) -> f64 {
     let share = remaining_share(pool.clone()).unwrap_or(1.0);
@@ -35,7 +37,8 @@
     f64::from(stats.in_flight) + f64::from(stats.peers_in_flight) * share
 }
 
-/// The part of the peers' work that is still there; none where too little is known.
+/// Returns the fraction of the peers' counted work that is still at the targets; `None` if too
+/// little is known.
 fn remaining_share<'a>(pool: impl Iterator<Item = &'a Stats>) -> Option<f64> {
     let (mut reported, mut counted) = (0.0, 0.0);
     for stats in pool.filter(|s| s.has_report()) {
--- a/crates/peppercrank-direct/src/peers.rs
+++ b/crates/peppercrank-direct/src/peers.rs
@@ -1,8 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What routers tell each other by datagrams: their own work on each target, and which target
-//! was just sent which part of a prompt.
+//! Datagrams between routers: each router's work on each target, and which target was just sent
+//! which prompt prefix.
 
 use std::cmp::Ordering;
 use std::collections::HashMap;
@@ -22,36 +22,37 @@
 use crate::reports::LoadReport;
 use crate::starts::Start;
 
-/// Longest datagram, in bytes: below the usual path limit, so that none is fragmented.
+/// Longest datagram, in bytes. It is below the usual path MTU, so that no datagram is fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// Most bytes of one hint on a datagram: five of the target's name and ten of the chain's hash.
+/// Longest encoding of one hint, in bytes: five for the target's id and ten for the prefix hash.
 const MAX_HINT_BYTES: usize = 15;
 
-/// Time without a word after which a peer's work counts no more, in a small fleet: some ten
-/// summaries.
+/// Time without a summary after which a peer's work is no longer counted, in a small fleet: about
+/// ten summaries.
 pub const MIN_PEER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// The same for each peer of a large fleet, where summaries go round: at the usual size of a
-/// summary each peer is reached every 50 ms times their number.
+/// Part of the timeout for each peer in a large fleet, where summaries are sent to the peers in
+/// turn: at the usual size of a summary each peer is reached every 50 ms times the number of peers.
 const TIMEOUT_PER_PEER: Duration = Duration::from_millis(150);
 
-/// `silent` is the time without a word after which a peer's work counts no more.
+/// Returns the time without a summary after which a peer's work is no longer counted.
 #[must_use]
 pub fn peer_timeout(peers: usize) -> Duration {
     let each = TIMEOUT_PER_PEER.saturating_mul(u32::try_from(peers).unwrap_or(u32::MAX));
     MIN_PEER_TIMEOUT.max(each)
 }
 
-/// Seed of the short names of targets on datagrams.
+/// Seed of the hash that gives target ids.
 const TARGET_ID_SEED: u64 = 0x7461_7267;
 
-/// `TargetId` is the short name of a target's start on datagrams; a hash, so that it needs no agreement.
+/// Short id of one start of a target, for datagrams. It is a hash, so that routers need no
+/// agreement on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TargetId(pub u32);
 
 impl TargetId {
-    /// `of` is the short name of one start of an instance.
+    /// Returns the id of one start of an instance.
     #[must_use]
     pub fn of(instance: &str, start: Start) -> Self {
         let seed = start.0.map_or(TARGET_ID_SEED, |born| TARGET_ID_SEED ^ born);
@@ -60,42 +61,43 @@
     }
 }
 
-/// `Work` is one router's unfinished work on one target.
+/// Unfinished work of one router on one target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Work {
-    /// The target.
+    /// Id of the target's start.
     pub target: TargetId,
-    /// Requests sent there and not ended.
+    /// Requests sent to the target that have not ended.
     pub in_flight: u32,
-    /// Prompt tokens that it has yet to read for them.
+    /// Prompt tokens of these requests that the target has not processed yet.
     pub prefill_tokens: u64,
 }
 
-/// `Hint` tells that a target was sent a part of a prompt.
+/// Notice that a target was sent a prompt prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefixHint {
-    /// The target.
+    /// Id of the target's start.
     pub target: TargetId,
-    /// The hash of the chain of parts up to this one.
+    /// Hash of the prompt's parts up to and including the last one sent.
     pub prefix_hash: u64,
 }
 
-/// Hints on one datagram, so that they and the work of a large fleet's pool fit.
+/// Hints per datagram, so that they and the work of a large fleet's pool fit.
 const MAX_HINTS_PER_DATAGRAM: usize = 40;
 
-/// Hints that wait to be told; more would be stale before they are.
+/// Hints that wait to be sent; with more, they would be stale before they were sent.
 const MAX_QUEUED_HINTS: usize = 2_000;
 
-/// `Outbox` holds the hints that not all peers were told yet.
+/// Queue of hints that have not been sent to all peers yet.
 ///
-/// Summaries go round the peers, so a hint stays until it has gone round once.
+/// Summaries go to the peers in turn, so a hint stays in the queue until every peer has been sent
+/// it once.
 #[derive(Debug, Default)]
 pub struct HintQueue {
     hints: VecDeque<(PrefixHint, usize)>,
 }
 
 impl HintQueue {
-    /// `add` adds news for so many peers.
+    /// Adds a hint to be sent to `peers` peers.
     pub fn push(&mut self, hint: PrefixHint, peers: usize) {
         if peers == 0 {
             return;
@@ -106,7 +108,8 @@
         self.hints.push_back((hint, peers));
     }
 
-    /// `take` gives the hints of a summary that goes to so many peers.
+    /// Returns the hints for a summary that is sent to `peers` peers, and puts back those that
+    /// other peers still need.
     pub fn take_batch(&mut self, peers: usize) -> Vec<PrefixHint> {
         let count = self.hints.len().min(MAX_HINTS_PER_DATAGRAM);
         let batch = self.hints.drain(..count).collect::<Vec<_>>();
@@ -119,40 +122,42 @@
     }
 }
 
-/// `Datagram` is what one router sends another.
+/// Message from one router to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// Its work and news.
+    /// The sender's work and hints.
     Summary(Summary),
-    /// Asks for a confirmation of what is known of keys.
+    /// Request for a confirmation that the sender's API keys are current.
     ConfirmationRequest(ConfirmationRequest),
-    /// Answers that.
+    /// Answer to a confirmation request.
     Confirmation(Confirmation),
-    /// What targets told of their loads. Routers that do not know it yet pass over the datagram.
+    /// Loads that targets reported. Routers of versions without this variant ignore the datagram.
     LoadReports(Vec<LoadReport>),
-    /// Requests under which targets ended. Routers that do not know it yet pass over the datagram.
+    /// Requests during which targets crashed. Routers of versions without this variant ignore the
+    /// datagram.
     CrashReports(Vec<CrashReport>),
 }
 
-/// `Summary` is a router's work and news.
+/// Work and hints of one router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// The sender's start, the Unix millisecond at which it was, so that a restarted router's counts begin anew.
+    /// Start time of the sender in Unix milliseconds, so that the sequence of a restarted router
+    /// starts afresh.
     pub incarnation: u64,
-    /// Grows with each datagram of one start.
+    /// Sequence number, which grows with each datagram of one incarnation.
     pub sequence: u64,
-    /// All of its work.
+    /// All of the sender's unfinished work.
     pub work: Vec<Work>,
-    /// Parts sent since the datagram before.
+    /// Prefixes sent since the previous datagram.
     pub hints: Vec<PrefixHint>,
 }
 
 impl Datagram {
-    /// `encode` is the bytes to send; of a summary's hints as many as fit.
+    /// Returns the encoded datagram. Hints of a summary that do not fit are dropped.
     ///
     /// # Errors
     ///
-    /// Returns the codec's error, which these types do not bring about.
+    /// Returns the codec's error, which does not occur for these types.
     pub fn encode(&mut self) -> postcard::Result<Vec<u8>> {
         loop {
             let bytes = postcard::to_stdvec(self)?;
@@ -168,54 +173,55 @@
         }
     }
 
-    /// `decode` reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
     ///
-    /// Returns the codec's error for bytes that are no datagram.
+    /// Returns the codec's error if the bytes are not a valid datagram.
     pub fn decode(bytes: &[u8]) -> postcard::Result<Self> {
         postcard::from_bytes(bytes)
     }
 }
 
-/// `Peer` is what is known of another router.
+/// Latest summary of another router.
 #[derive(Debug)]
 struct Peer {
     incarnation: u64,
-    /// The start before, where this router saw it end.
+    /// Incarnation before the current one, if this router has seen the change.
     previous_incarnation: Option<u64>,
     sequence: u64,
     last_heard: Moment,
     work: Vec<Work>,
 }
 
-/// `Sum` is the work of all other routers on one target.
+/// Total work of all other routers on one target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PeerWork {
-    /// Requests sent there and not ended.
+    /// Requests sent to the target that have not ended.
     pub in_flight: u64,
-    /// Prompt tokens that it has yet to read for them.
+    /// Prompt tokens of these requests that the target has not processed yet.
     pub prefill_tokens: u64,
 }
 
-/// `Peers` holds the other routers' latest summaries.
+/// Latest summaries of the other routers.
 ///
-/// Sums by target are kept up with each summary, so that one costs what it holds and not what all
-/// peers hold.
+/// Totals by target are updated with each summary, so that the cost of an update depends on the
+/// size of that summary and not on the number of peers.
 #[derive(Debug, Default)]
 pub struct Peers {
     by_address: HashMap<SocketAddr, Peer>,
     totals: HashMap<TargetId, PeerWork>,
-    /// Targets whose sums changed since they were asked for.
+    /// Targets whose totals have changed since the last call of [`Peers::take_changed`].
     changed: HashSet<TargetId>,
 }
 
 impl Peers {
-    /// `take` takes in a datagram; false for one that is older than what is known.
+    /// Records a summary; returns false if it is older than the one already known.
     ///
-    /// A new start counts at once, also one whose clock was set back, so that a router that starts again is
-    /// heard by its first summary. Where only greater numbers counted, and were drawn at random, half of all routers that
-    /// started again were not heard for 2.5 s and more.
+    /// A new incarnation replaces the old one at once, even if its clock was set back, so that a
+    /// restarted router is heard by its first summary. When only greater incarnations were
+    /// accepted, and these were drawn at random, half of all restarted routers were ignored for 2.5
+    /// s or more.
     pub fn record_summary(&mut self, now: Moment, from: SocketAddr, summary: &Summary) -> bool {
         let mut previous_incarnation = None;
         if let Some(peer) = self.by_address.get(&from) {
@@ -223,11 +229,12 @@
                 Ordering::Equal if summary.sequence <= peer.sequence => return false,
                 Ordering::Equal => previous_incarnation = peer.previous_incarnation,
                 Ordering::Greater => previous_incarnation = Some(peer.incarnation),
-                // A datagram that comes late, from the start before.
+                // A delayed datagram of the previous incarnation.
                 Ordering::Less if peer.previous_incarnation == Some(summary.incarnation) => {
                     return false;
                 }
-                // Either a clock was set back or the word is late; then the next one of the known start takes over.
+                // Either the peer's clock was set back, or the datagram is delayed; in the latter
+                // case the next summary of the current incarnation replaces it.
                 Ordering::Less => {}
             }
         }
@@ -245,7 +252,7 @@
         true
     }
 
-    /// `expire` forgets peers that were silent for long.
+    /// Removes peers that have not been heard within the timeout.
     pub fn expire(&mut self, now: Moment) {
         let timeout = peer_timeout(self.by_address.len());
         let gone = self
@@ -260,7 +267,8 @@
     fn add_work(&mut self, work: &[Work]) {
         for work in work {
             let sum = self.totals.entry(work.target).or_default();
-            // What is added is taken away again, so that sums which wrap are right in the end.
+            // All work that is added is subtracted later, so totals that wrap around become correct
+            // again.
             sum.in_flight = sum.in_flight.wrapping_add(work.in_flight.into());
             sum.prefill_tokens = sum.prefill_tokens.wrapping_add(work.prefill_tokens);
             self.changed.insert(work.target);
@@ -279,13 +287,13 @@
         }
     }
 
-    /// `sum` is the others' work on a target.
+    /// Returns the other routers' work on a target.
     #[must_use]
     pub fn work_on(&self, target: TargetId) -> PeerWork {
         self.totals.get(&target).copied().unwrap_or_default()
     }
 
-    /// `changed` is the others' work on the targets on which it changed since the last call.
+    /// Returns the other routers' work on each target for which it has changed since the last call.
     pub fn take_changed(&mut self) -> Vec<(TargetId, PeerWork)> {
         let changed = std::mem::take(&mut self.changed);
         let work = changed
@@ -294,7 +302,7 @@
         work.collect()
     }
 
-    /// `hears` tells whether the router at this address was heard of late.
+    /// Returns whether the router at this address has been heard within the timeout.
     #[must_use]
     pub fn is_alive(&self, now: Moment, from: SocketAddr) -> bool {
         let timeout = peer_timeout(self.by_address.len());
@@ -302,8 +310,8 @@
         peer.is_some_and(|p| now.since(p.last_heard) < timeout)
     }
 
-    /// `lag` is how long ago the others told of their work, on average over those who tell; no time where there is no other
-    /// router, whose work this one would not know.
+    /// Returns the mean age of the other routers' summaries; zero without other routers, since then
+    /// there is no work that this router does not know of.
     #[must_use]
     pub fn mean_age(&self, now: Moment) -> Duration {
         let ages = self.by_address.values().map(|p| now.since(p.last_heard));
@@ -311,7 +319,7 @@
         ages.sum::<Duration>() / peers.max(1)
     }
 
-    /// `alive` is how many other routers were heard of late.
+    /// Returns the number of other routers that have been heard within the timeout.
     #[must_use]
     pub fn alive_count(&self, now: Moment) -> usize {
         let silent = peer_timeout(self.by_address.len());
--- a/crates/peppercrank-direct/src/prefixes.rs
+++ b/crates/peppercrank-direct/src/prefixes.rs
@@ -1,10 +1,10 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Which target holds which part of which prompt.
+//! Index of the prompt prefixes that targets hold.
 //!
-//! A prompt is a chain of parts; an engine reuses a part only if it holds all parts before it, so
-//! each part is known by the hash of the chain up to it.
+//! A prompt is a chain of parts. An engine reuses a part only if it holds all parts before it, so
+//! each part is identified by the hash of the prefix that ends with it.
 
 use std::collections::HashMap;
 
@@ -13,42 +13,42 @@
 
 use crate::directory::TargetKey;
 
-/// Most parts remembered; at 40 bytes each they stay under a megabyte.
+/// Maximum number of parts in the index; at 40 bytes each they take less than a megabyte.
 pub const MAX_PARTS: usize = 16_384;
 
-/// Targets remembered as holders of one part.
+/// Maximum number of targets recorded as holders of one part.
 const MAX_HOLDERS: usize = 6;
 
-/// `Part` is one part of a prompt.
+/// One part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// The hash of the chain of parts up to this one.
+    /// Hash of the prompt's parts up to and including this one.
     pub prefix_hash: u64,
-    /// Its own length in tokens.
+    /// Length of this part alone, in tokens.
     pub tokens: u64,
 }
 
-/// `chain` extends the hash of a chain by one part's id.
+/// Extends the hash of a prefix by the id of the next part.
 #[must_use]
 pub fn extend_hash(prefix: u64, id: &[u8]) -> u64 {
     hash64(prefix, id)
 }
 
-/// `Holder` is a target that was sent a part.
+/// Target that was sent a part.
 #[derive(Debug, Clone, Copy)]
 struct Holder {
     target: TargetKey,
     last_used: Moment,
 }
 
-/// `Prefixes` remembers the parts that targets were sent.
+/// Index of the parts that targets were sent.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     parts: HashMap<u64, Vec<Holder>>,
 }
 
 impl PrefixIndex {
-    /// `note` remembers that a target was sent a part, and tells whether that is news.
+    /// Records that a target was sent a part; returns whether this was not known.
     pub fn record(&mut self, now: Moment, target: TargetKey, part: u64) -> bool {
         if self.parts.len() >= MAX_PARTS && !self.parts.contains_key(&part) {
             self.evict_oldest_half();
@@ -57,7 +57,7 @@
         insert_holder(holders, target, now)
     }
 
-    /// `held` is how many leading tokens of a prompt the target holds.
+    /// Returns how many leading tokens of a prompt the target holds.
     #[must_use]
     pub fn held_tokens(&self, target: TargetKey, parts: &[PromptPart]) -> u64 {
         let holds = |p: &&PromptPart| {
@@ -67,7 +67,7 @@
         parts.iter().take_while(holds).map(|p| p.tokens).sum()
     }
 
-    /// `forget` drops what is known of a target that is gone.
+    /// Removes a target that no longer exists.
     pub fn remove_target(&mut self, target: TargetKey) {
         for holders in self.parts.values_mut() {
             holders.retain(|h| h.target != target);
@@ -75,19 +75,19 @@
         self.parts.retain(|_, holders| !holders.is_empty());
     }
 
-    /// `len` is how many parts are remembered.
+    /// Returns the number of parts in the index.
     #[must_use]
     pub fn len(&self) -> usize {
         self.parts.len()
     }
 
-    /// `is_empty` tells whether none is remembered.
+    /// Returns whether the index holds no parts.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.parts.is_empty()
     }
 
-    /// Drops the half that was used longest ago.
+    /// Evicts the half of the parts that was used longest ago.
     fn evict_oldest_half(&mut self) {
         let used = |holders: &Vec<Holder>| holders.iter().map(|h| h.last_used).max();
         let mut times = self.parts.values().filter_map(used).collect::<Vec<_>>();
@@ -98,7 +98,8 @@
     }
 }
 
-/// Puts a holder in, in place of the one used longest ago if there are many; true if it is new.
+/// Adds a holder, replacing the one used longest ago if there are too many; returns whether it is
+/// new.
 fn insert_holder(holders: &mut Vec<Holder>, target: TargetKey, used: Moment) -> bool {
     if let Some(holder) = holders.iter_mut().find(|h| h.target == target) {
         holder.last_used = used;
--- a/crates/peppercrank-direct/src/quarantine.rs
+++ b/crates/peppercrank-direct/src/quarantine.rs
@@ -1,15 +1,17 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Requests under which targets end are kept from further ones.
+//! Quarantine of requests that crash targets.
 //!
-//! A request that crashes the target which runs it (a query of death) takes with it all that the target has at work, and its
-//! caller sends it again: under a new id, to any router. Bounds on the attempts of one id do not hold it. So what
-//! targets ended under is known by its content, and routers tell each other.
+//! A request that crashes the target which runs it (a query of death) also fails all other requests
+//! in flight there, and its caller sends it again, under a new id and to any router. Limits on the
+//! attempts of one id therefore do not contain it. Instead, crashes are counted by the content of
+//! the request, and routers share what they have seen.
 //!
-//! A router sees only that an answer broke off, as it also does where a connection is reset or an answer lost. So the target counts
-//! as ended only once nobody listens there. Then each request that was at work is a candidate, and two things tell the one at fault
-//! from those beside it: targets end under it again and again, and none ever serves it whole.
+//! A router only sees that an answer broke off, which also happens when a connection is reset or an
+//! answer is lost. A target therefore counts as crashed only if it no longer accepts connections.
+//! Every request in flight at the time is then a candidate, and two facts separate the culprit from
+//! the others: targets crash under it repeatedly, and no target ever completes it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -28,67 +30,69 @@
 use report::age_units;
 use report::moment_before;
 
-/// Targets that may end under a request before it is quarantined. Requests beside the one at fault are cut once or twice
-/// themselves.
+/// Number of target crashes after which a request is quarantined. Innocent requests that happen to
+/// run beside a crashing one are hit once or twice.
 pub const CRASH_LIMIT: usize = 3;
 
-/// `KEPT` is the time for which a request is remembered after it came last. It outlasts the pause of a caller that
-/// tries every few minutes; one that stays away longer gets another chance.
+/// Time for which a request is remembered after it was last seen. It is longer than the interval of
+/// a caller that retries every few minutes; a request that stays away longer is allowed again.
 pub const EVIDENCE_TTL: Duration = Duration::from_secs(600);
 
-/// Time for which it is remembered that a request was served, so that word of earlier ends that is still on its way does not
-/// count. Datagrams are passed on within a second.
+/// Time for which a completed request is remembered, so that delayed reports of earlier crashes are
+/// not counted. Datagrams are relayed within a second.
 const SUCCESS_TTL: Duration = Duration::from_secs(30);
 
-/// Requests remembered; at some 200 bytes each they stay below a megabyte. Only requests that a target had at work when it
-/// ended take room.
+/// Maximum number of remembered requests; at about 200 bytes each they take less than a megabyte.
+/// Only requests that were in flight at a target that crashed take an entry.
 const MAX_ENTRIES: usize = 4_096;
 
-/// Datagrams in a row by which news is told, as single ones get lost.
+/// Number of consecutive datagrams that carry the same report, since single datagrams get lost.
 const TRANSMISSIONS: u8 = 2;
 
-/// Reports on one datagram: each has at most 42 bytes, so that they stay below [`crate::peers::MOST_BYTES`].
+/// Reports per datagram: each takes at most 42 bytes, so that they stay below
+/// [`crate::peers::MAX_DATAGRAM_BYTES`].
 const MAX_REPORTS_PER_DATAGRAM: usize = 28;
 
-/// `End` is a start of a target that ended under a request.
+/// Crash of one start of a target while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Crash {
     target: TargetId,
     at: Moment,
 }
 
-/// `Change` is what a router learnt of a request.
+/// Change in what a router knows of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Update {
     /// Nothing new.
     Unchanged,
-    /// More than before.
+    /// New evidence, but the request has not just become quarantined.
     NewEvidence,
-    /// It is quarantined from now on.
+    /// The request is quarantined from now on.
     Quarantined,
 }
 
-/// `Broken` is what follows an answer that broke off.
+/// What to do about the target after an answer broke off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeAction {
-    /// To find out whether its target has ended, before the request goes anywhere else: it may be the last one that counts.
+    /// Probe whether the target has crashed before the request is retried, since this crash may be
+    /// the one that reaches the limit.
     ProbeFirst,
-    /// To find it out meanwhile.
+    /// Probe it in the background.
     Probe,
-    /// Nothing: that is being found out.
+    /// Nothing: a probe of this target is already under way.
     AlreadyProbing,
 }
 
-/// `Evidence` is what is known of one request.
+/// Evidence on one request.
 #[derive(Debug, Clone, Default)]
 struct Evidence {
-    /// Targets that ended under it since it was served last.
+    /// Target crashes under the request since it was last completed.
     crashes: Vec<Crash>,
-    /// When a target served it whole.
+    /// When a target last completed the request.
     last_success: Option<Moment>,
-    /// When it came last, at any router.
+    /// When the request last arrived at any router.
     last_seen: Moment,
-    /// Datagrams on which it is still to be told.
+    /// Number of datagrams on which the evidence is still to be sent.
     transmissions_left: u8,
 }
 
@@ -97,7 +101,8 @@
         self.crashes.len() >= CRASH_LIMIT
     }
 
-    /// Counts an end, unless it is known, or a target has served the request since.
+    /// Adds a crash and returns true, unless it is already known, the request has been completed
+    /// since, or the request is already quarantined.
     fn add_crash(&mut self, end: Crash) -> bool {
         let known = self.crashes.iter().any(|e| e.target == end.target);
         let refuted = self.last_success.is_some_and(|served| end.at <= served);
@@ -108,7 +113,8 @@
         true
     }
 
-    /// Takes in that a target served it, which refutes the ends before, but for those that are `told` to have come after.
+    /// Records that a target completed the request, which clears earlier crashes, except those in
+    /// `told`, which the reporting router knows to be later. Returns whether any was cleared.
     fn record_success(&mut self, at: Moment, told: &[ReportedCrash]) -> bool {
         let before = self.crashes.len();
         let is_told = |end: &Crash| told.iter().any(|t| t.target == end.target);
@@ -139,29 +145,30 @@
         }
     }
 
-    /// Whether a report lacks an end that is known here, where that matters.
+    /// Returns whether a crash is known here that the report lacks, unless the report already
+    /// reaches the limit.
     fn knows_more_than(&self, report: &CrashReport) -> bool {
         let told = |end: &Crash| report.crashes.iter().any(|e| e.target == end.target);
         report.crashes.len() < CRASH_LIMIT && !self.crashes.iter().all(told)
     }
 }
 
-/// `Quarantine` knows the requests under which targets ended.
+/// Evidence on the requests under which targets have crashed.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     evidence: HashMap<Fingerprint, Evidence>,
-    /// Requests whose answers broke off, by the targets of which it is being found out whether they have ended.
+    /// Requests whose answers broke off, by target, while a probe of the target is under way.
     awaiting_probe: HashMap<TargetId, Vec<Fingerprint>>,
 }
 
 impl Quarantine {
-    /// `is_empty` tells whether nothing is known of any request, so that none needs a fingerprint.
+    /// Returns whether there is no evidence on any request, so that no fingerprints are needed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.evidence.is_empty()
     }
 
-    /// `broke_off` notes that a target's answer to a request broke off.
+    /// Records that a target's answer to a request broke off.
     pub fn record_broken_answer(&mut self, content: Fingerprint, target: TargetId) -> ProbeAction {
         let known = self.evidence.get(&content).map_or(0, |e| e.crashes.len());
         let asked = self.awaiting_probe.contains_key(&target);
@@ -173,19 +180,21 @@
         }
     }
 
-    /// `lives` notes that a target has not ended, so that what broke off there speaks against no request.
+    /// Records that a target has not crashed, so that the answers that broke off there do not count
+    /// against their requests.
     pub fn record_alive(&mut self, target: TargetId) {
         self.awaiting_probe.remove(&target);
     }
 
-    /// `ended` notes that a target has ended, under the requests whose answers broke off there.
+    /// Records that a target has crashed, and counts this against the requests whose answers broke
+    /// off there.
     pub fn record_crash(&mut self, now: Moment, target: TargetId) -> Vec<(Fingerprint, Update)> {
         let contents = self.awaiting_probe.remove(&target).unwrap_or_default();
         let count = |content| (content, self.record_crash_of(now, content, target));
         contents.into_iter().map(count).collect()
     }
 
-    /// `ended_under` notes that a target has ended under a request.
+    /// Records that a target has crashed while it ran a request.
     pub fn record_crash_of(
         &mut self,
         now: Moment,
@@ -206,7 +215,7 @@
         }
     }
 
-    /// `served` notes that a target served a request whole, so that what ended before did not end by it.
+    /// Records that a target completed a request, which clears the earlier crashes.
     pub fn record_success(&mut self, now: Moment, content: Fingerprint) {
         if let Some(evidence) = self.evidence.get_mut(&content) {
             evidence.last_seen = now;
@@ -216,7 +225,8 @@
         }
     }
 
-    /// `refuses` tells whether a request that came is kept from targets, and for how long it is if it stays away.
+    /// Returns how long an arriving request stays quarantined if it does not arrive again; `None`
+    /// if it is not quarantined. Extends the quarantine.
     pub fn refuse(&mut self, now: Moment, content: Fingerprint) -> Option<Duration> {
         let evidence = self.evidence.get_mut(&content)?;
         if !evidence.is_quarantined() || evidence.is_expired(now) {
@@ -226,15 +236,15 @@
         Some(EVIDENCE_TTL)
     }
 
-    /// `quarantined` is how many requests are kept from targets.
+    /// Returns the number of quarantined requests.
     #[must_use]
     pub fn quarantined_count(&self) -> usize {
         let quarantined = |e: &&Evidence| e.is_quarantined();
         self.evidence.values().filter(quarantined).count()
     }
 
-    /// `hear` takes in a report of another router. `relay` tells whether news is passed on: in a small fleet
-    /// the other router tells all itself.
+    /// Merges a report of another router. `relay` is whether new evidence is passed on; in a small
+    /// fleet the other router sends it to every peer itself.
     pub fn merge_report(&mut self, now: Moment, report: &CrashReport, relay: bool) -> Update {
         if report.crashes.is_empty() && !self.evidence.contains_key(&report.content) {
             return Update::Unchanged;
@@ -244,7 +254,8 @@
         let before = evidence.is_quarantined();
         evidence.last_seen = evidence.last_seen.max(moment_before(now, report.last_seen));
         let mut news = false;
-        // What was before this process's clock began is all at one moment here, so that the report's own order counts.
+        // Times before the origin of this process's clock all map to the origin, so the order given
+        // by the report itself decides.
         for told in &report.crashes {
             let at = moment_before(now, told.age);
             let target = told.target;
@@ -262,20 +273,21 @@
         }
     }
 
-    /// What the sender of a report does not know, as it has just started or was cut off; none where it knows all.
+    /// Returns the evidence that the sender of a report lacks, for example after a restart or a
+    /// network partition; `None` if it lacks nothing.
     fn missing_report(&self, now: Moment, report: &CrashReport) -> Option<CrashReport> {
         let evidence = self.evidence.get(&report.content)?;
         let known = evidence.report(report.content, now);
         evidence.knows_more_than(report).then_some(known)
     }
 
-    /// `has_news` tells whether there is something to tell.
+    /// Returns whether any evidence is still to be sent.
     #[must_use]
     pub fn has_pending_reports(&self) -> bool {
         self.evidence.values().any(|e| e.transmissions_left > 0)
     }
 
-    /// `tell` is the news for the next datagram, of requests under which most targets ended first.
+    /// Returns the evidence for the next datagram; requests with the most crashes come first.
     pub fn take_pending_reports(&mut self, now: Moment) -> Vec<CrashReport> {
         let pending = self
             .evidence
@@ -292,7 +304,8 @@
         pending.into_iter().map(tell).collect()
     }
 
-    /// `remind` is what is quarantined, the latest to come first, for routers that may not have heard it.
+    /// Returns reports on all quarantined requests, the most recently seen first, for routers that
+    /// may have missed them.
     #[must_use]
     pub fn quarantine_reports(&self, now: Moment) -> Vec<CrashReport> {
         let quarantined = self.evidence.iter().filter(|(_, e)| e.is_quarantined());
@@ -304,12 +317,13 @@
         quarantined.into_iter().map(report).collect()
     }
 
-    /// `expire` forgets requests that did not come for long.
+    /// Removes requests that have not been seen for their retention time.
     pub fn expire(&mut self, now: Moment) {
         self.evidence.retain(|_, e| !e.is_expired(now));
     }
 
-    /// Forgets the request that matters least where there is no room for another.
+    /// Evicts the request with the fewest crashes, and of these the one seen longest ago, if there
+    /// is no room for a new one.
     fn make_room(&mut self, content: Fingerprint) {
         if self.evidence.len() < MAX_ENTRIES || self.evidence.contains_key(&content) {
             return;
--- a/crates/peppercrank-direct/src/quarantine/report.rs
+++ b/crates/peppercrank-direct/src/quarantine/report.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What one router tells another of a request under which targets ended.
+//! Crash reports as routers exchange them.
 
 use std::time::Duration;
 
@@ -12,45 +12,45 @@
 use crate::content::Fingerprint;
 use crate::peers::TargetId;
 
-/// What ages are told in; 0.1 s is the pause between datagrams.
+/// Unit of ages in reports: 0.1 s, the interval between datagrams.
 const AGE_UNIT: Duration = Duration::from_millis(100);
 
-/// `ToldEnd` is an end on a datagram.
+/// One crash in a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct ReportedCrash {
     pub(super) target: TargetId,
-    /// How long ago, in units of `AGE_UNIT`.
+    /// Time since the crash, in units of `AGE_UNIT`.
     pub(super) age: u16,
 }
 
-/// `CrashReport` is what one router tells another of a request under which targets ended.
+/// Evidence on a request under which targets have crashed, as sent to another router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The request.
+    /// Fingerprint of the request.
     pub(super) content: Fingerprint,
-    /// The targets, as many as count.
+    /// Crashes that count against the request, at most the crash limit.
     pub(super) crashes: Vec<ReportedCrash>,
-    /// How long ago a target served it whole, in units of `AGE_UNIT`.
+    /// Time since a target last completed the request, in units of `AGE_UNIT`.
     pub(super) last_success: Option<u16>,
-    /// How long ago it came last, in units of `AGE_UNIT`.
+    /// Time since the request last arrived, in units of `AGE_UNIT`.
     pub(super) last_seen: u16,
 }
 
 impl CrashReport {
-    /// `content` is the request.
+    /// Returns the fingerprint of the request.
     #[must_use]
     pub const fn content(&self) -> Fingerprint {
         self.content
     }
 }
 
-/// How long ago a moment was, on a datagram.
+/// Returns the time since `at`, in units of `AGE_UNIT`.
 pub(super) fn age_units(now: Moment, at: Moment) -> u16 {
     let age = now.since(at).as_millis() / AGE_UNIT.as_millis();
     u16::try_from(age).unwrap_or(u16::MAX)
 }
 
-/// The moment that a datagram tells.
+/// Returns the time that lies `age` units of `AGE_UNIT` before `now`.
 pub(super) fn moment_before(now: Moment, age: u16) -> Moment {
     now.earlier(AGE_UNIT * u32::from(age))
 }
--- a/crates/peppercrank-direct/src/quarantine/spread.rs
+++ b/crates/peppercrank-direct/src/quarantine/spread.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Who is told of the requests under which targets ended, and how much.
+//! Dissemination of crash reports between routers within a bandwidth limit.
 
 use std::time::Duration;
 
@@ -10,39 +10,44 @@
 use super::CrashReport;
 use super::Quarantine;
 
-/// Routers that a datagram goes to. In a larger fleet each that learns something new passes it on: all of 68 routers
-/// refuse a request within 0.4 s of the third end (virtual time, 18 plays).
+/// Number of routers that a datagram is sent to. In a larger fleet each router that learns
+/// something new relays it: all of 68 routers refuse a request within 0.4 s of the third crash
+/// (virtual time, 18 runs).
 const FANOUT: usize = 4;
 
-/// Routers that a reminder goes to: one that was cut off hears four of them in its first second, at any number of routers.
+/// Number of routers that a reminder is sent to: a router that was cut off receives four reminders
+/// in its first second, at any size of the fleet.
 const REMINDER_FANOUT: usize = 2;
 
-/// Pause between reminders.
+/// Interval between reminders.
 const REMINDER_INTERVAL: Duration = Duration::from_millis(500);
 
-/// `AGAIN` is the pause between tellings of the same news, so that one loss does not take both.
+/// Interval between transmissions of the same report, so that a single burst of loss does not drop
+/// both.
 pub const RETRANSMIT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// `GATHER` is the time in which news gathers for one datagram: all answers of a target that ends break off within a few milliseconds.
+/// Time for which reports are collected for one datagram: all answers of a target that crashes
+/// break off within a few milliseconds.
 pub const BATCH_DELAY: Duration = Duration::from_millis(5);
 
-/// Bytes a second that crash reports may take, headers included: a quarter of what a router may send for control. Where no
-/// target crashes none are sent.
+/// Bandwidth limit of crash reports in bytes per second, headers included: a quarter of a router's
+/// limit for control traffic. While no target crashes, none are sent.
 const BYTES_PER_SECOND: u128 = 1_024;
 
-/// Bytes that are saved up for the moment at which targets crash: some ten reports to each of four routers, twice.
+/// Size of the burst that the limit allows when targets crash, in bytes: about ten reports to each
+/// of four routers, twice.
 const BURST_BYTES: usize = 4_096;
 
-/// `Telling` is what is told in one turn.
+/// Reports to send now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Broadcast {
-    /// The reports, on one datagram.
+    /// Reports of one datagram.
     pub reports: Vec<CrashReport>,
-    /// To how many other routers, drawn at random.
+    /// Number of other routers to send it to, drawn at random.
     pub fanout: usize,
 }
 
-/// `Spread` tells other routers within an allowance of bytes.
+/// Sender of crash reports, limited by a token bucket of bytes.
 #[derive(Debug)]
 pub struct Gossip {
     /// Bytes that may be sent now.
@@ -52,7 +57,7 @@
 }
 
 impl Gossip {
-    /// `new` begins with what may be saved up.
+    /// Creates a sender with a full bucket.
     #[must_use]
     pub const fn new(now: Moment) -> Self {
         Self {
@@ -62,7 +67,8 @@
         }
     }
 
-    /// `turn` is what to tell now; none where there is nothing to tell, or no allowance left.
+    /// Returns the reports to send now; `None` if there is nothing to send or the bandwidth limit
+    /// is used up.
     pub fn next_broadcast(
         &mut self,
         now: Moment,
@@ -86,7 +92,7 @@
         (!reports.is_empty()).then_some(Broadcast { reports, fanout })
     }
 
-    /// `sent` notes a datagram of so many bytes, headers included.
+    /// Records that `bytes` were sent, headers included.
     pub fn record_sent(&mut self, bytes: usize) {
         self.allowance = self.allowance.saturating_sub(bytes);
     }
@@ -99,12 +105,14 @@
     }
 }
 
-/// `ASKED` is how many others a router asks that has just started, with a datagram of no reports. Before it asked, and learnt of
-/// quarantined requests by reminders only, six routers of which one a second started again sent one 45 to 92 times more to targets, where it
-/// came 50 times a second (three seeds in virtual time); now not once.
+/// Number of routers that a router sends an empty list of reports at its start, which asks for
+/// their quarantined requests. Without it, and with reminders only, six routers of which one per
+/// second restarted sent a quarantined request that arrived 50 times a second to targets 45 to 92
+/// more times (three seeds in virtual time); with it, not once.
 pub const STARTUP_FANOUT: usize = 4;
 
-/// `reply` is what the sender of reports does not know; all that is quarantined where it sends none, as it has just started.
+/// Returns the reports that the sender of `reports` lacks; all quarantined requests if `reports` is
+/// empty, which means that the sender has just started.
 #[must_use]
 pub fn missing_reports(
     now: Moment,
@@ -120,7 +128,8 @@
     missing.collect()
 }
 
-/// `passes_on` tells whether news of another router is passed on: in a small fleet that one tells all itself.
+/// Returns whether evidence of another router is relayed: in a small fleet that router sends it to
+/// all peers itself.
 #[must_use]
 pub const fn should_relay(peers: usize) -> bool {
     peers > FANOUT
--- a/crates/peppercrank-direct/src/ranks.rs
+++ b/crates/peppercrank-direct/src/ranks.rs
@@ -1,11 +1,12 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! How urgent requests are among those of their pool.
+//! Order of requests by priority within a pool.
 //!
-//! An organisation's priority goes before a route's, so requests are ordered by the organisation's
-//! first and by the route's among equals. Where one priority merely replaced the other, all routes
-//! of an organisation were alike, and its short answers lost their places to its long ones.
+//! An organisation's priority takes precedence over a route's, so requests are ordered by the
+//! organisation's priority first, and by the route's among equals. When the organisation's priority
+//! simply replaced the route's, all routes of an organisation ranked equally, and its long answers
+//! displaced its short ones.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -16,27 +17,27 @@
 use crate::desired::Organisation;
 use crate::desired::Route;
 
-/// Goal of a pool whose routes name none.
+/// Latency goal of a pool whose routes have none.
 const DEFAULT_GOAL: Duration = Duration::from_secs(1);
 
-/// `Rank` is a request's place among the priorities of its pool.
+/// Rank of a request among the priorities of its pool.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Rank {
-    /// Its place; 0 is the most urgent.
+    /// Level of the request; 0 is the most urgent.
     pub level: u8,
-    /// How many places there are, at least one.
+    /// Number of levels in the pool, at least one.
     pub levels: u8,
 }
 
 impl Rank {
-    /// `part` is how far the place lies behind the most urgent one, from 0 to 1.
+    /// Returns the position between the most urgent level, 0, and the least urgent one, 1.
     #[must_use]
     pub fn normalized(self) -> f64 {
         let last = self.levels.saturating_sub(1).max(1);
         f64::from(self.level.min(last)) / f64::from(last)
     }
 
-    /// `scaled` is the place on a scale that ends at `last`.
+    /// Returns the level on a scale from 0 to `last`, unchanged if all levels fit on it.
     #[must_use]
     pub fn scaled(self, last: u8) -> u8 {
         let behind = self.levels.saturating_sub(1);
@@ -48,26 +49,26 @@
     }
 }
 
-/// The priorities that order a request: its organisation's, then its route's.
+/// Sort key of a request: its organisation's priority, then its route's.
 type Priorities = (u8, u8);
 
-/// `PoolRanks` are the priorities that occur in one pool.
+/// Priorities that occur in one pool.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct PoolRanks {
-    /// All that occur, the most urgent first.
+    /// All of them, the most urgent first.
     priorities: Vec<Priorities>,
-    /// The shortest goal of the pool's routes.
+    /// Shortest latency goal of the pool's routes.
     shortest_goal: Option<Duration>,
 }
 
-/// `Ranks` orders the priorities of each pool of a configuration.
+/// Order of the priorities in each pool of a configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Ranks {
     pools: HashMap<Arc<str>, PoolRanks>,
 }
 
 impl Ranks {
-    /// `new` orders the priorities of a configuration.
+    /// Builds the order for a configuration.
     #[must_use]
     pub fn new(desired: &Desired) -> Self {
         let own = desired.organisations.iter().map(|o| o.priority);
@@ -86,7 +87,7 @@
         ranks
     }
 
-    /// `rank` is the rank of a route's request, for an organisation if it has one.
+    /// Returns the rank of a route's request; `organisation` is `None` on an open route.
     #[must_use]
     pub fn rank(&self, pool: &str, route: &Route, organisation: Option<&Organisation>) -> Rank {
         let own = organisation.and_then(|o| o.priority);
@@ -103,7 +104,7 @@
         }
     }
 
-    /// `goal` is the shortest time within which a request for the pool wants its answer.
+    /// Returns the shortest latency goal of the pool's routes.
     #[must_use]
     pub fn shortest_goal(&self, pool: &str) -> Duration {
         let goal = self.pools.get(pool).and_then(|p| p.shortest_goal);
@@ -123,7 +124,7 @@
     }
 }
 
-/// An organisation without a priority of its own has that of the route.
+/// An organisation without a priority of its own takes that of the route.
 fn priorities_of(own: Option<u8>, route: &Route) -> Priorities {
     (own.unwrap_or(route.priority), route.priority)
 }
--- a/crates/peppercrank-direct/src/retries.rs
+++ b/crates/peppercrank-direct/src/retries.rs
@@ -1,11 +1,11 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The fleet's retry budget and what follows an attempt that failed.
+//! The fleet's retry budget, and the next step after a failed attempt.
 //!
-//! Repeats reach a pool at most as a share of the requests for it plus a fixed extra, summed over
-//! all routers in any window. Each router spends its share of what it saw itself, and an equal
-//! part of the extra.
+//! In any window, the retries that all routers together send to a pool are limited to a share of
+//! the requests for it plus a fixed extra. Each router may use that share of the requests that it
+//! has received itself, and an equal part of the extra.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -16,42 +16,43 @@
 
 use crate::rates::as_f64;
 
-/// Part of the allowed share that is spent: the rest covers requests that a window's end parts
-/// from their repeats.
+/// Fraction of the allowed share that is used; the remainder covers retries that fall into a later
+/// window than their requests.
 const USABLE_SHARE: f64 = 0.85;
 
-/// Part of the allowed extra that is spent: the rest covers routers that do not know of each other.
+/// Fraction of the allowed extra that is used; the remainder covers routers that do not know of
+/// each other.
 const USABLE_EXTRA: f64 = 0.7;
 
-/// `Terms` are the fleet's bounds on repeats.
+/// Limits on retries in the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryLimits {
-    /// Repeats allowed for each request.
+    /// Retries allowed per request.
     pub share: f64,
-    /// Repeats allowed besides, in a window, over all routers.
+    /// Additional retries allowed per window, over all routers.
     pub extra: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
 }
 
-/// `Counted` is one pool's recent requests and repeats.
+/// Times of the requests for a pool and of their retries within the window.
 #[derive(Debug, Default)]
 struct PoolHistory {
     requests: VecDeque<Moment>,
     retries: VecDeque<Moment>,
 }
 
-/// `RetryBudget` allows repeats within the fleet's bounds.
+/// Retry budget of a router, which keeps to its part of the fleet's limits.
 #[derive(Debug)]
 pub struct RetryBudget {
     limits: RetryLimits,
-    /// When this process began to count: its predecessor's repeats are not known.
+    /// Start of the count; retries of a previous process are not known.
     started_at: Moment,
     pools: HashMap<Arc<str>, PoolHistory>,
 }
 
 impl RetryBudget {
-    /// `new` begins to count at `now`.
+    /// Creates a budget that starts to count at `now`.
     #[must_use]
     pub fn new(now: Moment, limits: RetryLimits) -> Self {
         Self {
@@ -61,12 +62,12 @@
         }
     }
 
-    /// `set` changes the bounds, as when the settings were read anew.
+    /// Changes the limits, for example after the settings were reloaded.
     pub const fn set_limits(&mut self, limits: RetryLimits) {
         self.limits = limits;
     }
 
-    /// `request` counts a request for a pool.
+    /// Records a request for a pool.
     pub fn record_request(&mut self, now: Moment, pool: &Arc<str>) {
         let window = self.limits.window;
         let history = self.history(pool);
@@ -74,9 +75,9 @@
         history.requests.push_back(now);
     }
 
-    /// `spend` takes one repeat from the budget and tells whether there was one.
+    /// Takes one retry from the budget; returns false if none is left.
     ///
-    /// `routers` is how many routers share the extra, this one included.
+    /// `routers` is the number of routers that share the extra, including this one.
     pub fn try_spend(&mut self, now: Moment, pool: &Arc<str>, routers: usize) -> bool {
         let fits = self.can_spend(now, pool, routers);
         if fits {
@@ -85,12 +86,13 @@
         fits
     }
 
-    /// `can_spend` tells whether the budget has a repeat.
+    /// Returns whether at least one retry is left.
     pub fn can_spend(&mut self, now: Moment, pool: &Arc<str>, routers: usize) -> bool {
         self.remaining(now, pool, routers) >= 1.0
     }
 
-    /// `left` is how many repeats the budget has.
+    /// Returns the number of retries that are left. It is negative if the limits were lowered, or
+    /// if requests have left the window before their retries.
     pub fn remaining(&mut self, now: Moment, pool: &Arc<str>, routers: usize) -> f64 {
         let RetryLimits {
             share,
@@ -108,7 +110,7 @@
         allowed - as_f64(history.retries.len() as u64)
     }
 
-    /// `pools` are the pools that were counted for.
+    /// Returns the pools for which requests or retries were recorded.
     pub fn pools(&self) -> impl Iterator<Item = &Arc<str>> {
         self.pools.keys()
     }
@@ -124,51 +126,51 @@
     }
 }
 
-/// `ExecutionState` is whether a target ran an attempt that gave no answer to pass on.
+/// Whether a target executed an attempt that produced no answer to pass on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExecutionState {
-    /// No byte of it reached the target.
+    /// No byte of the request reached the target.
     NotSent,
-    /// The target says that it did not run it.
+    /// The target states that it did not execute the request.
     NotRun,
-    /// It may have run.
+    /// The target may have executed the request.
     Unknown,
-    /// It ran and the target's answer tells of a failure.
+    /// The target executed the request and answered with a failure.
     Failed,
 }
 
-/// `Plan` is how far one request has come over its attempts.
+/// State of one request over its attempts.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryPlan {
-    /// Whether it may run again.
+    /// Whether the request may be executed more than once.
     pub repeatable: bool,
-    /// Targets that it may run on.
+    /// Maximum number of attempts that may have executed the request.
     pub max_runs: u32,
-    /// Attempts that may have run.
+    /// Attempts that may have executed the request.
     runs: u32,
-    /// Attempts in all.
+    /// All attempts.
     sends: u32,
 }
 
-/// Attempts of one request in all, those that did not run included: a request that finds this
-/// many targets closed meets an outage, which further tries only feed.
+/// Maximum number of attempts of a request, including those that were not executed. A request that
+/// finds this many targets unavailable is in an outage, which more attempts would only make worse.
 const MAX_SENDS: u32 = 4;
 
-/// `After` is what follows an attempt.
+/// Next step after an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
-    /// Another target, which costs nothing of the budget.
+    /// Try another target; this does not use the retry budget.
     Retry,
-    /// Another target, if the budget allows.
+    /// Try another target if the retry budget allows it.
     RetryWithinBudget,
-    /// A refusal that says that it has not run.
+    /// Refuse the request, stating that it was not executed.
     Refuse,
-    /// A failure that says nothing of whether it ran.
+    /// Fail the request without stating whether it was executed.
     Fail,
 }
 
 impl RetryPlan {
-    /// `new` begins the plan of a request.
+    /// Creates the plan of a request without attempts.
     #[must_use]
     pub const fn new(repeatable: bool, max_runs: u32) -> Self {
         Self {
@@ -179,19 +181,19 @@
         }
     }
 
-    /// `has_run` tells whether any attempt may have run.
+    /// Returns whether any attempt may have executed the request.
     #[must_use]
     pub const fn may_have_run(&self) -> bool {
         self.runs > 0
     }
 
-    /// `sends` is how many attempts were made.
+    /// Returns the number of attempts.
     #[must_use]
     pub const fn sends(&self) -> u32 {
         self.sends
     }
 
-    /// `after` notes how an attempt ended and tells what follows.
+    /// Records how an attempt ended and returns the next step.
     pub const fn record_attempt(&mut self, execution: ExecutionState) -> NextStep {
         self.sends += 1;
         if matches!(execution, ExecutionState::Unknown | ExecutionState::Failed) {
@@ -208,7 +210,7 @@
         }
     }
 
-    /// `give_up` is how a request ends that gets no further attempt.
+    /// Returns how a request ends that gets no further attempt.
     #[must_use]
     pub const fn give_up(&self) -> NextStep {
         if self.runs > 0 {
--- a/crates/peppercrank-direct/src/silence.rs
+++ b/crates/peppercrank-direct/src/silence.rs
@@ -1,44 +1,45 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! When a stream that has begun counts as silent, so that it goes on elsewhere if it may.
+//! Detection of streams that have stalled, which are then resumed on another target if possible.
 //!
-//! Guards against targets and connections that fall silent without a reset, which hold a caller until
-//! it leaves.
+//! It covers targets and connections that fall silent without a reset, which would hold a caller
+//! until it gives up.
 
 use std::time::Duration;
 
 use peppercrank_core::time::Moment;
 
-/// Part of the longest pause that is on time after which a stream counts as silent: the rest is for
-/// the next target to read the prompt.
+/// Fraction of the longest acceptable pause after which a stream counts as silent; the remainder is
+/// for the next target to process the prompt.
 const PAUSE_SHARE: f64 = 0.75;
 
-/// The least time: steps of a busy engine that reads several long prompts take some hundred
-/// milliseconds, and its streams pause with them.
+/// Shortest limit: steps of a busy engine that prefills several long prompts take some hundred
+/// milliseconds, and its streams pause for that time.
 const MIN_LIMIT: Duration = Duration::from_millis(300);
 
-/// The time where the route names no pause; callers wait two seconds for an event at least.
+/// Limit on routes that set no longest pause; callers wait at least two seconds for an event.
 const DEFAULT_LIMIT: Duration = Duration::from_secs(1);
 
-/// `Silence` tells whether a stream is silent.
+/// Detector of silence on one stream.
 #[derive(Debug, Clone, Copy)]
 pub struct SilenceDetector {
     limit: Duration,
     last_heard: Moment,
 }
 
-/// `Heard` is what is to be thought of a stream's pause.
+/// State of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StreamState {
-    /// Nothing yet; look again at this moment.
+    /// The stream is not silent yet; check again at this time.
     ActiveUntil(Moment),
-    /// It is silent.
+    /// The stream is silent.
     Silent,
 }
 
 impl SilenceDetector {
-    /// `new` begins at a stream's first part, on a route whose answers may pause for this time.
+    /// Creates a detector at the first part of a stream; `pause` is the longest acceptable pause of
+    /// the route, if it sets one.
     #[must_use]
     pub fn new(now: Moment, pause: Option<Duration>) -> Self {
         let limit = pause.map_or(DEFAULT_LIMIT, |p| p.mul_f64(PAUSE_SHARE).max(MIN_LIMIT));
@@ -48,18 +49,18 @@
         }
     }
 
-    /// `quiet` is the time since the last part.
+    /// Returns the time since the last part.
     #[must_use]
     pub const fn idle_time(&self, now: Moment) -> Duration {
         now.since(self.last_heard)
     }
 
-    /// `heard` notes a part, or a wait that begins anew.
+    /// Records a part, or restarts the limit.
     pub const fn record_part(&mut self, now: Moment) {
         self.last_heard = now;
     }
 
-    /// `at` tells what is to be thought of the pause at this moment.
+    /// Returns the state of the stream at `now`.
     #[must_use]
     pub fn state(&self, now: Moment) -> StreamState {
         let until = self.last_heard + self.limit;
--- a/crates/peppercrank-direct/src/stats.rs
+++ b/crates/peppercrank-direct/src/stats.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What a router knows of each target: its work there, the peers' work, speed and failures.
+//! Per-target statistics of a router: its own work there, its peers' work, latency and failures.
 
 use std::time::Duration;
 
@@ -12,48 +12,50 @@
 use crate::peers::PeerWork;
 use crate::rates::saturating_u64;
 
-/// Time for which a target's word of its load counts: some requests of each router's later, peers
-/// have sent it more than this router knows of. Peers' counts that are older say less than a report.
+/// Time for which a target's load report is used. Later, peers have sent the target more requests
+/// than this router knows of. A report still says more than peer counts that are older than it.
 const REPORT_TTL: Duration = Duration::from_secs(1);
 
-/// The same where peers' counts are older than that.
+/// Time for which a load report is used when the peers' counts are older than [`REPORT_TTL`].
 const MAX_REPORT_TTL: Duration = Duration::from_secs(2);
 
-/// Age up to which peers' counts are taken for the present: in a small fleet each router tells all others several times a second.
+/// Age up to which peers' counts are treated as current: in a small fleet each router sends its
+/// counts to all others several times a second.
 const CURRENT_LAG: Duration = Duration::from_millis(300);
 
-/// Failures in a row that eject a target.
+/// Number of consecutive failures after which a target is ejected.
 const EJECT_AFTER: u32 = 3;
 
-/// The first ejection's time; it doubles with each further one.
+/// Duration of the first ejection; it doubles with each further one.
 const FIRST_EJECTION: Duration = Duration::from_millis(600);
 
-/// The longest ejection.
+/// Longest ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(5);
 
-/// Weight of one answer in a target's running share of failures.
+/// Weight of one answer in the moving average of the failure rate.
 const FAILURE_WEIGHT: f64 = 0.12;
 
-/// Weight of one answer in a target's running speed.
+/// Weight of one answer in the moving average of the latency ratio.
 const LATENCY_WEIGHT: f64 = 0.15;
 
-/// Bounds on a target's speed against its pool's.
+/// Bounds on a sample of the latency ratio.
 const LATENCY_RATIO_BOUNDS: (f64, f64) = (0.4, 12.0);
 
-/// `Basis` is what a target's load is judged by.
+/// What the load of a target is estimated from.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 enum LoadBasis {
-    /// What routers count, or the target's report where it is less.
+    /// The routers' counts, or the target's report if it is lower.
     #[default]
     Counts,
-    /// The target's report, of whose requests this part has ended and others have come, 0 to 1.
+    /// The target's report. The value is the fraction of the reported requests that have since
+    /// ended and been replaced by others, 0 to 1.
     Report(f64),
-    /// What routers counted so long ago that other requests run now.
+    /// Routers' counts so old that other requests run by now.
     StaleCounts,
 }
 
 impl LoadBasis {
-    /// The part of the work that has changed since it was told.
+    /// Returns the fraction of the work that has changed since it was counted or reported, 0 to 1.
     const fn turnover(self) -> f64 {
         match self {
             Self::Counts => 0.0,
@@ -63,36 +65,37 @@
     }
 }
 
-/// `Stats` is what this router knows of one target.
+/// Statistics of one target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Stats {
-    /// Requests sent there and not ended.
+    /// Requests of this router that have not ended.
     pub in_flight: u32,
-    /// Prompt tokens that it has yet to read for them.
+    /// Prompt tokens of these requests that the target has not processed yet.
     pub prefill_tokens: u64,
-    /// The peers' work there.
+    /// Requests of the other routers that have not ended.
     pub peers_in_flight: u32,
-    /// Prompt tokens that it has yet to read for peers.
+    /// Prompt tokens of the other routers' requests that the target has not processed yet.
     pub peers_prefill_tokens: u64,
-    /// What the target told of its load last, and when.
+    /// Latest load that the target reported, in requests, and when.
     last_report: Option<(Moment, u32)>,
-    /// Requests sent there since.
+    /// Requests sent since that report.
     sent_since_report: u32,
-    /// When a request was sent there last.
+    /// When this router last sent a request.
     last_sent: Moment,
-    /// What its load is judged by.
+    /// What the load is estimated from.
     basis: LoadBasis,
-    /// How long its answers take against its pool's; 1 is as long.
+    /// Moving average of the time to the first part of an answer, relative to the prediction for
+    /// the pool; 1 is as predicted, and more is slower.
     pub latency_ratio: f64,
-    /// The running share of failures.
+    /// Moving average of the fraction of answers that failed, 0 to 1.
     pub failure_rate: f64,
-    /// Consecutive failures.
+    /// Failures since the last success.
     consecutive_failures: u32,
     /// Ejections since the last success.
     ejections: u32,
-    /// Until when it gets no work.
+    /// End of the current ejection; `None` if the target is not ejected.
     ejected_until: Option<Moment>,
-    /// Whether a request is on its way that tries an ejected target.
+    /// Whether a trial request to an ejected target is in flight.
     trial_in_flight: bool,
 }
 
@@ -118,14 +121,16 @@
 }
 
 impl Stats {
-    /// `load` is the work on the target: what routers count, or less if the target told of less.
+    /// Returns the load of the target in requests: the routers' counts, or the target's report if
+    /// it is lower.
     ///
-    /// A request whose answer was lost counts here until its time is over, though the target has
-    /// long ended it. Without the target's own word such requests raise the pool's mean, and with
-    /// it what one target may hold.
+    /// A request whose answer was lost is counted until its deadline, although the target has long
+    /// finished it. Without the target's report such requests would raise the pool's mean load, and
+    /// with it the cap on the load of a single target.
     ///
-    /// Where peers' counts are old, and older than what the target told, it is that, which fades to those counts as its requests end: many
-    /// routers that each count what they knew a moment ago fill the same target at once.
+    /// When the peers' counts are old, and older than the report, the report is used instead. It
+    /// fades towards the counts as the reported requests end. With old counts alone, many routers
+    /// would send to the same target at the same time and overload it.
     #[must_use]
     pub fn load(&self) -> u32 {
         let counted = self.counted_load();
@@ -139,24 +144,27 @@
         }
     }
 
-    /// `unseen` is by how many requests the target's load usually differs from what is known: arrivals scatter by the root
-    /// of their number.
+    /// Returns the standard deviation of the target's load from the estimate, in requests: the
+    /// number of arrivals varies by its square root.
     #[must_use]
     pub fn load_deviation(&self) -> f64 {
         let kept = 1.0 - self.basis.turnover();
         (f64::from(self.counted_load().max(1)) * (1.0 - kept * kept)).sqrt()
     }
 
-    /// `waiting` is the work that a request may have to wait for: what routers count, or less if the target told of less.
+    /// Returns the work that a new request may have to wait for, in requests: the routers' counts,
+    /// or the target's report if it is lower.
     ///
-    /// Reports that fade make the waits of many targets swing by the second, and prompts leave their homes for it.
+    /// A fading report is not used here: it would make the predicted waits of many targets
+    /// fluctuate from second to second, and requests would leave the targets that hold their
+    /// prefixes.
     #[must_use]
     pub fn queue_load(&self) -> u32 {
         let told = self.reported_load().unwrap_or(u32::MAX);
         self.counted_load().min(told)
     }
 
-    /// What the target told last, and what was sent there since.
+    /// Returns the target's latest report plus the requests sent since.
     fn reported_load(&self) -> Option<u32> {
         let (_, load) = self.last_report?;
         Some(load.saturating_add(self.sent_since_report))
@@ -166,38 +174,40 @@
         self.in_flight.saturating_add(self.peers_in_flight)
     }
 
-    /// `report` is what the target told of its load last, and when.
+    /// Returns the latest load that the target reported, and when.
     #[must_use]
     pub const fn report(&self) -> Option<(Moment, u32)> {
         self.last_report
     }
 
-    /// `relayed` notes a report that another router passed on, unless a newer one is known.
+    /// Records a load report relayed by another router, unless a newer one is known.
     pub fn record_relayed_report(&mut self, told: Moment, load: u32) {
         if self.last_report.is_some_and(|(at, _)| at >= told) {
             return;
         }
         self.last_report = Some((told, load));
-        // Which of several sends came after it is not known: one may count twice, and none is left out.
+        // It is not known how many of the earlier sends came after the report. Keeping the count
+        // may count some twice, but omits none.
         if self.last_sent <= told {
             self.sent_since_report = 0;
         }
     }
 
-    /// `reported` notes what the target tells of its load.
+    /// Records a load report of the target.
     pub const fn record_report(&mut self, now: Moment, load: u32) {
         self.last_report = Some((now, load));
         self.sent_since_report = 0;
     }
 
-    /// `is_reported` tells whether the target told of its load.
+    /// Returns whether a load report is known.
     #[must_use]
     pub const fn has_report(&self) -> bool {
         self.last_report.is_some()
     }
 
-    /// `at` is what is known at a moment, without what the target told too long ago, where peers told of their work `lag` ago
-    /// and a request holds its place for `hold` milliseconds.
+    /// Returns the statistics as of `now`, without a load report that has expired. `lag` is the
+    /// mean age of the peers' counts, and `hold` the mean time for which a request holds its slot,
+    /// in milliseconds.
     #[must_use]
     pub fn as_of(mut self, now: Moment, lag: Duration, hold: f64) -> Self {
         let ttl = REPORT_TTL.max(lag.min(MAX_REPORT_TTL));
@@ -213,7 +223,7 @@
         self
     }
 
-    /// `succeeded` notes an answer of a working target.
+    /// Records a successful answer, which ends any ejection.
     pub fn record_success(&mut self) {
         self.consecutive_failures = 0;
         self.ejections = 0;
@@ -222,7 +232,7 @@
         self.failure_rate -= self.failure_rate * FAILURE_WEIGHT;
     }
 
-    /// `failed` notes a failure that speaks against the target; true if it is now ejected.
+    /// Records a failure that counts against the target; returns true if the target is now ejected.
     pub fn record_failure(&mut self, now: Moment) -> bool {
         self.failure_rate += (1.0 - self.failure_rate) * FAILURE_WEIGHT;
         self.consecutive_failures += 1;
@@ -237,28 +247,29 @@
         true
     }
 
-    /// `timed` notes how long an answer took against what was predicted, both in milliseconds.
+    /// Records the time that an answer took and the time that was predicted, both in milliseconds.
     pub fn record_latency(&mut self, took: f64, predicted: f64) {
         let sample =
             (took / predicted.max(1.0)).clamp(LATENCY_RATIO_BOUNDS.0, LATENCY_RATIO_BOUNDS.1);
         self.latency_ratio += (sample - self.latency_ratio) * LATENCY_WEIGHT;
     }
 
-    /// `sent` notes that a request goes there; to an ejected target it goes as a trial.
+    /// Records that a request is sent; to an ejected target whose time is over it is sent as a
+    /// trial.
     pub fn record_sent(&mut self, now: Moment) {
         self.sent_since_report = self.sent_since_report.saturating_add(1);
         self.last_sent = now;
         self.trial_in_flight |= self.ejected_until.is_some_and(|until| now >= until);
     }
 
-    /// `ended` notes that a request ended, whatever came of it.
+    /// Records the end of a request, whatever its outcome.
     pub const fn record_end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.trial_in_flight = false;
     }
 
-    /// `is_ejected` tells whether it gets no work at this moment: one request tries it once its time
-    /// is over.
+    /// Returns whether the target gets no work at `now`. When an ejection is over, a single trial
+    /// request is let through.
     #[must_use]
     pub fn is_ejected(&self, now: Moment) -> bool {
         self.ejected_until
@@ -266,47 +277,50 @@
     }
 }
 
-/// The part of a target's requests that ends within a time, where each holds its place for `hold` milliseconds on average.
+/// Returns the fraction of a target's requests that end within `time`, where each holds its slot
+/// for `hold` milliseconds on average.
 fn turnover(time: Duration, hold: f64) -> f64 {
     1.0 - (-time.as_secs_f64() * 1_000.0 / hold.max(1.0)).exp()
 }
 
-/// What a target told, as far as it has not changed, and else what was counted.
+/// Interpolates between a reported and a counted load, by the fraction that has changed since the
+/// report.
 fn interpolate(told: u32, counted: u32, changed: f64) -> u32 {
     let (told, counted) = (f64::from(told), f64::from(counted));
     let load = told + (counted - told) * changed;
     u32::try_from(saturating_u64(load.round())).unwrap_or(u32::MAX)
 }
 
-/// `Board` holds what this router knows of all targets.
+/// Statistics of all targets.
 #[derive(Debug, Default)]
 pub struct StatsMap {
     stats: SecondaryMap<TargetKey, Stats>,
 }
 
 impl StatsMap {
-    /// `get` is what is known of a target.
+    /// Returns a copy of the statistics of a target; the default if none are recorded.
     #[must_use]
     pub fn get(&self, key: TargetKey) -> Stats {
         self.stats.get(key).copied().unwrap_or_default()
     }
 
-    /// `of` is what is known of a target, to change it.
+    /// Returns the statistics of a target for modification, the default if none are recorded;
+    /// `None` if the key is outdated.
     pub fn get_mut(&mut self, key: TargetKey) -> Option<&mut Stats> {
         Some(self.stats.entry(key)?.or_default())
     }
 
-    /// `forget` drops a target that is gone.
+    /// Removes the statistics of a target.
     pub fn remove(&mut self, key: TargetKey) {
         self.stats.remove(key);
     }
 
-    /// `iter` lists the targets and what is known of them.
+    /// Iterates over the targets with statistics.
     pub fn iter(&self) -> impl Iterator<Item = (TargetKey, &Stats)> {
         self.stats.iter()
     }
 
-    /// `hear` sets the peers' work on a target.
+    /// Sets the other routers' work on a target.
     pub fn set_peer_work(&mut self, key: TargetKey, sum: PeerWork) {
         if let Some(stats) = self.get_mut(key) {
             stats.peers_in_flight = u32::try_from(sum.in_flight).unwrap_or(u32::MAX);
