--- a/crates/peppercrank-direct/tests/verify_admission.rs
+++ b/crates/peppercrank-direct/tests/verify_admission.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Who is admitted to a pool that cannot serve all who ask.
+//! Admission control for an overloaded pool.
 
 use std::time::Duration;
 
@@ -126,7 +126,7 @@
     assert_eq!(admission.retry_after(at(100), left), soonest);
     let later = admission.retry_after(at(2_000), left);
     assert_eq!(later, Duration::from_secs(1));
-    // Callers follow no longer wait than a third of the time that they have.
+    // Callers do not honour delays longer than a third of their remaining time.
     assert_eq!(admission.retry_after(at(60_000), left), left / 3);
     assert_eq!(admission.retry_after(at(60_000), Duration::ZERO), soonest);
 }
--- a/crates/peppercrank-direct/tests/verify_attribution.rs
+++ b/crates/peppercrank-direct/tests/verify_attribution.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Whom failures that targets answer speak against.
+//! Attribution of failed answers to targets or to the request.
 
 use peppercrank_direct::attribution::Attribution;
 use peppercrank_direct::attribution::RequestEnd;
@@ -9,7 +9,8 @@
 use peppercrank_direct::directory::TargetKey;
 use slotmap::SlotMap;
 
-/// How many targets failed a request, how it ended, and against how many that speaks.
+/// How many targets failed a request, how the request ended, and how many targets the failures
+/// count against.
 const TABLE: &[(usize, RequestEnd, usize)] = &[
     (0, RequestEnd::Served, 0),
     (0, RequestEnd::Failed, 0),
--- a/crates/peppercrank-direct/tests/verify_confirm.rs
+++ b/crates/peppercrank-direct/tests/verify_confirm.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Confirmations between routers never make knowledge look younger than it is.
+//! Confirmations between routers never make a copy of the keys look newer than it is.
 
 use std::time::Duration;
 
@@ -47,14 +47,14 @@
         ..confirmation(5, 0)
     };
     let rows = [
-        // The age counts from the question, and is rounded up.
+        // The age counts from the sending of the request, and is rounded up.
         (confirmation(5, 0), Some(5), Verdict::CurrentAsOf(at(9_999))),
         (
             confirmation(5, 700),
             Some(5),
             Verdict::CurrentAsOf(at(9_299)),
         ),
-        // A router that is behind confirms what is newer here, but not the other way round.
+        // A router with an older version confirms a newer one here, but not the other way round.
         (
             confirmation(4, 700),
             Some(5),
@@ -76,7 +76,8 @@
 
 #[test]
 fn verify_a_time_before_the_clock_origin_is_unusable() {
-    // As the moment at which it was known cannot be told, it would count from the clock's origin.
+    // The time of the confirmed state lies before the clock's origin and cannot be represented;
+    // clamping it to the origin would make it look newer.
     let asked = PendingRequest {
         request: REQUEST,
         sent_at: at(300),
@@ -100,13 +101,14 @@
 
 #[test]
 fn verify_a_chain_of_confirmations_never_understates_the_age() {
-    // The clocks of the three differ; the store was asked at 0 of the common time.
+    // The clocks of the three routers differ; the store was queried at 0 of the common time.
     let offsets = [5_000, 90_000, 40_000];
     let mut freshness = Freshness::new(None);
     freshness.confirm(at(offsets[0]), Source::Store);
     let mut common = 0;
     for hop in 1..offsets.len() {
-        // A question takes 60 ms, the one who answers stands still for 200, the answer takes 90.
+        // The request takes 60 ms, the answering router stalls for 200 ms, and the answer takes 90
+        // ms.
         let (sent, answered) = (common + 60, common + 120);
         let age = freshness.age(at(offsets[hop - 1] + answered));
         let told = Confirmation::new(REQUEST, key_state(Some(1), age)).expect("knowledge");
@@ -131,12 +133,12 @@
         let sorted = names.iter().map(String::as_str).collect::<Vec<_>>();
         let mut turned = sorted.clone();
         turned.rotate_left(count / 2);
-        // Whatever order a router knows the others in.
+        // The result does not depend on the order in which a router knows the others.
         assert_eq!(store_readers(turned), sorted[..ask]);
     }
 }
 
-/// What a router of an earlier version reads of a confirmation.
+/// Fields that a router of an earlier version decodes from a confirmation.
 #[derive(Debug, Deserialize, PartialEq, Eq)]
 struct EarlierConfirmation {
     nonce: u64,
@@ -148,7 +150,7 @@
 fn verify_routers_of_two_versions_confirm_to_each_other_or_ask_the_store() {
     let mut datagram = Datagram::Confirmation(confirmation(5, 700));
     let bytes = datagram.encode().expect("a datagram");
-    // The first byte tells which kind of datagram it is.
+    // The first byte is the variant of the datagram.
     let earlier = postcard::from_bytes::<EarlierConfirmation>(&bytes[1..]);
     let expected = EarlierConfirmation {
         nonce: REQUEST.nonce,
@@ -156,7 +158,8 @@
         age: 701,
     };
     assert_eq!(earlier, Ok(expected));
-    // One of an earlier router is no datagram here, so that the store is asked.
+    // A shorter confirmation from an earlier version does not decode, so the store is queried
+    // instead.
     let shorter = Datagram::decode(&bytes[..bytes.len() - 1]);
     shorter.expect_err("no datagram");
 }
--- a/crates/peppercrank-direct/tests/verify_congestion.rs
+++ b/crates/peppercrank-direct/tests/verify_congestion.rs
@@ -1,13 +1,14 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! When a router takes its own link for the bottleneck.
+//! Detection of congestion on the router's own link.
 //!
-//! What users saw: in a flood of 16 times the usual requests a fleet of 31 routers served a quarter, less than at eight times. Order
-//! of events: the links of the small routers fill, connections to targets are given up after 300 ms, each failure ejects
-//! a sound target, and the attempts count as work there. Cause: nothing told a full link from targets that do not answer.
-//! Evidence: 10,000 attempts in 2 s ended as not connected, at 25 routers on links of 10 Mbit/s and at none on 200 Mbit/s, and 60 of
-//! 60 targets were ejected.
+//! Guards against a flood of 16 times the usual requests, in which a fleet of 31 routers served a
+//! quarter, less than at eight times. The links of the small routers fill, connections to targets
+//! time out after 300 ms, each failure ejects a healthy target, and the attempts count as load
+//! there. Nothing distinguished a full link from targets that do not respond: in 2 s, 10,000
+//! attempts failed to connect, at 25 routers on links of 10 Mbit/s and at none on 200 Mbit/s, and
+//! 60 of 60 targets were ejected.
 
 use std::time::Duration;
 
@@ -18,12 +19,13 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Connections that are being made, and whether the link is the bottleneck.
+/// State of the connections, and whether the link is congested. `count` is the number of pending
+/// connections.
 struct Row {
     count: usize,
-    /// For how long the one that takes longest has been waited for, in milliseconds.
+    /// How long the oldest connection has been pending, in milliseconds.
     longest: u32,
-    /// Age of the last one that was made, and the time that it took, in milliseconds.
+    /// Time since the latest connection was established and the time that it took, in milliseconds.
     last: Option<(u32, u32)>,
     congested: bool,
 }
@@ -38,20 +40,20 @@
 }
 
 const TABLE: &[Row] = &[
-    // A process that starts makes its first ones.
+    // A starting process opens its first connections.
     row(0, 0, None, false),
     row(MIN_PENDING - 1, 290, None, false),
-    // None of many came through, or the last one was slow, or it is long ago.
+    // Of many connections none was established, or the latest one was slow, or it is long ago.
     row(MIN_PENDING, 290, None, true),
     row(MIN_PENDING, 120, Some((5, 250)), true),
     row(MIN_PENDING, 290, Some((400, 3)), true),
-    // Half of the targets are dark: connections to the others are made all the while.
+    // Half of the targets do not respond; connections to the others are still established.
     row(MIN_PENDING, 290, Some((5, 3)), false),
     row(10 * MIN_PENDING, 290, Some((20, 4)), false),
-    // A burst of requests at a router that was idle.
+    // A burst of requests at an idle router.
     row(10 * MIN_PENDING, 2, None, false),
     row(10 * MIN_PENDING, 2, Some((60_000, 3)), false),
-    // A slow path with little on it is no full link.
+    // A slow path with few connections is not a full link.
     row(3, 290, Some((5, 250)), false),
 ];
 
--- a/crates/peppercrank-direct/tests/verify_content.rs
+++ b/crates/peppercrank-direct/tests/verify_content.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! When two requests count as the same.
+//! Which requests have the same fingerprint.
 
 use peppercrank_direct::content::Fingerprint;
 use peppercrank_direct::content::RequestContent;
@@ -61,7 +61,7 @@
 
 #[test]
 fn verify_a_fingerprint_is_the_same_in_every_process_and_version() {
-    // Made by another program from the same definition.
+    // Computed by an independent program from the same definition.
     let told = Fingerprint::of(&REQUEST).to_string();
     assert_eq!(told, "8f5d5a1aca286f98");
 }
--- a/crates/peppercrank-direct/tests/verify_overcount.rs
+++ b/crates/peppercrank-direct/tests/verify_overcount.rs
@@ -1,14 +1,15 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The load cap where peers tell of work that is no longer there.
+//! The load cap where peers count work that is no longer at the targets.
 //!
-//! What happened: after a flood of 16 times the usual requests, more than 3 in 100 requests reached targets that held over twice
-//! the mean of their pool and three, in four of eight runs on a fleet of 31 routers and 57 targets. Order of events: routers on
-//! full links tell of requests that have not reached their targets; others count them; a request goes to the target
-//! that holds its prompt, as that is still below twice the mean. Cause: the load of that target was right, as it told of it
-//! itself, and the mean was not. Evidence: a router believed 40 requests a target where targets held 26, 61 at the
-//! one that held 61, and the cap to be 70.
+//! Guards against a flood of 16 times the usual requests, after which more than 3 in 100 requests
+//! reached targets that held over twice the mean of their pool plus three, in four of eight runs on
+//! a fleet of 31 routers and 57 targets. Routers on congested links report requests that have not
+//! reached their targets, other routers count them, and a request goes to the target that holds its
+//! prompt because its load is still below twice the mean. The load of that target was right, as it
+//! had reported it, but the mean was not: a router assumed 40 requests per target where targets
+//! held 26, 61 at the target that held 61, and a cap of 70.
 
 use std::time::Duration;
 
@@ -27,14 +28,14 @@
 use peppercrank_direct::stats::Stats;
 use slotmap::SlotMap;
 
-/// Requests that each target held, and that peers told of there.
+/// Requests that each target holds, and that peers count there.
 const ACTUAL_LOAD: u32 = 26;
 const PEER_COUNT: u32 = 40;
 
 /// Requests at the target that holds the prompt.
 const HOT_LOAD: u32 = 61;
 
-/// Targets that told of their load, and all.
+/// Number of targets that report their load, and of all targets.
 const REPORTING_TARGETS: usize = 10;
 const TARGETS: usize = 57;
 
@@ -62,7 +63,7 @@
     }
 }
 
-/// The pool as the router believed it; the first target holds the prompt.
+/// The pool as the router sees it; the first target holds the prompt.
 fn pool() -> Vec<Candidate> {
     let mut targets = SlotMap::<TargetKey, ()>::with_key();
     let mut pool = Vec::new();
@@ -131,7 +132,7 @@
         candidate.stats.peers_in_flight = 0;
     }
     assert_same(&own);
-    // One target with a few requests says nothing of 56 others.
+    // One target with a few requests says nothing about 56 others.
     let mut few = pool();
     for candidate in &mut few[1..=REPORTING_TARGETS] {
         candidate.stats.peers_in_flight = 0;
@@ -153,7 +154,7 @@
     overcount::mean_load(candidates.iter().map(|c| &c.stats))
 }
 
-/// The mean is that of the loads as they are counted.
+/// Asserts that the mean is that of the uncorrected loads.
 fn assert_same(candidates: &[Candidate]) {
     let loads = candidates.iter().map(|c| f64::from(c.stats.load()));
     let counted = loads.sum::<f64>() / count(candidates.len());
--- a/crates/peppercrank-direct/tests/verify_quarantine.rs
+++ b/crates/peppercrank-direct/tests/verify_quarantine.rs
@@ -1,11 +1,11 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Which requests are kept from targets, by what targets ended under.
+//! Quarantine of requests by the target crashes under them.
 //!
-//! What users saw: the same request, under new ids and at any router, was sent to targets up to 24 times after three had ended
-//! under it, and 42 ended in all. Cause: each attempt of a caller was judged alone, and no router knew what the others
-//! had seen.
+//! Guards against a request that was sent to targets up to 24 more times, under new ids and by any
+//! router, after three targets had crashed under it; 42 targets crashed in all. Each attempt of a
+//! caller was judged on its own, and no router knew what the others had seen.
 
 use std::time::Duration;
 
@@ -23,19 +23,19 @@
 
 const CRASHING: Fingerprint = Fingerprint(7);
 
-/// A moment so many milliseconds after the first.
+/// Returns the time `millis` milliseconds after the start of the test.
 const fn at(millis: u64) -> Moment {
     Moment::from_millis(1_000_000 + millis)
 }
 
-/// Ends so many targets under a request, one after the other.
+/// Crashes these targets under a request, one after the other.
 fn crash(quarantine: &mut Quarantine, content: Fingerprint, targets: std::ops::Range<u32>) {
     for target in targets {
         quarantine.record_crash_of(at(0), content, TargetId(target));
     }
 }
 
-/// Tells one router what another has to tell.
+/// Sends the pending reports of one router to another.
 fn exchange(from: &mut Quarantine, to: &mut Quarantine, now: Moment, relay: bool) -> Vec<Update> {
     let reports = from.take_pending_reports(now);
     reports
@@ -51,7 +51,8 @@
     assert_eq!(quarantine.refuse(at(0), CRASHING), None);
     let told = |q: &mut Quarantine, target| q.record_crash_of(at(0), CRASHING, TargetId(target));
     assert_eq!(told(&mut quarantine, 1), Update::NewEvidence);
-    // The same start ends only once: two requests in one, or its connections were reset again.
+    // A start crashes only once, even if two requests were in flight or its connections are reset
+    // again.
     assert_eq!(told(&mut quarantine, 1), Update::Unchanged);
     assert_eq!(told(&mut quarantine, 2), Update::NewEvidence);
     assert_eq!(quarantine.refuse(at(0), CRASHING), None);
@@ -75,8 +76,8 @@
     }
 }
 
-/// What reading the code again showed: a router that has just started cannot tell moments before its own start apart, and took
-/// ends for refuted by a run that had been whole before them.
+/// A router that has just started maps all times before its start to the same one, and must not
+/// take crashes for cleared by a success that came before them.
 #[test]
 fn verify_a_router_that_started_later_counts_earlier_crashes() {
     let mut old = Quarantine::default();
@@ -107,7 +108,8 @@
     assert_eq!(exchange(first, third, at(0), false), [Update::NewEvidence]);
     assert_eq!(exchange(second, third, at(0), false), [Update::Quarantined]);
     assert!(third.refuse(at(0), CRASHING).is_some());
-    // What was told goes on as news of the router itself; the first has told enough after two datagrams.
+    // Merged evidence is sent on as the router's own; the first router has nothing left to send
+    // after two datagrams.
     assert_eq!(
         exchange(third, first, at(100), false),
         [Update::Quarantined]
@@ -128,7 +130,7 @@
         exchange(&mut here, &mut there, at(500), false),
         [Update::NewEvidence]
     );
-    // Word of the ends that comes late does not count again.
+    // Delayed reports of the crashes are not counted again.
     for report in &late {
         assert_eq!(there.merge_report(at(500), report, true), Update::Unchanged);
     }
@@ -147,7 +149,7 @@
         new.merge_report(at(0), &answer[0], false),
         Update::Quarantined
     );
-    // Then both are silent, though each knows other ends.
+    // After that neither replies, although each knows crashes that the other does not.
     let told = new.take_pending_reports(at(100));
     assert_eq!(missing_reports(at(100), &old, &told), []);
     assert_eq!(missing_reports(at(100), &new, &answer), []);
@@ -190,7 +192,7 @@
     crash(&mut quarantine, CRASHING, 0..3);
     let minute = Duration::from_secs(60);
     let mut now = at(0);
-    // It comes every nine minutes.
+    // The request arrives every nine minutes.
     for _ in 0..10 {
         now = now + 9 * minute;
         quarantine.expire(now);
@@ -229,7 +231,7 @@
         quarantine.record_crash_of(at(content), Fingerprint(content), TargetId(1));
     }
     assert!(quarantine.refuse(at(6_000), CRASHING).is_some());
-    // 4,096 are remembered, each told twice.
+    // 4,096 requests are remembered, and each is reported twice.
     let mut told = 0;
     while quarantine.has_pending_reports() {
         told += quarantine.take_pending_reports(at(6_000)).len();
@@ -288,7 +290,8 @@
         assert_eq!(quarantine.record_crash(at(0), target), news);
         assert_eq!(quarantine.record_crash(at(0), target), []);
     }
-    // The next one may be the last that counts, so it is asked before the request goes on, also beside another question.
+    // The next crash may reach the limit, so the target is probed before the request is retried,
+    // even if a probe is already under way.
     let last = TargetId(22);
     assert_eq!(
         quarantine.record_broken_answer(Fingerprint(9), last),
--- a/crates/peppercrank-direct/tests/verify_ranks.rs
+++ b/crates/peppercrank-direct/tests/verify_ranks.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! How urgent requests are among those of their pool.
+//! Order of requests by priority within a pool.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/peppercrank-direct/tests/verify_reports.rs
+++ b/crates/peppercrank-direct/tests/verify_reports.rs
@@ -1,12 +1,14 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Load reports of targets, passed on between the routers of a large fleet.
+//! Load reports of targets, relayed between the routers of a large fleet.
 //!
-//! What users saw: the load cap did not hold with 68 routers before 120 targets. At 29.7 s of a day after a surge a router
-//! sent a request to the home of its prompt, of which it counted 6 requests; it held 11, where the mean was 3.7. In a surge of three
-//! times another counted 14 at a target that had just told it of 64. Causes: peers' counts were seconds old, a report was
-//! known to one router of 68, and it was believed only where it was less than the count.
+//! Guards against a load cap that did not hold with 68 routers and 120 targets. 29.7 s into a
+//! simulated day after a surge, a router sent a request to the target that held its prefix and
+//! counted 6 requests there; the target held 11, with a mean of 3.7. In a surge of three times the
+//! usual load, another router counted 14 requests at a target that had just reported 64. Peers'
+//! counts were seconds old, a report was known to one router of 68, and it was used only where it
+//! was lower than the count.
 
 use std::time::Duration;
 
@@ -29,10 +31,10 @@
 use peppercrank_direct::stats::Stats;
 use slotmap::SlotMap;
 
-/// How long a request holds its place, in milliseconds.
+/// How long a request holds its slot, in milliseconds.
 const HOLD_MS: f64 = 700.0;
 
-/// The age of peers' counts in a large fleet, and in a small one.
+/// Age of peers' counts in a large fleet, and in a small one.
 const LARGE_FLEET_LAG: Duration = Duration::from_millis(1_750);
 const SMALL_FLEET_LAG: Duration = Duration::from_millis(60);
 
@@ -56,12 +58,13 @@
     LoadReport::new(TargetId(target), load, Duration::from_millis(age)).expect("a young report")
 }
 
-/// A pool of which the first target holds the prompt, as it is counted and as it told.
+/// A pool whose first target holds the prompt; `count` and `told` are its counted and its reported
+/// load.
 fn pool(count: u32, told: Option<u32>, lag: Duration) -> Vec<Candidate> {
     pool_of(4, count, told, lag)
 }
 
-/// The same where others are counted with so many requests.
+/// The same with `others` requests counted at each other target.
 fn pool_of(others: u32, count: u32, told: Option<u32>, lag: Duration) -> Vec<Candidate> {
     let mut keys = SlotMap::<TargetKey, ()>::with_key();
     let candidate = |n: usize| {
@@ -109,13 +112,13 @@
     );
     assert!(!is_sent_to_first(&pool(6, Some(12), LARGE_FLEET_LAG)));
     assert!(!is_sent_to_first(&pool(14, Some(64), LARGE_FLEET_LAG)));
-    // Counts that are recent are right where a report was not passed on for a while.
+    // Recent counts are more accurate than a report that has not been relayed for a while.
     assert!(is_sent_to_first(&pool(6, Some(12), SMALL_FLEET_LAG)));
 }
 
 #[test]
 fn verify_the_cap_keeps_a_margin_for_unreported_load() {
-    // Allowed are 2 x 0.85 of a mean of five, and two: 10.6.
+    // The cap is 2 x 0.85 of a mean of five, plus two: 10.6.
     assert!(is_sent_to_first(&pool_of(5, 10, None, SMALL_FLEET_LAG)));
     assert!(!is_sent_to_first(&pool_of(
         5,
@@ -133,10 +136,10 @@
         stats.as_of(now(), LARGE_FLEET_LAG, HOLD_MS).load()
     };
     assert_eq!(load(0), 14);
-    // After the time that a request takes, a third of it.
+    // After the duration of a request, a third of the report remains.
     assert_eq!(load(700), 8);
     assert_eq!(load(1_700), 5);
-    // Too old: the count alone.
+    // The report has expired, so only the count is used.
     assert_eq!(load(2_000), 4);
 }
 
@@ -149,10 +152,10 @@
     };
     assert_eq!(load(100, 750, 20), 20);
     assert_eq!(load(100, 750, 5), 5);
-    // Counts that are younger are right, but for requests whose answers were lost.
+    // Newer counts are accurate, except for requests whose answers were lost.
     assert_eq!(load(800, 750, 20), 12);
     assert_eq!(load(800, 750, 5), 5);
-    // Those of a small fleet are of the present.
+    // Counts of a small fleet are current.
     assert_eq!(load(20, 60, 20), 12);
 }
 
@@ -223,13 +226,15 @@
 
 #[test]
 fn verify_malformed_datagrams_are_rejected() {
-    // Three reports are announced and one is there; a number runs on; an unknown kind.
+    // Three reports are announced but one is present; a number is not terminated; the variant is
+    // unknown.
     for bytes in [&[3, 3, 1, 2, 3, 4, 5, 6][..], &[3, 255, 255, 255], &[9, 0]] {
         assert!(Datagram::decode(bytes).is_err(), "{bytes:?}");
     }
 }
 
-/// A prompt stays at its home though the report of its load swings, as long as that is below the cap.
+/// A prompt stays on the target that holds it although the reported load fluctuates, as long as the
+/// load is below the cap.
 #[test]
 fn verify_the_queue_load_ignores_higher_reports() {
     let waiting = |told: u32, lag: Duration| {
@@ -239,7 +244,7 @@
     };
     assert_eq!(waiting(30, LARGE_FLEET_LAG), 9);
     assert_eq!(waiting(30, SMALL_FLEET_LAG), 9);
-    // Requests whose answers were lost wait nowhere.
+    // Requests whose answers were lost are not queued anywhere.
     assert_eq!(waiting(2, LARGE_FLEET_LAG), 2);
     assert_eq!(waiting(2, SMALL_FLEET_LAG), 2);
 }
--- a/crates/peppercrank-direct/tests/verify_retries.rs
+++ b/crates/peppercrank-direct/tests/verify_retries.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The fleet's retry budget, and what follows each execution of an attempt.
+//! The fleet's retry budget, and the next step after each attempt.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,8 @@
     window: Duration::from_secs(10),
 };
 
-/// So many routers spend all that they may; returns the most repeats of any window.
+/// Lets `routers` routers spend all of their budgets; returns the most retries in any window, and
+/// the requests in one window.
 fn spend_all(routers: usize, restart: bool) -> (usize, usize) {
     let pool: Arc<str> = "pool".into();
     let new = |at| RetryBudget::new(Moment::from_millis(at), LIMITS);
--- a/crates/peppercrank-direct/tests/verify_silence.rs
+++ b/crates/peppercrank-direct/tests/verify_silence.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! When a stream counts as silent.
+//! Detection of stalled streams.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 #[test]
 fn verify_a_stream_is_silent_after_its_pause() {
     let start = Moment::ZERO;
-    // The pause that is named, one that is too short to tell silence by, and none.
+    // A pause set by the route, one that is too short to detect silence by, and none.
     for (pause, limit) in [(Some(800), 600), (Some(50), 300), (None, 1_000)] {
         let silence = SilenceDetector::new(start, pause.map(ms));
         let until = start + ms(limit);
--- a/crates/peppercrank-direct/tests/verify_spread.rs
+++ b/crates/peppercrank-direct/tests/verify_spread.rs
@@ -1,11 +1,13 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A request that crashes targets comes at any router of a fleet, again and again: how often it reaches targets.
+//! How often a request that crashes targets reaches them when it arrives repeatedly at any router
+//! of a fleet.
 //!
-//! What users ask: after three targets have ended under a request, and 3 s more, it reaches targets at most three times, summed over all
-//! routers. Played in virtual time: targets take 20 to 500 ms to crash and 3 s to come back, all that they have at work
-//! breaks off, each arrival may be sent to two of them, datagrams take 1 to 3 ms and one in a hundred is lost.
+//! The requirement is that, from 3 s after three targets have crashed under a request, it reaches
+//! targets at most three times, summed over all routers. The test simulates it in virtual time:
+//! targets take 20 to 500 ms to crash and 3 s to recover, everything in flight on them breaks off,
+//! each arrival may be sent to two of them, datagrams take 1 to 3 ms, and one in a hundred is lost.
 //! `cargo test -p peppercrank-direct --test verify_spread -- --nocapture` prints the figures.
 
 use std::collections::BTreeMap;
@@ -31,41 +33,44 @@
 
 const CRASHING: Fingerprint = Fingerprint(7);
 
-/// Time after the third end from which users count.
+/// Time after the third crash from which the requirement applies.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Sendings that users allow then.
+/// Maximum number of sends that the requirement allows after that.
 const MAX_LATE_SENDS: usize = 3;
 
-/// Time from a router's questions until it gets callers, at the least: it reads configuration and targets and tells the balancer.
+/// Shortest time between a starting router's queries and its first requests, in which it reads the
+/// configuration and the targets and registers with the balancer.
 const STARTUP_TIME: Duration = Duration::from_millis(20);
 
-/// Sendings then by routers that had just started: one whose questions are on their way may send it to two targets.
+/// Maximum number of sends after that by routers that have just started: a router that waits for
+/// its answers may send the request to two targets.
 const MAX_STARTUP_SENDS: usize = 2;
 
-/// Time that is played.
+/// Simulated time.
 const SIMULATED_TIME: Duration = Duration::from_secs(60);
 
-/// Time until a target that crashed is back.
+/// Time in which a crashed target recovers.
 const RECOVERY_TIME: Duration = Duration::from_secs(3);
 
-/// Bytes of the headers of a datagram, IPv4 and UDP.
+/// Size of a datagram's IPv4 and UDP headers, in bytes.
 const HEADER_BYTES: usize = 28;
 
-/// Most bytes a second that a router may send for this on average: a quarter of what it may for control.
+/// Maximum mean bandwidth of a router for crash reports: a quarter of its limit for control
+/// traffic.
 const BYTES_PER_SECOND: usize = 1_024;
 
-/// Bytes that it may have saved up, with the last turn, which may go beyond them.
+/// Burst that the limit allows, plus the last broadcast, which may exceed it.
 const BURST_BYTES: usize = 4_096 + 4 * 1_228;
 
-/// `Day` is what is played.
+/// Parameters of a simulation.
 #[derive(Debug, Clone, Copy)]
 struct Scenario {
     routers: usize,
     targets: usize,
-    /// Arrivals a second.
+    /// Arrivals per second.
     arrivals: u64,
-    /// Whether one router after the other starts again, one a second.
+    /// Whether routers restart in turn, one per second.
     rolling_restart: bool,
     seed: u64,
 }
@@ -74,13 +79,13 @@
 enum Event {
     /// The request arrives at a router.
     Arrival,
-    /// A target crashes, if it is still the same start.
+    /// A target crashes, unless it has been restarted since.
     Crash(usize, TargetId),
-    /// A router tells others.
+    /// A router sends its pending reports.
     Broadcast(usize),
-    /// A router hears a datagram.
+    /// A router receives a datagram: the receiver, the sender and the reports.
     Receive(usize, usize, Vec<CrashReport>),
-    /// A router starts again.
+    /// A router restarts.
     Restart(usize),
 }
 
@@ -89,7 +94,7 @@
     quarantine: Quarantine,
     gossip: Gossip,
     started_at: Moment,
-    /// Whether it is to tell others at some time.
+    /// Whether the next broadcast is scheduled.
     broadcast_scheduled: bool,
     bytes_sent: usize,
 }
@@ -98,22 +103,23 @@
 struct Target {
     start: TargetId,
     up_at: Moment,
-    /// Sendings at work: their routers, and whether another may follow.
+    /// Sends in flight: their routers, and whether the request may be retried.
     in_flight: Vec<(usize, bool)>,
 }
 
-/// `Told` is what came of a day.
+/// Results of a simulation.
 #[derive(Debug, Default)]
 struct Results {
     sends: usize,
-    /// Sendings later than `COUNTED` after the third end, by routers that were up for so long.
+    /// Sends later than `SETTLE_TIME` after the third crash, by routers that have been up for that
+    /// long.
     late_sends: usize,
-    /// Sendings then by routers that had just started.
+    /// Sends in the same time by routers that have just started.
     startup_sends: usize,
     crashes: usize,
-    /// The most bytes that one router sent.
+    /// Most bytes sent by one router.
     max_bytes: usize,
-    /// Time from the third end until all routers refuse it.
+    /// Time from the third crash until all routers refuse the request.
     settled_after: Option<Duration>,
 }
 
@@ -172,7 +178,7 @@
         }
     }
 
-    /// A number below `most`.
+    /// Returns a random number below `most`.
     fn draw(&mut self, most: usize) -> usize {
         usize::try_from(self.rng.next_u64() % most as u64).expect("small")
     }
@@ -203,7 +209,7 @@
                 self.schedule(1_000 / self.scenario.arrivals, Event::Arrival);
                 let router = self.draw(self.scenario.routers);
                 let began = self.routers[router].started_at;
-                // What comes to one that is not up yet goes to the next.
+                // Requests for a router that is not up yet go to the next one.
                 let up = !self.scenario.rolling_restart || self.now.since(began) >= STARTUP_TIME;
                 self.send(
                     if up {
@@ -227,7 +233,7 @@
         self.record_settled();
     }
 
-    /// Sends the request to a target that is up, if its router lets it.
+    /// Sends the request to a target that is up, unless the router refuses it.
     fn send(&mut self, router: usize, retry: bool) {
         let now = self.now;
         let refused = self.routers[router].quarantine.refuse(now, CRASHING);
@@ -263,7 +269,7 @@
         for (router, more) in ended.in_flight {
             let quarantine = &mut self.routers[router].quarantine;
             let first = quarantine.record_broken_answer(CRASHING, start) == ProbeAction::ProbeFirst;
-            // What is not waited for is known only after the next target was chosen.
+            // The result of a background probe is known only after the next target was chosen.
             if !first && more {
                 self.send(router, false);
             }
@@ -307,7 +313,7 @@
         }
     }
 
-    /// A router that starts again asks others before it serves.
+    /// A restarted router queries others before it serves.
     fn query_peers(&mut self, router: usize) {
         let others = self.scenario.routers - 1;
         let first = self.draw(others);
@@ -346,14 +352,15 @@
         }
     }
 
-    /// A router that learns that it is quarantined gives up what it has at work; a target that has none left does not crash.
+    /// A router that learns of the quarantine cancels its sends; a target without any in flight
+    /// does not crash.
     fn cancel_work(&mut self, router: usize) {
         for target in &mut self.targets {
             target.in_flight.retain(|(r, _)| *r != router);
         }
     }
 
-    /// Notes when all routers refuse it.
+    /// Records when all routers refuse the request.
     fn record_settled(&mut self) {
         let Some(third) = self
             .third_crash
@@ -369,7 +376,7 @@
     }
 }
 
-/// Plays a day and holds it to what users ask.
+/// Runs a simulation and checks the requirement.
 fn check(scenario: Scenario) {
     let results = Simulation::new(scenario).run();
     println!("{scenario:?}: {results:?}");
@@ -377,7 +384,7 @@
         results.late_sends <= MAX_LATE_SENDS,
         "{scenario:?}: {results:?}"
     );
-    // A router that starts serves only some milliseconds after it has asked.
+    // A restarted router serves only some milliseconds after its queries.
     assert!(
         results.startup_sends <= MAX_STARTUP_SENDS,
         "{scenario:?}: {results:?}"
@@ -389,7 +396,7 @@
     );
 }
 
-/// Plays all sizes, rates and seeds.
+/// Checks all fleet sizes, rates and seeds.
 fn check_all(rolling_restart: bool) {
     for (routers, targets) in [(6, 9), (30, 53), (68, 120)] {
         for arrivals in [1, 10, 50] {
