--- a/crates/peppercrank-direct/src/quarantine.rs
+++ b/crates/peppercrank-direct/src/quarantine.rs
@@ -103,23 +103,23 @@
 
     /// Adds a crash and returns true, unless it is already known, the request has been completed
     /// since, or the request is already quarantined.
-    fn add_crash(&mut self, end: Crash) -> bool {
-        let known = self.crashes.iter().any(|e| e.target == end.target);
-        let refuted = self.last_success.is_some_and(|served| end.at <= served);
-        if known || refuted || self.is_quarantined() {
+    fn add_crash(&mut self, crash: Crash) -> bool {
+        let is_known = self.crashes.iter().any(|e| e.target == crash.target);
+        let is_cleared = self.last_success.is_some_and(|served| crash.at <= served);
+        if is_known || is_cleared || self.is_quarantined() {
             return false;
         }
-        self.crashes.push(end);
+        self.crashes.push(crash);
         true
     }
 
     /// Records that a target completed the request, which clears earlier crashes, except those in
-    /// `told`, which the reporting router knows to be later. Returns whether any was cleared.
-    fn record_success(&mut self, at: Moment, told: &[ReportedCrash]) -> bool {
+    /// `later`, which the reporting router knows to be later. Returns whether any was cleared.
+    fn record_success(&mut self, at: Moment, later: &[ReportedCrash]) -> bool {
         let before = self.crashes.len();
-        let is_told = |end: &Crash| told.iter().any(|t| t.target == end.target);
+        let is_later = |crash: &Crash| later.iter().any(|t| t.target == crash.target);
         self.last_success = self.last_success.max(Some(at));
-        self.crashes.retain(|e| e.at > at || is_told(e));
+        self.crashes.retain(|e| e.at > at || is_later(e));
         self.crashes.len() < before
     }
 
@@ -133,13 +133,13 @@
     }
 
     fn report(&self, content: Fingerprint, now: Moment) -> CrashReport {
-        let told = |end: &Crash| ReportedCrash {
-            target: end.target,
-            age: age_units(now, end.at),
+        let reported = |crash: &Crash| ReportedCrash {
+            target: crash.target,
+            age: age_units(now, crash.at),
         };
         CrashReport {
             content,
-            crashes: self.crashes.iter().map(told).collect(),
+            crashes: self.crashes.iter().map(reported).collect(),
             last_success: self.last_success.map(|at| age_units(now, at)),
             last_seen: age_units(now, self.last_seen),
         }
@@ -148,8 +148,8 @@
     /// Returns whether a crash is known here that the report lacks, unless the report already
     /// reaches the limit.
     fn knows_more_than(&self, report: &CrashReport) -> bool {
-        let told = |end: &Crash| report.crashes.iter().any(|e| e.target == end.target);
-        report.crashes.len() < CRASH_LIMIT && !self.crashes.iter().all(told)
+        let is_reported = |crash: &Crash| report.crashes.iter().any(|e| e.target == crash.target);
+        report.crashes.len() < CRASH_LIMIT && !self.crashes.iter().all(is_reported)
     }
 }
 
@@ -251,22 +251,22 @@
         }
         self.make_room(report.content);
         let evidence = self.evidence.entry(report.content).or_default();
-        let before = evidence.is_quarantined();
+        let was_quarantined = evidence.is_quarantined();
         evidence.last_seen = evidence.last_seen.max(moment_before(now, report.last_seen));
-        let mut news = false;
+        let mut changed = false;
         // Times before the origin of this process's clock all map to the origin, so the order given
         // by the report itself decides.
-        for told in &report.crashes {
-            let at = moment_before(now, told.age);
-            let target = told.target;
-            news |= evidence.add_crash(Crash { target, at });
+        for reported in &report.crashes {
+            let at = moment_before(now, reported.age);
+            let target = reported.target;
+            changed |= evidence.add_crash(Crash { target, at });
         }
         let served = report.last_success.map(|age| moment_before(now, age));
-        news |= served.is_some_and(|at| evidence.record_success(at, &report.crashes));
-        if news && relay {
+        changed |= served.is_some_and(|at| evidence.record_success(at, &report.crashes));
+        if changed && relay {
             evidence.transmissions_left = TRANSMISSIONS;
         }
-        match (news, !before && evidence.is_quarantined()) {
+        match (changed, !was_quarantined && evidence.is_quarantined()) {
             (_, true) => Update::Quarantined,
             (true, false) => Update::NewEvidence,
             (false, false) => Update::Unchanged,
@@ -307,7 +307,7 @@
     /// Returns reports on all quarantined requests, the most recently seen first, for routers that
     /// may have missed them.
     #[must_use]
-    pub fn quarantine_reports(&self, now: Moment) -> Vec<CrashReport> {
+    pub fn quarantined_reports(&self, now: Moment) -> Vec<CrashReport> {
         let quarantined = self.evidence.iter().filter(|(_, e)| e.is_quarantined());
         let mut quarantined = quarantined.collect::<Vec<_>>();
         quarantined.sort_unstable_by_key(|(_, e)| now.since(e.last_seen));
--- a/crates/peppercrank-direct/src/quarantine/spread.rs
+++ b/crates/peppercrank-direct/src/quarantine/spread.rs
@@ -88,7 +88,7 @@
             return None;
         }
         self.reminded_at = now;
-        let (reports, fanout) = (quarantine.quarantine_reports(now), REMINDER_FANOUT);
+        let (reports, fanout) = (quarantine.quarantined_reports(now), REMINDER_FANOUT);
         (!reports.is_empty()).then_some(Broadcast { reports, fanout })
     }
 
@@ -120,7 +120,7 @@
     reports: &[CrashReport],
 ) -> Vec<CrashReport> {
     if reports.is_empty() {
-        return quarantine.quarantine_reports(now);
+        return quarantine.quarantined_reports(now);
     }
     let missing = reports
         .iter()
--- a/crates/peppercrank-direct/src/stats.rs
+++ b/crates/peppercrank-direct/src/stats.rs
@@ -134,12 +134,12 @@
     #[must_use]
     pub fn load(&self) -> u32 {
         let counted = self.counted_load();
-        let Some(told) = self.reported_load() else {
+        let Some(reported) = self.reported_load() else {
             return counted;
         };
         match self.basis {
-            LoadBasis::Counts => counted.min(told),
-            LoadBasis::Report(changed) => interpolate(told, counted, changed),
+            LoadBasis::Counts => counted.min(reported),
+            LoadBasis::Report(turnover) => interpolate(reported, counted, turnover),
             LoadBasis::StaleCounts => counted,
         }
     }
@@ -160,8 +160,8 @@
     /// prefixes.
     #[must_use]
     pub fn queue_load(&self) -> u32 {
-        let told = self.reported_load().unwrap_or(u32::MAX);
-        self.counted_load().min(told)
+        let reported = self.reported_load().unwrap_or(u32::MAX);
+        self.counted_load().min(reported)
     }
 
     /// Returns the target's latest report plus the requests sent since.
@@ -181,14 +181,14 @@
     }
 
     /// Records a load report relayed by another router, unless a newer one is known.
-    pub fn record_relayed_report(&mut self, told: Moment, load: u32) {
-        if self.last_report.is_some_and(|(at, _)| at >= told) {
+    pub fn record_relayed_report(&mut self, reported_at: Moment, load: u32) {
+        if self.last_report.is_some_and(|(at, _)| at >= reported_at) {
             return;
         }
-        self.last_report = Some((told, load));
+        self.last_report = Some((reported_at, load));
         // It is not known how many of the earlier sends came after the report. Keeping the count
         // may count some twice, but omits none.
-        if self.last_sent <= told {
+        if self.last_sent <= reported_at {
             self.sent_since_report = 0;
         }
     }
@@ -285,9 +285,9 @@
 
 /// Interpolates between a reported and a counted load, by the fraction that has changed since the
 /// report.
-fn interpolate(told: u32, counted: u32, changed: f64) -> u32 {
-    let (told, counted) = (f64::from(told), f64::from(counted));
-    let load = told + (counted - told) * changed;
+fn interpolate(reported: u32, counted: u32, turnover: f64) -> u32 {
+    let (reported, counted) = (f64::from(reported), f64::from(counted));
+    let load = reported + (counted - reported) * turnover;
     u32::try_from(saturating_u64(load.round())).unwrap_or(u32::MAX)
 }
 
--- a/crates/peppercrank-direct/tests/verify_confirm.rs
+++ b/crates/peppercrank-direct/tests/verify_confirm.rs
@@ -65,11 +65,11 @@
         (confirmation(5, 1_300), Some(5), Verdict::Unusable),
         (other, Some(5), Verdict::Unusable),
     ];
-    for (told, version, verdict) in rows {
+    for (answer, version, verdict) in rows {
         assert_eq!(
-            asked.evaluate(told, version),
+            asked.evaluate(answer, version),
             verdict,
-            "{told:?} {version:?}"
+            "{answer:?} {version:?}"
         );
     }
 }
@@ -111,13 +111,13 @@
         // ms.
         let (sent, answered) = (common + 60, common + 120);
         let age = freshness.age(at(offsets[hop - 1] + answered));
-        let told = Confirmation::new(REQUEST, key_state(Some(1), age)).expect("knowledge");
+        let answer = Confirmation::new(REQUEST, key_state(Some(1), age)).expect("knowledge");
         let asked = PendingRequest {
             request: REQUEST,
             sent_at: at(offsets[hop] + sent),
         };
-        let Verdict::CurrentAsOf(moment) = asked.evaluate(told, Some(1)) else {
-            panic!("{told:?}");
+        let Verdict::CurrentAsOf(moment) = asked.evaluate(answer, Some(1)) else {
+            panic!("{answer:?}");
         };
         assert!(moment <= at(offsets[hop]), "hop {hop}");
         freshness = Freshness::new(None);
--- a/crates/peppercrank-direct/tests/verify_content.rs
+++ b/crates/peppercrank-direct/tests/verify_content.rs
@@ -62,6 +62,6 @@
 #[test]
 fn verify_a_fingerprint_is_the_same_in_every_process_and_version() {
     // Computed by an independent program from the same definition.
-    let told = Fingerprint::of(&REQUEST).to_string();
-    assert_eq!(told, "8f5d5a1aca286f98");
+    let fingerprint = Fingerprint::of(&REQUEST).to_string();
+    assert_eq!(fingerprint, "8f5d5a1aca286f98");
 }
--- a/crates/peppercrank-direct/tests/verify_overcount.rs
+++ b/crates/peppercrank-direct/tests/verify_overcount.rs
@@ -45,9 +45,9 @@
     Moment::from_millis(60_000)
 }
 
-fn candidate(key: TargetKey, n: usize, told: u32, reported: Option<u32>) -> Candidate {
+fn candidate(key: TargetKey, n: usize, counted: u32, reported: Option<u32>) -> Candidate {
     let mut stats = Stats::default();
-    stats.peers_in_flight = told;
+    stats.peers_in_flight = counted;
     if let Some(load) = reported {
         stats.record_report(now(), load);
     }
--- a/crates/peppercrank-direct/tests/verify_quarantine.rs
+++ b/crates/peppercrank-direct/tests/verify_quarantine.rs
@@ -49,16 +49,16 @@
     let mut quarantine = Quarantine::default();
     assert!(quarantine.is_empty());
     assert_eq!(quarantine.refuse(at(0), CRASHING), None);
-    let told = |q: &mut Quarantine, target| q.record_crash_of(at(0), CRASHING, TargetId(target));
-    assert_eq!(told(&mut quarantine, 1), Update::NewEvidence);
+    let record = |q: &mut Quarantine, target| q.record_crash_of(at(0), CRASHING, TargetId(target));
+    assert_eq!(record(&mut quarantine, 1), Update::NewEvidence);
     // A start crashes only once, even if two requests were in flight or its connections are reset
     // again.
-    assert_eq!(told(&mut quarantine, 1), Update::Unchanged);
-    assert_eq!(told(&mut quarantine, 2), Update::NewEvidence);
+    assert_eq!(record(&mut quarantine, 1), Update::Unchanged);
+    assert_eq!(record(&mut quarantine, 2), Update::NewEvidence);
     assert_eq!(quarantine.refuse(at(0), CRASHING), None);
-    assert_eq!(told(&mut quarantine, 3), Update::Quarantined);
+    assert_eq!(record(&mut quarantine, 3), Update::Quarantined);
     assert_eq!(quarantine.refuse(at(0), CRASHING), Some(EVIDENCE_TTL));
-    assert_eq!(told(&mut quarantine, 4), Update::Unchanged);
+    assert_eq!(record(&mut quarantine, 4), Update::Unchanged);
     assert_eq!(quarantine.refuse(at(0), Fingerprint(8)), None);
     assert_eq!(quarantine.quarantined_count(), 1);
 }
@@ -88,7 +88,7 @@
     }
     let now = Moment::from_millis(100);
     let mut new = Quarantine::default();
-    for report in old.quarantine_reports(at(9_000)) {
+    for report in old.quarantined_reports(at(9_000)) {
         assert_eq!(new.merge_report(now, &report, true), Update::Quarantined);
     }
     assert!(new.refuse(now, CRASHING).is_some());
@@ -143,15 +143,15 @@
     let (mut old, mut new) = (Quarantine::default(), Quarantine::default());
     crash(&mut old, CRASHING, 0..3);
     new.record_crash_of(at(0), CRASHING, TargetId(7));
-    let told = new.take_pending_reports(at(0));
-    let answer = missing_reports(at(0), &old, &told);
+    let reports = new.take_pending_reports(at(0));
+    let answer = missing_reports(at(0), &old, &reports);
     assert_eq!(
         new.merge_report(at(0), &answer[0], false),
         Update::Quarantined
     );
     // After that neither replies, although each knows crashes that the other does not.
-    let told = new.take_pending_reports(at(100));
-    assert_eq!(missing_reports(at(100), &old, &told), []);
+    let reports = new.take_pending_reports(at(100));
+    assert_eq!(missing_reports(at(100), &old, &reports), []);
     assert_eq!(missing_reports(at(100), &new, &answer), []);
 }
 
@@ -174,9 +174,9 @@
 fn verify_reminders_hold_only_quarantined_requests() {
     let mut quarantine = Quarantine::default();
     crash(&mut quarantine, Fingerprint(1), 0..2);
-    assert!(quarantine.quarantine_reports(at(0)).is_empty());
+    assert!(quarantine.quarantined_reports(at(0)).is_empty());
     crash(&mut quarantine, CRASHING, 0..3);
-    let reminder = quarantine.quarantine_reports(at(0));
+    let reminder = quarantine.quarantined_reports(at(0));
     assert_eq!(reminder.len(), 1);
     let mut new = Quarantine::default();
     assert_eq!(
@@ -210,10 +210,10 @@
     crash(&mut here, CRASHING, 0..3);
     let mut now = at(0);
     while now < at(0) + EVIDENCE_TTL {
-        for report in here.quarantine_reports(now) {
+        for report in here.quarantined_reports(now) {
             there.merge_report(now, &report, true);
         }
-        for report in there.quarantine_reports(now) {
+        for report in there.quarantined_reports(now) {
             here.merge_report(now, &report, true);
         }
         now = now + Duration::from_secs(10);
@@ -232,11 +232,11 @@
     }
     assert!(quarantine.refuse(at(6_000), CRASHING).is_some());
     // 4,096 requests are remembered, and each is reported twice.
-    let mut told = 0;
+    let mut sent = 0;
     while quarantine.has_pending_reports() {
-        told += quarantine.take_pending_reports(at(6_000)).len();
+        sent += quarantine.take_pending_reports(at(6_000)).len();
     }
-    assert_eq!(told, 2 * 4_096);
+    assert_eq!(sent, 2 * 4_096);
 }
 
 #[test]
@@ -283,11 +283,11 @@
             quarantine.record_broken_answer(beside, target),
             ProbeAction::AlreadyProbing
         );
-        let news = [
+        let updates = [
             (CRASHING, Update::NewEvidence),
             (beside, Update::NewEvidence),
         ];
-        assert_eq!(quarantine.record_crash(at(0), target), news);
+        assert_eq!(quarantine.record_crash(at(0), target), updates);
         assert_eq!(quarantine.record_crash(at(0), target), []);
     }
     // The next crash may reach the limit, so the target is probed before the request is retried,
--- a/crates/peppercrank-direct/tests/verify_reports.rs
+++ b/crates/peppercrank-direct/tests/verify_reports.rs
@@ -58,18 +58,18 @@
     LoadReport::new(TargetId(target), load, Duration::from_millis(age)).expect("a young report")
 }
 
-/// A pool whose first target holds the prompt; `count` and `told` are its counted and its reported
-/// load.
-fn pool(count: u32, told: Option<u32>, lag: Duration) -> Vec<Candidate> {
-    pool_of(4, count, told, lag)
+/// A pool whose first target holds the prompt; `count` and `reported` are its counted and its
+/// reported load.
+fn pool(count: u32, reported: Option<u32>, lag: Duration) -> Vec<Candidate> {
+    pool_of(4, count, reported, lag)
 }
 
 /// The same with `others` requests counted at each other target.
-fn pool_of(others: u32, count: u32, told: Option<u32>, lag: Duration) -> Vec<Candidate> {
+fn pool_of(others: u32, count: u32, reported: Option<u32>, lag: Duration) -> Vec<Candidate> {
     let mut keys = SlotMap::<TargetKey, ()>::with_key();
     let candidate = |n: usize| {
         let mut stats = counted_stats(if n == 0 { count } else { others });
-        if let Some(load) = told.filter(|_| n == 0) {
+        if let Some(load) = reported.filter(|_| n == 0) {
             stats.record_relayed_report(ago(100), load);
         }
         Candidate {
@@ -145,9 +145,9 @@
 
 #[test]
 fn verify_a_report_newer_than_the_counts_is_used() {
-    let load = |age: u64, lag: u64, told: u32| {
+    let load = |age: u64, lag: u64, reported: u32| {
         let mut stats = counted_stats(12);
-        stats.record_relayed_report(ago(age), told);
+        stats.record_relayed_report(ago(age), reported);
         stats.as_of(now(), Duration::from_millis(lag), 1e9).load()
     };
     assert_eq!(load(100, 750, 20), 20);
@@ -208,9 +208,12 @@
 #[test]
 fn verify_a_report_never_understates_its_age() {
     for age in [0, 1, 19, 20, 21, 999, 1_499] {
-        let told = report(7, 3, age).age();
-        assert!(told >= Duration::from_millis(age), "{age}: {told:?}");
-        assert!(told < Duration::from_millis(age + 20), "{age}: {told:?}");
+        let rounded = report(7, 3, age).age();
+        assert!(rounded >= Duration::from_millis(age), "{age}: {rounded:?}");
+        assert!(
+            rounded < Duration::from_millis(age + 20),
+            "{age}: {rounded:?}"
+        );
     }
     assert!(LoadReport::new(TargetId(7), 3, Duration::from_millis(1_500)).is_none());
 }
@@ -237,9 +240,9 @@
 /// load is below the cap.
 #[test]
 fn verify_the_queue_load_ignores_higher_reports() {
-    let waiting = |told: u32, lag: Duration| {
+    let waiting = |reported: u32, lag: Duration| {
         let mut stats = counted_stats(9);
-        stats.record_relayed_report(ago(300), told);
+        stats.record_relayed_report(ago(300), reported);
         stats.as_of(now(), lag, HOLD_MS).queue_load()
     };
     assert_eq!(waiting(30, LARGE_FLEET_LAG), 9);
@@ -257,7 +260,7 @@
         Duration::ZERO,
         "a lone router knows all"
     );
-    for (n, heard) in [ago(3_000), ago(1_000)].into_iter().enumerate() {
+    for (n, sent_at) in [ago(3_000), ago(1_000)].into_iter().enumerate() {
         let summary = Summary {
             incarnation: 1,
             sequence: 1,
@@ -265,7 +268,7 @@
             hints: Vec::new(),
         };
         let from = ([10, 0, 0, u8::try_from(n).expect("a small number")], 7340).into();
-        assert!(peers.record_summary(heard, from, &summary));
+        assert!(peers.record_summary(sent_at, from, &summary));
     }
     assert_eq!(peers.mean_age(now()), Duration::from_secs(2));
 }
--- a/crates/peppercrank-direct/tests/verify_spread.rs
+++ b/crates/peppercrank-direct/tests/verify_spread.rs
@@ -261,16 +261,16 @@
         }
         let back = self.now + RECOVERY_TIME;
         let next = self.new_target(back);
-        let ended = std::mem::replace(&mut self.targets[target], next);
+        let crashed = std::mem::replace(&mut self.targets[target], next);
         self.results.crashes += 1;
         if self.results.crashes == 3 {
             self.third_crash = Some(self.now);
         }
-        for (router, more) in ended.in_flight {
+        for (router, retry) in crashed.in_flight {
             let quarantine = &mut self.routers[router].quarantine;
             let first = quarantine.record_broken_answer(CRASHING, start) == ProbeAction::ProbeFirst;
             // The result of a background probe is known only after the next target was chosen.
-            if !first && more {
+            if !first && retry {
                 self.send(router, false);
             }
             let changes = self.routers[router]
@@ -282,7 +282,7 @@
             if changes.iter().any(|(_, c)| *c == Update::Quarantined) {
                 self.cancel_work(router);
             }
-            if first && more {
+            if first && retry {
                 self.send(router, false);
             }
         }
