--- a/crates/peppercrank-direct/src/confirm.rs
+++ b/crates/peppercrank-direct/src/confirm.rs
@@ -124,9 +124,9 @@
 /// Returns the number of routers that query the store in a fleet of `routers`.
 #[must_use]
 pub const fn store_reader_count(routers: usize) -> usize {
-    let part = routers / ROUTERS_PER_STORE_READER;
-    if part > MIN_STORE_READERS {
-        part
+    let share = routers / ROUTERS_PER_STORE_READER;
+    if share > MIN_STORE_READERS {
+        share
     } else {
         MIN_STORE_READERS
     }
--- a/crates/peppercrank-direct/src/quarantine.rs
+++ b/crates/peppercrank-direct/src/quarantine.rs
@@ -132,13 +132,13 @@
         now.since(self.last_seen) >= kept
     }
 
-    fn report(&self, content: Fingerprint, now: Moment) -> CrashReport {
+    fn report(&self, fingerprint: Fingerprint, now: Moment) -> CrashReport {
         let reported = |crash: &Crash| ReportedCrash {
             target: crash.target,
             age: age_units(now, crash.at),
         };
         CrashReport {
-            content,
+            fingerprint,
             crashes: self.crashes.iter().map(reported).collect(),
             last_success: self.last_success.map(|at| age_units(now, at)),
             last_seen: age_units(now, self.last_seen),
@@ -169,10 +169,20 @@
     }
 
     /// Records that a target's answer to a request broke off.
-    pub fn record_broken_answer(&mut self, content: Fingerprint, target: TargetId) -> ProbeAction {
-        let known = self.evidence.get(&content).map_or(0, |e| e.crashes.len());
+    pub fn record_broken_answer(
+        &mut self,
+        fingerprint: Fingerprint,
+        target: TargetId,
+    ) -> ProbeAction {
+        let known = self
+            .evidence
+            .get(&fingerprint)
+            .map_or(0, |e| e.crashes.len());
         let asked = self.awaiting_probe.contains_key(&target);
-        self.awaiting_probe.entry(target).or_default().push(content);
+        self.awaiting_probe
+            .entry(target)
+            .or_default()
+            .push(fingerprint);
         match (known + 1 >= CRASH_LIMIT, asked) {
             (true, _) => ProbeAction::ProbeFirst,
             (false, false) => ProbeAction::Probe,
@@ -189,20 +199,20 @@
     /// Records that a target has crashed, and counts this against the requests whose answers broke
     /// off there.
     pub fn record_crash(&mut self, now: Moment, target: TargetId) -> Vec<(Fingerprint, Update)> {
-        let contents = self.awaiting_probe.remove(&target).unwrap_or_default();
-        let count = |content| (content, self.record_crash_of(now, content, target));
-        contents.into_iter().map(count).collect()
+        let fingerprints = self.awaiting_probe.remove(&target).unwrap_or_default();
+        let count = |fingerprint| (fingerprint, self.record_crash_of(now, fingerprint, target));
+        fingerprints.into_iter().map(count).collect()
     }
 
     /// Records that a target has crashed while it ran a request.
     pub fn record_crash_of(
         &mut self,
         now: Moment,
-        content: Fingerprint,
+        fingerprint: Fingerprint,
         target: TargetId,
     ) -> Update {
-        self.make_room(content);
-        let evidence = self.evidence.entry(content).or_default();
+        self.make_room(fingerprint);
+        let evidence = self.evidence.entry(fingerprint).or_default();
         evidence.last_seen = now;
         if !evidence.add_crash(Crash { target, at: now }) {
             return Update::Unchanged;
@@ -216,8 +226,8 @@
     }
 
     /// Records that a target completed a request, which clears the earlier crashes.
-    pub fn record_success(&mut self, now: Moment, content: Fingerprint) {
-        if let Some(evidence) = self.evidence.get_mut(&content) {
+    pub fn record_success(&mut self, now: Moment, fingerprint: Fingerprint) {
+        if let Some(evidence) = self.evidence.get_mut(&fingerprint) {
             evidence.last_seen = now;
             if evidence.record_success(now, &[]) {
                 evidence.transmissions_left = TRANSMISSIONS;
@@ -227,8 +237,8 @@
 
     /// Returns how long an arriving request stays quarantined if it does not arrive again; `None`
     /// if it is not quarantined. Extends the quarantine.
-    pub fn refuse(&mut self, now: Moment, content: Fingerprint) -> Option<Duration> {
-        let evidence = self.evidence.get_mut(&content)?;
+    pub fn refuse(&mut self, now: Moment, fingerprint: Fingerprint) -> Option<Duration> {
+        let evidence = self.evidence.get_mut(&fingerprint)?;
         if !evidence.is_quarantined() || evidence.is_expired(now) {
             return None;
         }
@@ -246,11 +256,11 @@
     /// Merges a report of another router. `relay` is whether new evidence is passed on; in a small
     /// fleet the other router sends it to every peer itself.
     pub fn merge_report(&mut self, now: Moment, report: &CrashReport, relay: bool) -> Update {
-        if report.crashes.is_empty() && !self.evidence.contains_key(&report.content) {
+        if report.crashes.is_empty() && !self.evidence.contains_key(&report.fingerprint) {
             return Update::Unchanged;
         }
-        self.make_room(report.content);
-        let evidence = self.evidence.entry(report.content).or_default();
+        self.make_room(report.fingerprint);
+        let evidence = self.evidence.entry(report.fingerprint).or_default();
         let was_quarantined = evidence.is_quarantined();
         evidence.last_seen = evidence.last_seen.max(moment_before(now, report.last_seen));
         let mut changed = false;
@@ -276,8 +286,8 @@
     /// Returns the evidence that the sender of a report lacks, for example after a restart or a
     /// network partition; `None` if it lacks nothing.
     fn missing_report(&self, now: Moment, report: &CrashReport) -> Option<CrashReport> {
-        let evidence = self.evidence.get(&report.content)?;
-        let known = evidence.report(report.content, now);
+        let evidence = self.evidence.get(&report.fingerprint)?;
+        let known = evidence.report(report.fingerprint, now);
         evidence.knows_more_than(report).then_some(known)
     }
 
@@ -297,9 +307,9 @@
         pending
             .sort_unstable_by_key(|(_, e)| (usize::MAX - e.crashes.len(), now.since(e.last_seen)));
         pending.truncate(MAX_REPORTS_PER_DATAGRAM);
-        let tell = |(content, evidence): (&Fingerprint, &mut Evidence)| {
+        let tell = |(fingerprint, evidence): (&Fingerprint, &mut Evidence)| {
             evidence.transmissions_left -= 1;
-            evidence.report(*content, now)
+            evidence.report(*fingerprint, now)
         };
         pending.into_iter().map(tell).collect()
     }
@@ -313,7 +323,7 @@
         quarantined.sort_unstable_by_key(|(_, e)| now.since(e.last_seen));
         quarantined.truncate(MAX_REPORTS_PER_DATAGRAM);
         let report =
-            |(content, evidence): (&Fingerprint, &Evidence)| evidence.report(*content, now);
+            |(fingerprint, evidence): (&Fingerprint, &Evidence)| evidence.report(*fingerprint, now);
         quarantined.into_iter().map(report).collect()
     }
 
@@ -324,8 +334,8 @@
 
     /// Evicts the request with the fewest crashes, and of these the one seen longest ago, if there
     /// is no room for a new one.
-    fn make_room(&mut self, content: Fingerprint) {
-        if self.evidence.len() < MAX_ENTRIES || self.evidence.contains_key(&content) {
+    fn make_room(&mut self, fingerprint: Fingerprint) {
+        if self.evidence.len() < MAX_ENTRIES || self.evidence.contains_key(&fingerprint) {
             return;
         }
         let least = |(_, e): &(&Fingerprint, &Evidence)| (e.crashes.len(), e.last_seen);
--- a/crates/peppercrank-direct/src/quarantine/report.rs
+++ b/crates/peppercrank-direct/src/quarantine/report.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// Fingerprint of the request.
-    pub(super) content: Fingerprint,
+    pub(super) fingerprint: Fingerprint,
     /// Crashes that count against the request, at most the crash limit.
     pub(super) crashes: Vec<ReportedCrash>,
     /// Time since a target last completed the request, in units of `AGE_UNIT`.
@@ -39,8 +39,8 @@
 impl CrashReport {
     /// Returns the fingerprint of the request.
     #[must_use]
-    pub const fn content(&self) -> Fingerprint {
-        self.content
+    pub const fn fingerprint(&self) -> Fingerprint {
+        self.fingerprint
     }
 }
 
--- a/crates/peppercrank-direct/src/ranks.rs
+++ b/crates/peppercrank-direct/src/ranks.rs
@@ -40,12 +40,12 @@
     /// Returns the level on a scale from 0 to `last`, unchanged if all levels fit on it.
     #[must_use]
     pub fn scaled(self, last: u8) -> u8 {
-        let behind = self.levels.saturating_sub(1);
-        if behind <= last {
+        let last_level = self.levels.saturating_sub(1);
+        if last_level <= last {
             return self.level;
         }
-        let place = u16::from(self.level.min(behind)) * u16::from(last) / u16::from(behind);
-        u8::try_from(place).unwrap_or(last)
+        let level = u16::from(self.level.min(last_level)) * u16::from(last) / u16::from(last_level);
+        u8::try_from(level).unwrap_or(last)
     }
 }
 
@@ -71,13 +71,13 @@
     /// Builds the order for a configuration.
     #[must_use]
     pub fn new(desired: &Desired) -> Self {
-        let own = desired.organisations.iter().map(|o| o.priority);
-        let own = own.collect::<BTreeSet<_>>();
+        let organisation_priorities = desired.organisations.iter().map(|o| o.priority);
+        let organisation_priorities = organisation_priorities.collect::<BTreeSet<_>>();
         let mut ranks = Self::default();
         for route in &desired.routes {
             for share in &route.pools {
                 let pool = ranks.pools.entry(Arc::clone(&share.pool)).or_default();
-                pool.add_route(route, &own);
+                pool.add_route(route, &organisation_priorities);
             }
         }
         for pool in ranks.pools.values_mut() {
@@ -90,17 +90,17 @@
     /// Returns the rank of a route's request; `organisation` is `None` on an open route.
     #[must_use]
     pub fn rank(&self, pool: &str, route: &Route, organisation: Option<&Organisation>) -> Rank {
-        let own = organisation.and_then(|o| o.priority);
+        let organisation_priority = organisation.and_then(|o| o.priority);
         let Some(pool) = self.pools.get(pool) else {
             return Rank::default();
         };
-        let place = pool
+        let level = pool
             .priorities
-            .partition_point(|p| *p < priorities_of(own, route));
-        let small = |count: usize| u8::try_from(count).unwrap_or(u8::MAX);
+            .partition_point(|p| *p < priorities_of(organisation_priority, route));
+        let saturate = |count: usize| u8::try_from(count).unwrap_or(u8::MAX);
         Rank {
-            level: small(place),
-            levels: small(pool.priorities.len()),
+            level: saturate(level),
+            levels: saturate(pool.priorities.len()),
         }
     }
 
@@ -113,18 +113,23 @@
 }
 
 impl PoolRanks {
-    fn add_route(&mut self, route: &Route, own: &BTreeSet<Option<u8>>) {
-        if route.open || own.is_empty() {
+    fn add_route(&mut self, route: &Route, organisation_priorities: &BTreeSet<Option<u8>>) {
+        if route.open || organisation_priorities.is_empty() {
             self.priorities.push(priorities_of(None, route));
         }
-        let with = own.iter().map(|own| priorities_of(*own, route));
-        self.priorities.extend(with);
+        let keys = organisation_priorities
+            .iter()
+            .map(|priority| priorities_of(*priority, route));
+        self.priorities.extend(keys);
         let goal = Some(route.goal).filter(|g| !g.is_zero());
         self.shortest_goal = self.shortest_goal.into_iter().chain(goal).min();
     }
 }
 
 /// An organisation without a priority of its own takes that of the route.
-fn priorities_of(own: Option<u8>, route: &Route) -> Priorities {
-    (own.unwrap_or(route.priority), route.priority)
+fn priorities_of(organisation_priority: Option<u8>, route: &Route) -> Priorities {
+    (
+        organisation_priority.unwrap_or(route.priority),
+        route.priority,
+    )
 }
--- a/crates/peppercrank-direct/tests/verify_admission.rs
+++ b/crates/peppercrank-direct/tests/verify_admission.rs
@@ -35,8 +35,8 @@
 #[test]
 fn verify_all_are_admitted_while_a_target_keeps_up() {
     let mut admission = Admission::default();
-    for place in 0..LEVELS {
-        assert_eq!(admission.max_wait(at(0), &pool(40.0), rank(place)), None);
+    for level in 0..LEVELS {
+        assert_eq!(admission.max_wait(at(0), &pool(40.0), rank(level)), None);
     }
     assert!(!admission.is_overloaded());
 }
@@ -44,9 +44,9 @@
 #[test]
 fn verify_the_less_urgent_are_refused_at_shorter_waits_and_all_answers_come_in_time() {
     let mut admission = Admission::default();
-    let mut limit = |place| {
+    let mut limit = |level| {
         admission
-            .max_wait(at(0), &pool(400.0), rank(place))
+            .max_wait(at(0), &pool(400.0), rank(level))
             .expect("overloaded")
     };
     let limits = [limit(0), limit(1), limit(2)];
@@ -98,21 +98,21 @@
     let full = pool(200.0);
     let mut admitted = [0_u32; LEVELS as usize];
     for n in 0..3_000 {
-        for place in 0..LEVELS {
+        for level in 0..LEVELS {
             let limit = admission
-                .max_wait(at(n), &full, rank(place))
+                .max_wait(at(n), &full, rank(level))
                 .expect("overloaded");
             let fits = limit > Duration::from_millis(200);
-            admission.record(at(n), rank(place), fits);
-            admitted[usize::from(place)] += u32::from(fits);
+            admission.record(at(n), rank(level), fits);
+            admitted[usize::from(level)] += u32::from(fits);
         }
     }
     assert_eq!(admitted[0], 3_000);
     let all = admitted.iter().sum::<u32>() / u32::from(LEVELS);
-    for (place, count) in admitted.iter().enumerate() {
+    for (level, count) in admitted.iter().enumerate() {
         assert!(
             *count * 4 >= all,
-            "rank {place}: {count} of 3000, mean {all}"
+            "rank {level}: {count} of 3000, mean {all}"
         );
     }
 }
--- a/crates/peppercrank-direct/tests/verify_quarantine.rs
+++ b/crates/peppercrank-direct/tests/verify_quarantine.rs
@@ -29,9 +29,9 @@
 }
 
 /// Crashes these targets under a request, one after the other.
-fn crash(quarantine: &mut Quarantine, content: Fingerprint, targets: std::ops::Range<u32>) {
+fn crash(quarantine: &mut Quarantine, fingerprint: Fingerprint, targets: std::ops::Range<u32>) {
     for target in targets {
-        quarantine.record_crash_of(at(0), content, TargetId(target));
+        quarantine.record_crash_of(at(0), fingerprint, TargetId(target));
     }
 }
 
--- a/crates/peppercrank-direct/tests/verify_ranks.rs
+++ b/crates/peppercrank-direct/tests/verify_ranks.rs
@@ -72,17 +72,17 @@
         organisation("other", Some(5)),
     ]);
     let ranks = Ranks::new(&desired);
-    let place = |route: usize, organisation: usize| {
+    let level = |route: usize, organisation: usize| {
         let organisation = &desired.organisations[organisation];
         let rank = ranks.rank("engines", &desired.routes[route], Some(organisation));
         assert_eq!(rank.levels, 4);
         rank.level
     };
     assert_eq!(
-        [place(0, 1), place(1, 1), place(0, 0), place(1, 0)],
+        [level(0, 1), level(1, 1), level(0, 0), level(1, 0)],
         [0, 1, 2, 3]
     );
-    assert_eq!(place(1, 2), place(1, 0));
+    assert_eq!(level(1, 2), level(1, 0));
 }
 
 #[test]
@@ -107,14 +107,8 @@
 
 #[test]
 fn verify_ranks_fit_on_a_shorter_scale_in_order() {
-    let places = 0..30;
-    let scaled = places.map(|place| {
-        Rank {
-            level: place,
-            levels: 30,
-        }
-        .scaled(9)
-    });
+    let levels = 0..30;
+    let scaled = levels.map(|level| Rank { level, levels: 30 }.scaled(9));
     let scaled = scaled.collect::<Vec<_>>();
     assert!(scaled.is_sorted());
     assert_eq!((scaled[0], scaled[29]), (0, 9));
--- a/crates/peppercrank-gateway/src/crashes.rs
+++ b/crates/peppercrank-gateway/src/crashes.rs
@@ -187,7 +187,7 @@
     let mut quarantined = Vec::new();
     for report in reports {
         if state.quarantine.merge_report(now, report, relay) == Update::Quarantined {
-            quarantined.push(report.content());
+            quarantined.push(report.fingerprint());
         }
     }
     let unknown = missing_reports(now, &state.quarantine, reports);
