--- a/crates/peppercrank-direct/src/admission.rs
+++ b/crates/peppercrank-direct/src/admission.rs
@@ -123,9 +123,9 @@
         if self.counts.len() <= level {
             self.counts.resize(level + 1, RankCounts::default());
         }
-        let counted = &mut self.counts[level];
-        counted.requested += 1.0;
-        counted.admitted += f64::from(u8::from(admitted));
+        let rank_counts = &mut self.counts[level];
+        rank_counts.requested += 1.0;
+        rank_counts.admitted += f64::from(u8::from(admitted));
     }
 
     /// Returns the delay after which a refused request with `left` time to its deadline should
@@ -136,10 +136,10 @@
     /// only once.
     #[must_use]
     pub fn retry_after(&self, now: Moment, left: Duration) -> Duration {
-        let lasted = self
+        let duration = self
             .overloaded_since
             .map_or(Duration::ZERO, |s| now.since(s));
-        (lasted / OVERLOAD_AGE_DIVISOR)
+        (duration / OVERLOAD_AGE_DIVISOR)
             .min(left / TIME_LEFT_DIVISOR)
             .max(MIN_RETRY_AFTER)
     }
@@ -156,14 +156,14 @@
     /// rate is higher than that of a more urgent rank.
     fn is_starved(&self, rank: Rank) -> bool {
         let level = usize::from(rank.level);
-        let Some(counted) = self
+        let Some(rank_counts) = self
             .counts
             .get(level)
             .filter(|c| c.requested >= MIN_SAMPLES)
         else {
             return false;
         };
-        let share = counted.admitted_share();
+        let share = rank_counts.admitted_share();
         let sum = |a: RankCounts, b: &RankCounts| RankCounts {
             requested: a.requested + b.requested,
             admitted: a.admitted + b.admitted,
@@ -178,11 +178,11 @@
     /// Returns the least urgent rank that is fully admitted, as are all more urgent ones; the most
     /// urgent rank if there is none.
     fn least_urgent_fully_admitted(&self, rank: Rank) -> Rank {
-        let is_whole = |c: &&RankCounts| {
+        let is_fully_admitted = |c: &&RankCounts| {
             c.requested < MIN_SAMPLES || c.admitted_share() >= FULLY_ADMITTED_SHARE
         };
-        let whole = self.counts.iter().take_while(is_whole).count();
-        let level = u8::try_from(whole.saturating_sub(1)).unwrap_or(u8::MAX);
+        let fully_admitted = self.counts.iter().take_while(is_fully_admitted).count();
+        let level = u8::try_from(fully_admitted.saturating_sub(1)).unwrap_or(u8::MAX);
         Rank {
             level: level.min(rank.level),
             ..rank
@@ -190,11 +190,11 @@
     }
 
     fn decay(&mut self, now: Moment) {
-        let past = now.since(self.decayed_at).as_secs_f64();
-        let kept = (-past / DECAY_SECONDS).exp();
-        for counted in &mut self.counts {
-            counted.requested *= kept;
-            counted.admitted *= kept;
+        let elapsed = now.since(self.decayed_at).as_secs_f64();
+        let factor = (-elapsed / DECAY_SECONDS).exp();
+        for rank_counts in &mut self.counts {
+            rank_counts.requested *= factor;
+            rank_counts.admitted *= factor;
         }
         self.decayed_at = now;
     }
--- a/crates/peppercrank-direct/src/peers.rs
+++ b/crates/peppercrank-direct/src/peers.rs
@@ -266,21 +266,21 @@
 
     fn add_work(&mut self, work: &[Work]) {
         for work in work {
-            let sum = self.totals.entry(work.target).or_default();
+            let total = self.totals.entry(work.target).or_default();
             // All work that is added is subtracted later, so totals that wrap around become correct
             // again.
-            sum.in_flight = sum.in_flight.wrapping_add(work.in_flight.into());
-            sum.prefill_tokens = sum.prefill_tokens.wrapping_add(work.prefill_tokens);
+            total.in_flight = total.in_flight.wrapping_add(work.in_flight.into());
+            total.prefill_tokens = total.prefill_tokens.wrapping_add(work.prefill_tokens);
             self.changed.insert(work.target);
         }
     }
 
     fn subtract_work(&mut self, work: &[Work]) {
         for work in work {
-            let sum = self.totals.entry(work.target).or_default();
-            sum.in_flight = sum.in_flight.wrapping_sub(work.in_flight.into());
-            sum.prefill_tokens = sum.prefill_tokens.wrapping_sub(work.prefill_tokens);
-            if *sum == PeerWork::default() {
+            let total = self.totals.entry(work.target).or_default();
+            total.in_flight = total.in_flight.wrapping_sub(work.in_flight.into());
+            total.prefill_tokens = total.prefill_tokens.wrapping_sub(work.prefill_tokens);
+            if *total == PeerWork::default() {
                 self.totals.remove(&work.target);
             }
             self.changed.insert(work.target);
--- a/crates/peppercrank-direct/src/quarantine.rs
+++ b/crates/peppercrank-direct/src/quarantine.rs
@@ -105,7 +105,7 @@
     /// since, or the request is already quarantined.
     fn add_crash(&mut self, crash: Crash) -> bool {
         let is_known = self.crashes.iter().any(|e| e.target == crash.target);
-        let is_cleared = self.last_success.is_some_and(|served| crash.at <= served);
+        let is_cleared = self.last_success.is_some_and(|success| crash.at <= success);
         if is_known || is_cleared || self.is_quarantined() {
             return false;
         }
@@ -124,12 +124,12 @@
     }
 
     fn is_expired(&self, now: Moment) -> bool {
-        let kept = if self.crashes.is_empty() {
+        let ttl = if self.crashes.is_empty() {
             SUCCESS_TTL
         } else {
             EVIDENCE_TTL
         };
-        now.since(self.last_seen) >= kept
+        now.since(self.last_seen) >= ttl
     }
 
     fn report(&self, fingerprint: Fingerprint, now: Moment) -> CrashReport {
@@ -178,12 +178,12 @@
             .evidence
             .get(&fingerprint)
             .map_or(0, |e| e.crashes.len());
-        let asked = self.awaiting_probe.contains_key(&target);
+        let is_probing = self.awaiting_probe.contains_key(&target);
         self.awaiting_probe
             .entry(target)
             .or_default()
             .push(fingerprint);
-        match (known + 1 >= CRASH_LIMIT, asked) {
+        match (known + 1 >= CRASH_LIMIT, is_probing) {
             (true, _) => ProbeAction::ProbeFirst,
             (false, false) => ProbeAction::Probe,
             (false, true) => ProbeAction::AlreadyProbing,
@@ -271,8 +271,8 @@
             let target = reported.target;
             changed |= evidence.add_crash(Crash { target, at });
         }
-        let served = report.last_success.map(|age| moment_before(now, age));
-        changed |= served.is_some_and(|at| evidence.record_success(at, &report.crashes));
+        let success = report.last_success.map(|age| moment_before(now, age));
+        changed |= success.is_some_and(|at| evidence.record_success(at, &report.crashes));
         if changed && relay {
             evidence.transmissions_left = TRANSMISSIONS;
         }
