--- a/crates/peppercrank-direct/src/confirm.rs
+++ b/crates/peppercrank-direct/src/confirm.rs
@@ -1,13 +1,13 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Routers confirm to each other that what they know of keys is the store's newest.
+//! Confirmations between routers that their API keys are current.
 //!
-//! Each router must know at any moment how old its knowledge of keys is, and each question to the
-//! store has its price. So a few routers ask the store, and the others ask one of these. A
-//! confirmation names the version in force there and the age of the knowledge when it was given. The
-//! one who asked counts that age from the moment of its own question, so that neither a slow network nor
-//! a process that stood still makes knowledge look younger than it is.
+//! Each router must always know how old its copy of the API keys is, and every query to the store
+//! has a cost. So a few routers query the store, and the others ask one of these. A confirmation
+//! gives the version in force at the answering router and the age of its copy. The asking router
+//! counts that age from the time at which it sent its own request, so that neither a slow network
+//! nor a stalled process makes a copy look newer than it is.
 
 use std::time::Duration;
 
@@ -15,113 +15,117 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Routers that ask the store at least: one may fail.
-const LEAST: usize = 2;
+/// Minimum number of routers that query the store, since one may fail.
+const MIN_STORE_READERS: usize = 2;
 
-/// Routers of which one more asks the store, so that none answers more than some twenty others.
-const EACH: usize = 20;
+/// Number of routers for each one that queries the store, so that each of these answers about
+/// twenty others at most.
+const ROUTERS_PER_STORE_READER: usize = 20;
 
-/// The oldest knowledge that is worth taking over: those who ask the store do so more often.
-pub const OLDEST: Duration = Duration::from_millis(1_200);
+/// Maximum age of a confirmation; routers that query the store do so more often.
+pub const MAX_AGE: Duration = Duration::from_millis(1_200);
 
-/// `Question` asks another router for a confirmation.
+/// Request to another router for a confirmation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
-    /// Names the question in its answer.
+pub struct ConfirmationRequest {
+    /// Identifies the request in its answer.
     pub nonce: u64,
 }
 
-/// `Confirmation` answers a question.
+/// Answer to a confirmation request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Confirmation {
-    /// The question's.
+    /// Nonce of the request.
     pub nonce: u64,
-    /// The version in force there.
+    /// Configuration version in force at the answering router.
     pub version: u64,
-    /// The age of the knowledge there, in milliseconds, rounded up.
-    pub age: u32,
-    /// The digest of the zones that are evacuated by what is known there. Routers that do not know it yet pass over it.
-    pub evacuations: u64,
+    /// Age of the answering router's copy of the keys in milliseconds, rounded up.
+    pub age_ms: u32,
+    /// Digest of the zones that the answering router considers evacuated. Routers of versions
+    /// without this field ignore it.
+    pub evacuations_digest: u64,
 }
 
-/// `Known` is what a router confirms to others.
+/// State that a router confirms to others.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Known {
-    /// The version in force.
+pub struct KeyState {
+    /// Configuration version in force; `None` without a configuration.
     pub version: Option<u64>,
-    /// The age of the knowledge of keys.
+    /// Age of the copy of the keys; `None` if it is not known.
     pub age: Option<Duration>,
-    /// The digest of the evacuated zones.
-    pub evacuations: u64,
+    /// Digest of the evacuated zones.
+    pub evacuations_digest: u64,
 }
 
 impl Confirmation {
-    /// `new` answers a question by what is known at this moment; none where nothing is.
+    /// Answers a request from the current state; `None` if the version or the age is not known.
     #[must_use]
-    pub fn new(question: Question, known: Known) -> Option<Self> {
+    pub fn new(question: ConfirmationRequest, known: KeyState) -> Option<Self> {
         let age = u32::try_from(known.age?.as_millis()).ok()?;
         Some(Self {
             nonce: question.nonce,
             version: known.version?,
-            age: age.saturating_add(1),
-            evacuations: known.evacuations,
+            age_ms: age.saturating_add(1),
+            evacuations_digest: known.evacuations_digest,
         })
     }
 }
 
-/// `Asked` is a question on its way.
+/// Confirmation request that has not been answered yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Asked {
-    /// The question.
-    pub question: Question,
+pub struct PendingRequest {
+    /// The request.
+    pub request: ConfirmationRequest,
     /// When it was sent.
-    pub at: Instant,
+    pub sent_at: Instant,
 }
 
-/// `Verdict` is what a confirmation is worth.
+/// What a confirmation proves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// What is in force here was the newest at this moment.
-    Newest(Instant),
-    /// There is a newer version, which the store has.
+    /// The version in force here was the newest one at this time.
+    CurrentAsOf(Instant),
+    /// The store has a newer version.
     Outdated,
-    /// It answers another question, or is too old to be worth anything.
-    Nothing,
+    /// It answers another request, or is too old to be of use.
+    Unusable,
 }
 
-impl Asked {
-    /// `judge` tells what an answer is worth where this version is in force.
+impl PendingRequest {
+    /// Returns what a confirmation proves to a router that has this version in force.
     #[must_use]
-    pub fn judge(&self, told: Confirmation, version: Option<u64>) -> Verdict {
-        let age = Duration::from_millis(u64::from(told.age));
-        if told.nonce != self.question.nonce || age > OLDEST {
-            return Verdict::Nothing;
+    pub fn evaluate(&self, confirmation: Confirmation, version: Option<u64>) -> Verdict {
+        let age = Duration::from_millis(u64::from(confirmation.age_ms));
+        if confirmation.nonce != self.request.nonce || age > MAX_AGE {
+            return Verdict::Unusable;
         }
-        // A moment before this process's clock began cannot be told, and a later one would make
-        // the knowledge look younger.
-        let Some(since) = self.at.since_origin().checked_sub(age) else {
-            return Verdict::Nothing;
+        // A time before the origin of this process's clock cannot be represented, and a later one
+        // would make the copy look newer than it is.
+        let Some(since) = self.sent_at.since_origin().checked_sub(age) else {
+            return Verdict::Unusable;
         };
         match version {
-            Some(version) if version >= told.version => {
-                Verdict::Newest(Instant::from_origin(since))
+            Some(version) if version >= confirmation.version => {
+                Verdict::CurrentAsOf(Instant::from_origin(since))
             }
             _ => Verdict::Outdated,
         }
     }
 }
 
-/// `askers` are those of these routers that ask the store: the first ones by name.
+/// Returns the routers among `names` that query the store: the first ones by name.
 #[must_use]
-pub fn askers(mut names: Vec<&str>) -> Vec<&str> {
+pub fn store_readers(mut names: Vec<&str>) -> Vec<&str> {
     names.sort_unstable();
-    names.truncate(asking(names.len()));
+    names.truncate(store_reader_count(names.len()));
     names
 }
 
-/// `asking` is how many of so many routers ask the store.
+/// Returns the number of routers that query the store in a fleet of `routers`.
 #[must_use]
-pub const fn asking(routers: usize) -> usize {
-    let part = routers / EACH;
-    if part > LEAST { part } else { LEAST }
+pub const fn store_reader_count(routers: usize) -> usize {
+    let share = routers / ROUTERS_PER_STORE_READER;
+    if share > MIN_STORE_READERS {
+        share } else {
+        MIN_STORE_READERS }
 }
--- a/crates/peppercrank-direct/src/in_flight.rs
+++ b/crates/peppercrank-direct/src/in_flight.rs
@@ -1,76 +1,76 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What one attempt counts for at its target, from its sending to its end, and what is learnt of it.
+//! Accounting of one attempt at its target, from sending to its end.
 
 use peppercrank_core::time::Instant;
 
 use crate::place::Choice;
 use crate::rates::Rates;
-use crate::stats::Board;
+use crate::stats::StatsMap;
 
-/// `InFlight` is one attempt that is counted at its target until it has ended.
+/// Attempt that is counted at its target until it ends.
 #[derive(Debug, Clone, Copy)]
 pub struct InFlight {
-    /// The target, and what is expected of it.
+    /// Chosen target, with the predictions for it.
     pub choice: Choice,
-    /// When it was sent.
-    pub sent: Instant,
-    /// Whether its target had nothing else to read when it was sent.
-    alone: bool,
-    /// Whether its prompt counts as unread.
-    unread: bool,
+    /// When the attempt was sent.
+    pub sent_at: Instant,
+    /// Whether the target had no other prefill work when the attempt was sent.
+    was_idle: bool,
+    /// Whether the prompt still counts as prefill work.
+    in_prefill: bool,
 }
 
 impl InFlight {
-    /// `begin` counts an attempt that is sent.
-    pub fn begin(now: Instant, board: &mut Board, choice: Choice) -> Self {
-        let mut alone = true;
-        if let Some(stats) = board.of(choice.key) {
-            alone = stats.reading == 0 && stats.peers_reading == 0;
-            stats.running += 1;
-            stats.reading += choice.prefill_tokens;
-            stats.sent(now);
+    /// Starts to count an attempt that is being sent.
+    pub fn begin(now: Instant, board: &mut StatsMap, choice: Choice) -> Self {
+        let mut was_idle = true;
+        if let Some(stats) = board.get_mut(choice.key) {
+            was_idle = stats.prefill_tokens == 0 && stats.peers_prefill_tokens == 0;
+            stats.in_flight += 1;
+            stats.prefill_tokens += choice.prefill_tokens;
+            stats.record_sent(now);
         }
         Self {
             choice,
-            sent: now,
-            alone,
-            unread: true,
+            sent_at: now,
+            was_idle,
+            in_prefill: true,
         }
     }
 
-    /// `first` notes the answer's first part: the prompt is read.
-    pub fn first(&mut self, now: Instant, board: &mut Board, rates: &mut Rates) {
-        let took = now.since(self.sent);
-        self.read(board);
-        if let Some(stats) = board.of(self.choice.key) {
-            stats.succeeded();
-            stats.timed(took.as_secs_f64() * 1_000.0, self.choice.predicted_first_ms);
+    /// Records the first part of the answer, which ends the prefill.
+    pub fn record_first_part(&mut self, now: Instant, board: &mut StatsMap, rates: &mut Rates) {
+        let took = now.since(self.sent_at);
+        self.end_prefill(board);
+        if let Some(stats) = board.get_mut(self.choice.key) {
+            stats.record_success();
+            stats.record_latency(took.as_secs_f64() * 1_000.0, self.choice.predicted_first_ms);
         }
-        if self.alone {
-            rates.learn(self.choice.prefill_tokens, took);
+        if self.was_idle {
+            rates.record_first_part(self.choice.prefill_tokens, took);
         }
     }
 
-    /// `end` counts the attempt no more, whatever came of it.
-    pub fn end(&mut self, now: Instant, board: &mut Board, rates: &mut Rates) {
-        if !self.unread {
-            rates.held(now.since(self.sent));
+    /// Stops counting the attempt, whatever its outcome.
+    pub fn finish(&mut self, now: Instant, board: &mut StatsMap, rates: &mut Rates) {
+        if !self.in_prefill {
+            rates.record_hold(now.since(self.sent_at));
         }
-        self.read(board);
-        if let Some(stats) = board.of(self.choice.key) {
-            stats.ended();
+        self.end_prefill(board);
+        if let Some(stats) = board.get_mut(self.choice.key) {
+            stats.record_end();
         }
     }
 
-    fn read(&mut self, board: &mut Board) {
-        if !self.unread {
+    fn end_prefill(&mut self, board: &mut StatsMap) {
+        if !self.in_prefill {
             return;
         }
-        self.unread = false;
-        if let Some(stats) = board.of(self.choice.key) {
-            stats.reading = stats.reading.saturating_sub(self.choice.prefill_tokens);
+        self.in_prefill = false;
+        if let Some(stats) = board.get_mut(self.choice.key) {
+            stats.prefill_tokens = stats.prefill_tokens.saturating_sub(self.choice.prefill_tokens);
         }
     }
 }
--- a/crates/peppercrank-direct/src/place.rs
+++ b/crates/peppercrank-direct/src/place.rs
@@ -203,8 +203,8 @@
     let mean_load = as_f64(sum.sum::<u64>()) / as_f64(candidates.len() as u64);
     let pool = candidates.iter().map(|c| &c.stats);
     let pool = pool.chain(holders.iter().filter_map(|h| h.counted_stats.as_ref()));
-    let most = max_load(request.cap_factor, overcount::mean(pool), candidates);
-    let fits = |c: &&Candidate| f64::from(c.stats.load()) + UNSEEN_MARGIN * c.stats.unseen() < most;
+    let most = max_load(request.cap_factor, overcount::mean_load(pool), candidates);
+    let fits = |c: &&Candidate| f64::from(c.stats.load()) + UNSEEN_MARGIN * c.stats.load_deviation() < most;
     let healthy = |c: &&Candidate| !c.stats.is_ejected(now);
     let limit = limit.map(|l| l.as_secs_f64() * 1_000.0);
     let within_limit = |c: &&Candidate| limit.is_none_or(|l| queue_wait_ms(rates, c) <= l);
@@ -410,7 +410,7 @@
             (false, _) => NON_HOME_COST,
         };
         let load = LOAD_COST * f64::from(stats.load()) / (self.mean_load + 1.0);
-        late + LATENCY_COST * goal_fraction + cross_zone + non_home + load + FAILURE_COST * stats.failing
+        late + LATENCY_COST * goal_fraction + cross_zone + non_home + load + FAILURE_COST * stats.failure_rate
     }
 }
 
@@ -423,7 +423,7 @@
 
 /// Returns the wait behind a target's other work, in milliseconds.
 fn queue_wait_ms(rates: &Rates, candidate: &Candidate) -> f64 {
-    predict_first_ms(rates, candidate, 0) - rates.base() * candidate.stats.speed
+    predict_first_ms(rates, candidate, 0) - rates.base_ms() * candidate.stats.latency_ratio
 }
 
 /// Returns the predicted time to the first part of the answer, in milliseconds, if the target has
@@ -431,13 +431,13 @@
 #[must_use]
 pub fn predict_first_ms(rates: &Rates, candidate: &Candidate, prefill_tokens: u64) -> f64 {
     let stats = &candidate.stats;
-    let others = rates.left(stats.peers_reading, candidate.peers_lag);
-    let waiting = stats.reading.saturating_add(others);
-    let prefill = rates.reading(waiting.saturating_add(prefill_tokens));
+    let others = rates.remaining_tokens(stats.peers_prefill_tokens, candidate.peers_lag);
+    let waiting = stats.prefill_tokens.saturating_add(others);
+    let prefill = rates.prefill_ms(waiting.saturating_add(prefill_tokens));
     let over = stats
-        .waiting()
+        .queue_load()
         .saturating_add(1)
         .saturating_sub(candidate.slots);
-    let queue = rates.waiting(over, candidate.slots);
-    (rates.base() + queue + prefill) * stats.speed
+    let queue = rates.queue_wait_ms(over, candidate.slots);
+    (rates.base_ms() + queue + prefill) * stats.latency_ratio
 }
--- a/crates/peppercrank-direct/src/quarantine.rs
+++ b/crates/peppercrank-direct/src/quarantine.rs
@@ -1,15 +1,17 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Requests under which targets end are kept from further ones.
+//! Quarantine of requests that crash targets.
 //!
-//! A request that crashes the target which runs it (a query of death) takes with it all that the target has at work, and its
-//! caller sends it again: under a new id, to any router. Bounds on the attempts of one id do not hold it. So what
-//! targets ended under is known by its content, and routers tell each other.
+//! A request that crashes the target which runs it (a query of death) also fails all other requests
+//! in flight there, and its caller sends it again, under a new id and to any router. Limits on the
+//! attempts of one id therefore do not contain it. Instead, crashes are counted by the content of
+//! the request, and routers share what they have seen.
 //!
-//! A router sees only that an answer broke off, as it also does where a connection is reset or an answer lost. So the target counts
-//! as ended only once nobody listens there. Then each request that was at work is a candidate, and two things tell the one at fault
-//! from those beside it: targets end under it again and again, and none ever serves it whole.
+//! A router only sees that an answer broke off, which also happens when a connection is reset or an
+//! answer is lost. A target therefore counts as crashed only if it no longer accepts connections.
+//! Every request in flight at the time is then a candidate, and two facts separate the culprit from
+//! the others: targets crash under it repeatedly, and no target ever completes it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -24,291 +26,305 @@
 
 pub use report::CrashReport;
 
-use report::ToldEnd;
-use report::age;
-use report::ago;
+use report::ReportedCrash;
+use report::age_units;
+use report::moment_before;
 
-/// Targets that may end under a request before it is quarantined. Requests beside the one at fault are cut once or twice
-/// themselves.
-pub const ENDS: usize = 3;
+/// Number of target crashes after which a request is quarantined. Innocent requests that happen to
+/// run beside a crashing one are hit once or twice.
+pub const CRASH_LIMIT: usize = 3;
 
-/// `KEPT` is the time for which a request is remembered after it came last. It outlasts the pause of a caller that
-/// tries every few minutes; one that stays away longer gets another chance.
-pub const KEPT: Duration = Duration::from_secs(600);
+/// Time for which a request is remembered after it was last seen. It is longer than the interval of
+/// a caller that retries every few minutes; a request that stays away longer is allowed again.
+pub const EVIDENCE_TTL: Duration = Duration::from_secs(600);
 
-/// Time for which it is remembered that a request was served, so that word of earlier ends that is still on its way does not
-/// count. Datagrams are passed on within a second.
-const SERVED_KEPT: Duration = Duration::from_secs(30);
+/// Time for which a completed request is remembered, so that delayed reports of earlier crashes are
+/// not counted. Datagrams are relayed within a second.
+const SUCCESS_TTL: Duration = Duration::from_secs(30);
 
-/// Requests remembered; at some 200 bytes each they stay below a megabyte. Only requests that a target had at work when it
-/// ended take room.
-const MOST: usize = 4_096;
+/// Maximum number of remembered requests; at about 200 bytes each they take less than a megabyte.
+/// Only requests that were in flight at a target that crashed take an entry.
+const MAX_ENTRIES: usize = 4_096;
 
-/// Datagrams in a row by which news is told, as single ones get lost.
-const TELLS: u8 = 2;
+/// Number of consecutive datagrams that carry the same report, since single datagrams get lost.
+const TRANSMISSIONS: u8 = 2;
 
-/// Reports on one datagram: each has at most 42 bytes, so that they stay below [`crate::peers::MOST_BYTES`].
-const REPORTS: usize = 28;
+/// Reports per datagram: each takes at most 42 bytes, so that they stay below
+/// [`crate::peers::MAX_DATAGRAM_BYTES`].
+const MAX_REPORTS_PER_DATAGRAM: usize = 28;
 
-/// `End` is a start of a target that ended under a request.
+/// Crash of one start of a target while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct End {
+struct Crash {
     target: TargetId,
     at: Instant,
 }
 
-/// `Change` is what a router learnt of a request.
+/// Change in what a router knows of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Change {
+pub enum Update {
     /// Nothing new.
-    Known,
-    /// More than before.
-    News,
-    /// It is quarantined from now on.
+    Unchanged,
+    /// New evidence, but the request has not just become quarantined.
+    NewEvidence,
+    /// The request is quarantined from now on.
     Quarantined,
 }
 
-/// `Broken` is what follows an answer that broke off.
+/// What to do about the target after an answer broke off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Broken {
-    /// To find out whether its target has ended, before the request goes anywhere else: it may be the last one that counts.
-    AskFirst,
-    /// To find it out meanwhile.
-    Ask,
-    /// Nothing: that is being found out.
-    Asked,
+pub enum ProbeAction {
+    /// Probe whether the target has crashed before the request is retried, since this crash may be
+    /// the one that reaches the limit.
+    ProbeFirst,
+    /// Probe it in the background.
+    Probe,
+    /// Nothing: a probe of this target is already under way.
+    AlreadyProbing,
 }
 
-/// `Evidence` is what is known of one request.
+/// Evidence on one request.
 #[derive(Debug, Clone, Default)]
 struct Evidence {
-    /// Targets that ended under it since it was served last.
-    ends: Vec<End>,
-    /// When a target served it whole.
-    served: Option<Instant>,
-    /// When it came last, at any router.
-    seen: Instant,
-    /// Datagrams on which it is still to be told.
-    tells: u8,
+    /// Target crashes under the request since it was last completed.
+    crashes: Vec<Crash>,
+    /// When a target last completed the request.
+    last_success: Option<Instant>,
+    /// When the request last arrived at any router.
+    last_seen: Instant,
+    /// Number of datagrams on which the evidence is still to be sent.
+    transmissions_left: u8,
 }
 
 impl Evidence {
     const fn is_quarantined(&self) -> bool {
-        self.ends.len() >= ENDS
+        self.crashes.len() >= CRASH_LIMIT
     }
 
-    /// Counts an end, unless it is known, or a target has served the request since.
-    fn count(&mut self, end: End) -> bool {
-        let known = self.ends.iter().any(|e| e.target == end.target);
-        let refuted = self.served.is_some_and(|served| end.at <= served);
-        if known || refuted || self.is_quarantined() {
+    /// Adds a crash and returns true, unless it is already known, the request has been completed
+    /// since, or the request is already quarantined.
+    fn add_crash(&mut self, crash: Crash) -> bool {
+        let is_known = self.crashes.iter().any(|e| e.target == crash.target);
+        let is_cleared = self.last_success.is_some_and(|success| crash.at <= success);
+        if is_known || is_cleared || self.is_quarantined() {
             return false;
         }
-        self.ends.push(end);
+        self.crashes.push(crash);
         true
     }
 
-    /// Takes in that a target served it, which refutes the ends before, but for those that are `told` to have come after.
-    fn serve(&mut self, at: Instant, told: &[ToldEnd]) -> bool {
-        let before = self.ends.len();
-        let is_told = |end: &End| told.iter().any(|t| t.target == end.target);
-        self.served = self.served.max(Some(at));
-        self.ends.retain(|e| e.at > at || is_told(e));
-        self.ends.len() < before
+    /// Records that a target completed the request, which clears earlier crashes, except those in
+    /// `later`, which the reporting router knows to be later. Returns whether any was cleared.
+    fn record_success(&mut self, at: Instant, later: &[ReportedCrash]) -> bool {
+        let before = self.crashes.len();
+        let is_later = |crash: &Crash| later.iter().any(|t| t.target == crash.target);
+        self.last_success = self.last_success.max(Some(at));
+        self.crashes.retain(|e| e.at > at || is_later(e));
+        self.crashes.len() < before
     }
 
-    fn is_over(&self, now: Instant) -> bool {
-        let kept = if self.ends.is_empty() {
-            SERVED_KEPT
+    fn is_expired(&self, now: Instant) -> bool {
+        let ttl = if self.crashes.is_empty() {
+            SUCCESS_TTL
         } else {
-            KEPT
+            EVIDENCE_TTL
         };
-        now.since(self.seen) >= kept
+        now.since(self.last_seen) >= ttl
     }
 
-    fn report(&self, content: Fingerprint, now: Instant) -> CrashReport {
-        let told = |end: &End| ToldEnd {
-            target: end.target,
-            age: age(now, end.at),
+    fn report(&self, fingerprint: Fingerprint, now: Instant) -> CrashReport {
+        let reported = |crash: &Crash| ReportedCrash {
+            target: crash.target,
+            age: age_units(now, crash.at),
         };
         CrashReport {
-            content,
-            ends: self.ends.iter().map(told).collect(),
-            served: self.served.map(|at| age(now, at)),
-            seen: age(now, self.seen),
+            fingerprint,
+            crashes: self.crashes.iter().map(reported).collect(),
+            last_success: self.last_success.map(|at| age_units(now, at)),
+            last_seen: age_units(now, self.last_seen),
         }
     }
 
-    /// Whether a report lacks an end that is known here, where that matters.
-    fn knows_more(&self, report: &CrashReport) -> bool {
-        let told = |end: &End| report.ends.iter().any(|e| e.target == end.target);
-        report.ends.len() < ENDS && !self.ends.iter().all(told)
+    /// Returns whether a crash is known here that the report lacks, unless the report already
+    /// reaches the limit.
+    fn knows_more_than(&self, report: &CrashReport) -> bool {
+        let is_reported = |crash: &Crash| report.crashes.iter().any(|e| e.target == crash.target);
+        report.crashes.len() < CRASH_LIMIT && !self.crashes.iter().all(is_reported)
     }
 }
 
-/// `Quarantine` knows the requests under which targets ended.
+/// Evidence on the requests under which targets have crashed.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    contents: HashMap<Fingerprint, Evidence>,
-    /// Requests whose answers broke off, by the targets of which it is being found out whether they have ended.
-    broken: HashMap<TargetId, Vec<Fingerprint>>,
+    evidence: HashMap<Fingerprint, Evidence>,
+    /// Requests whose answers broke off, by target, while a probe of the target is under way.
+    awaiting_probe: HashMap<TargetId, Vec<Fingerprint>>,
 }
 
 impl Quarantine {
-    /// `is_empty` tells whether nothing is known of any request, so that none needs a fingerprint.
+    /// Returns whether there is no evidence on any request, so that no fingerprints are needed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.contents.is_empty()
+        self.evidence.is_empty()
     }
 
-    /// `broke_off` notes that a target's answer to a request broke off.
-    pub fn broke_off(&mut self, content: Fingerprint, target: TargetId) -> Broken {
-        let known = self.contents.get(&content).map_or(0, |e| e.ends.len());
-        let asked = self.broken.contains_key(&target);
-        self.broken.entry(target).or_default().push(content);
-        match (known + 1 >= ENDS, asked) {
-            (true, _) => Broken::AskFirst,
-            (false, false) => Broken::Ask,
-            (false, true) => Broken::Asked,
+    /// Records that a target's answer to a request broke off.
+    pub fn record_broken_answer(&mut self,
+        fingerprint: Fingerprint, target: TargetId,) -> ProbeAction {
+        let known = self.evidence.get(&fingerprint).map_or(0, |e| e.crashes.len());
+        let is_probing = self.awaiting_probe.contains_key(&target);
+        self.awaiting_probe.entry(target).or_default().push(fingerprint);
+        match (known + 1 >= CRASH_LIMIT, is_probing) {
+            (true, _) => ProbeAction::ProbeFirst,
+            (false, false) => ProbeAction::Probe,
+            (false, true) => ProbeAction::AlreadyProbing,
         }
     }
 
-    /// `lives` notes that a target has not ended, so that what broke off there speaks against no request.
-    pub fn lives(&mut self, target: TargetId) {
-        self.broken.remove(&target);
+    /// Records that a target has not crashed, so that the answers that broke off there do not count
+    /// against their requests.
+    pub fn record_alive(&mut self, target: TargetId) {
+        self.awaiting_probe.remove(&target);
     }
 
-    /// `ended` notes that a target has ended, under the requests whose answers broke off there.
-    pub fn ended(&mut self, now: Instant, target: TargetId) -> Vec<(Fingerprint, Change)> {
-        let contents = self.broken.remove(&target).unwrap_or_default();
-        let count = |content| (content, self.ended_under(now, content, target));
-        contents.into_iter().map(count).collect()
+    /// Records that a target has crashed, and counts this against the requests whose answers broke
+    /// off there.
+    pub fn record_crash(&mut self, now: Instant, target: TargetId) -> Vec<(Fingerprint, Update)> {
+        let fingerprints = self.awaiting_probe.remove(&target).unwrap_or_default();
+        let count = |fingerprint| (fingerprint, self.record_crash_of(now, fingerprint, target));
+        fingerprints.into_iter().map(count).collect()
     }
 
-    /// `ended_under` notes that a target has ended under a request.
-    pub fn ended_under(&mut self, now: Instant, content: Fingerprint, target: TargetId) -> Change {
-        self.make_room(content);
-        let evidence = self.contents.entry(content).or_default();
-        evidence.seen = now;
-        if !evidence.count(End { target, at: now }) {
-            return Change::Known;
+    /// Records that a target has crashed while it ran a request.
+    pub fn record_crash_of(&mut self, now: Instant,
+        fingerprint: Fingerprint, target: TargetId,) -> Update {
+        self.make_room(fingerprint);
+        let evidence = self.evidence.entry(fingerprint).or_default();
+        evidence.last_seen = now;
+        if !evidence.add_crash(Crash { target, at: now }) {
+            return Update::Unchanged;
         }
-        evidence.tells = TELLS;
+        evidence.transmissions_left = TRANSMISSIONS;
         if evidence.is_quarantined() {
-            Change::Quarantined
+            Update::Quarantined
         } else {
-            Change::News
+            Update::NewEvidence
         }
     }
 
-    /// `served` notes that a target served a request whole, so that what ended before did not end by it.
-    pub fn served(&mut self, now: Instant, content: Fingerprint) {
-        if let Some(evidence) = self.contents.get_mut(&content) {
-            evidence.seen = now;
-            if evidence.serve(now, &[]) {
-                evidence.tells = TELLS;
+    /// Records that a target completed a request, which clears the earlier crashes.
+    pub fn record_success(&mut self, now: Instant, fingerprint: Fingerprint) {
+        if let Some(evidence) = self.evidence.get_mut(&fingerprint) {
+            evidence.last_seen = now;
+            if evidence.record_success(now, &[]) {
+                evidence.transmissions_left = TRANSMISSIONS;
             }
         }
     }
 
-    /// `refuses` tells whether a request that came is kept from targets, and for how long it is if it stays away.
-    pub fn refuses(&mut self, now: Instant, content: Fingerprint) -> Option<Duration> {
-        let evidence = self.contents.get_mut(&content)?;
-        if !evidence.is_quarantined() || evidence.is_over(now) {
+    /// Returns how long an arriving request stays quarantined if it does not arrive again; `None`
+    /// if it is not quarantined. Extends the quarantine.
+    pub fn refuse(&mut self, now: Instant, fingerprint: Fingerprint) -> Option<Duration> {
+        let evidence = self.evidence.get_mut(&fingerprint)?;
+        if !evidence.is_quarantined() || evidence.is_expired(now) {
             return None;
         }
-        evidence.seen = now;
-        Some(KEPT)
+        evidence.last_seen = now;
+        Some(EVIDENCE_TTL)
     }
 
-    /// `quarantined` is how many requests are kept from targets.
+    /// Returns the number of quarantined requests.
     #[must_use]
-    pub fn quarantined(&self) -> usize {
+    pub fn quarantined_count(&self) -> usize {
         let quarantined = |e: &&Evidence| e.is_quarantined();
-        self.contents.values().filter(quarantined).count()
+        self.evidence.values().filter(quarantined).count()
     }
 
-    /// `hear` takes in a report of another router. `relay` tells whether news is passed on: in a small fleet
-    /// the other router tells all itself.
-    pub fn hear(&mut self, now: Instant, report: &CrashReport, relay: bool) -> Change {
-        if report.ends.is_empty() && !self.contents.contains_key(&report.content) {
-            return Change::Known;
+    /// Merges a report of another router. `relay` is whether new evidence is passed on; in a small
+    /// fleet the other router sends it to every peer itself.
+    pub fn merge_report(&mut self, now: Instant, report: &CrashReport, relay: bool) -> Update {
+        if report.crashes.is_empty() && !self.evidence.contains_key(&report.fingerprint) {
+            return Update::Unchanged;
         }
-        self.make_room(report.content);
-        let evidence = self.contents.entry(report.content).or_default();
-        let before = evidence.is_quarantined();
-        evidence.seen = evidence.seen.max(ago(now, report.seen));
-        let mut news = false;
-        // What was before this process's clock began is all at one moment here, so that the report's own order counts.
-        for told in &report.ends {
-            let at = ago(now, told.age);
-            let target = told.target;
-            news |= evidence.count(End { target, at });
+        self.make_room(report.fingerprint);
+        let evidence = self.evidence.entry(report.fingerprint).or_default();
+        let was_quarantined = evidence.is_quarantined();
+        evidence.last_seen = evidence.last_seen.max(moment_before(now, report.last_seen));
+        let mut changed = false;
+        // Times before the origin of this process's clock all map to the origin, so the order given
+        // by the report itself decides.
+        for reported in &report.crashes {
+            let at = moment_before(now, reported.age);
+            let target = reported.target;
+            changed |= evidence.add_crash(Crash { target, at });
         }
-        let served = report.served.map(|age| ago(now, age));
-        news |= served.is_some_and(|at| evidence.serve(at, &report.ends));
-        if news && relay {
-            evidence.tells = TELLS;
+        let success = report.last_success.map(|age| moment_before(now, age));
+        changed |= success.is_some_and(|at| evidence.record_success(at, &report.crashes));
+        if changed && relay {
+            evidence.transmissions_left = TRANSMISSIONS;
         }
-        match (news, !before && evidence.is_quarantined()) {
-            (_, true) => Change::Quarantined,
-            (true, false) => Change::News,
-            (false, false) => Change::Known,
+        match (changed, !was_quarantined && evidence.is_quarantined()) {
+            (_, true) => Update::Quarantined,
+            (true, false) => Update::NewEvidence,
+            (false, false) => Update::Unchanged,
         }
     }
 
-    /// What the sender of a report does not know, as it has just started or was cut off; none where it knows all.
-    fn answer(&self, now: Instant, report: &CrashReport) -> Option<CrashReport> {
-        let evidence = self.contents.get(&report.content)?;
-        let known = evidence.report(report.content, now);
-        evidence.knows_more(report).then_some(known)
+    /// Returns the evidence that the sender of a report lacks, for example after a restart or a
+    /// network partition; `None` if it lacks nothing.
+    fn missing_report(&self, now: Instant, report: &CrashReport) -> Option<CrashReport> {
+        let evidence = self.evidence.get(&report.fingerprint)?;
+        let known = evidence.report(report.fingerprint, now);
+        evidence.knows_more_than(report).then_some(known)
     }
 
-    /// `has_news` tells whether there is something to tell.
+    /// Returns whether any evidence is still to be sent.
     #[must_use]
-    pub fn has_news(&self) -> bool {
-        self.contents.values().any(|e| e.tells > 0)
+    pub fn has_pending_reports(&self) -> bool {
+        self.evidence.values().any(|e| e.transmissions_left > 0)
     }
 
-    /// `tell` is the news for the next datagram, of requests under which most targets ended first.
-    pub fn tell(&mut self, now: Instant) -> Vec<CrashReport> {
-        let pending = self.contents.iter_mut().filter(|(_, e)| e.tells > 0);
+    /// Returns the evidence for the next datagram; requests with the most crashes come first.
+    pub fn take_pending_reports(&mut self, now: Instant) -> Vec<CrashReport> {
+        let pending = self.evidence.iter_mut().filter(|(_, e)| e.transmissions_left > 0);
         let mut pending = pending.collect::<Vec<_>>();
-        pending.sort_unstable_by_key(|(_, e)| (usize::MAX - e.ends.len(), now.since(e.seen)));
-        pending.truncate(REPORTS);
-        let tell = |(content, evidence): (&Fingerprint, &mut Evidence)| {
-            evidence.tells -= 1;
-            evidence.report(*content, now)
+        pending.sort_unstable_by_key(|(_, e)| (usize::MAX - e.crashes.len(), now.since(e.last_seen)));
+        pending.truncate(MAX_REPORTS_PER_DATAGRAM);
+        let tell = |(fingerprint, evidence): (&Fingerprint, &mut Evidence)| {
+            evidence.transmissions_left -= 1;
+            evidence.report(*fingerprint, now)
         };
         pending.into_iter().map(tell).collect()
     }
 
-    /// `remind` is what is quarantined, the latest to come first, for routers that may not have heard it.
+    /// Returns reports on all quarantined requests, the most recently seen first, for routers that
+    /// may have missed them.
     #[must_use]
-    pub fn remind(&self, now: Instant) -> Vec<CrashReport> {
-        let quarantined = self.contents.iter().filter(|(_, e)| e.is_quarantined());
+    pub fn quarantined_reports(&self, now: Instant) -> Vec<CrashReport> {
+        let quarantined = self.evidence.iter().filter(|(_, e)| e.is_quarantined());
         let mut quarantined = quarantined.collect::<Vec<_>>();
-        quarantined.sort_unstable_by_key(|(_, e)| now.since(e.seen));
-        quarantined.truncate(REPORTS);
+        quarantined.sort_unstable_by_key(|(_, e)| now.since(e.last_seen));
+        quarantined.truncate(MAX_REPORTS_PER_DATAGRAM);
         let report =
-            |(content, evidence): (&Fingerprint, &Evidence)| evidence.report(*content, now);
+            |(fingerprint, evidence): (&Fingerprint, &Evidence)| evidence.report(*fingerprint, now);
         quarantined.into_iter().map(report).collect()
     }
 
-    /// `expire` forgets requests that did not come for long.
+    /// Removes requests that have not been seen for their retention time.
     pub fn expire(&mut self, now: Instant) {
-        self.contents.retain(|_, e| !e.is_over(now));
+        self.evidence.retain(|_, e| !e.is_expired(now));
     }
 
-    /// Forgets the request that matters least where there is no room for another.
-    fn make_room(&mut self, content: Fingerprint) {
-        if self.contents.len() < MOST || self.contents.contains_key(&content) {
+    /// Evicts the request with the fewest crashes, and of these the one seen longest ago, if there
+    /// is no room for a new one.
+    fn make_room(&mut self, fingerprint: Fingerprint) {
+        if self.evidence.len() < MAX_ENTRIES || self.evidence.contains_key(&fingerprint) {
             return;
         }
-        let least = |(_, e): &(&Fingerprint, &Evidence)| (e.ends.len(), e.seen);
-        let least = self.contents.iter().min_by_key(least).map(|(c, _)| *c);
+        let least = |(_, e): &(&Fingerprint, &Evidence)| (e.crashes.len(), e.last_seen);
+        let least = self.evidence.iter().min_by_key(least).map(|(c, _)| *c);
         if let Some(least) = least {
-            self.contents.remove(&least);
+            self.evidence.remove(&least);
         }
     }
 }
--- a/crates/peppercrank-direct/src/ranks.rs
+++ b/crates/peppercrank-direct/src/ranks.rs
@@ -1,11 +1,12 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! How urgent requests are among those of their pool.
+//! Order of requests by priority within a pool.
 //!
-//! An organisation's priority goes before a route's, so requests are ordered by the organisation's
-//! first and by the route's among equals. Where one priority merely replaced the other, all routes
-//! of an organisation were alike, and its short answers lost their places to its long ones.
+//! An organisation's priority takes precedence over a route's, so requests are ordered by the
+//! organisation's priority first, and by the route's among equals. When the organisation's priority
+//! simply replaced the route's, all routes of an organisation ranked equally, and its long answers
+//! displaced its short ones.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -16,112 +17,113 @@
 use crate::desired::Organisation;
 use crate::desired::Route;
 
-/// Goal of a pool whose routes name none.
+/// Latency goal of a pool whose routes have none.
 const DEFAULT_GOAL: Duration = Duration::from_secs(1);
 
-/// `Rank` is a request's place among the priorities of its pool.
+/// Rank of a request among the priorities of its pool.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Rank {
-    /// Its place; 0 is the most urgent.
-    pub place: u8,
-    /// How many places there are, at least one.
-    pub places: u8,
+    /// Level of the request; 0 is the most urgent.
+    pub level: u8,
+    /// Number of levels in the pool, at least one.
+    pub levels: u8,
 }
 
 impl Rank {
-    /// `part` is how far the place lies behind the most urgent one, from 0 to 1.
+    /// Returns the position between the most urgent level, 0, and the least urgent one, 1.
     #[must_use]
-    pub fn part(self) -> f64 {
-        let last = self.places.saturating_sub(1).max(1);
-        f64::from(self.place.min(last)) / f64::from(last)
+    pub fn normalized(self) -> f64 {
+        let last = self.levels.saturating_sub(1).max(1);
+        f64::from(self.level.min(last)) / f64::from(last)
     }
 
-    /// `scaled` is the place on a scale that ends at `last`.
+    /// Returns the level on a scale from 0 to `last`, unchanged if all levels fit on it.
     #[must_use]
     pub fn scaled(self, last: u8) -> u8 {
-        let behind = self.places.saturating_sub(1);
-        if behind <= last {
-            return self.place;
+        let last_level = self.levels.saturating_sub(1);
+        if last_level <= last {
+            return self.level;
         }
-        let place = u16::from(self.place.min(behind)) * u16::from(last) / u16::from(behind);
-        u8::try_from(place).unwrap_or(last)
+        let level = u16::from(self.level.min(last_level)) * u16::from(last) / u16::from(last_level);
+        u8::try_from(level).unwrap_or(last)
     }
 }
 
-/// The priorities that order a request: its organisation's, then its route's.
+/// Sort key of a request: its organisation's priority, then its route's.
 type Priorities = (u8, u8);
 
-/// `PoolRanks` are the priorities that occur in one pool.
+/// Priorities that occur in one pool.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct PoolRanks {
-    /// All that occur, the most urgent first.
-    order: Vec<Priorities>,
-    /// The shortest goal of the pool's routes.
-    goal: Option<Duration>,
+    /// All of them, the most urgent first.
+    priorities: Vec<Priorities>,
+    /// Shortest latency goal of the pool's routes.
+    shortest_goal: Option<Duration>,
 }
 
-/// `Ranks` orders the priorities of each pool of a configuration.
+/// Order of the priorities in each pool of a configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Ranks {
     pools: HashMap<Arc<str>, PoolRanks>,
 }
 
 impl Ranks {
-    /// `new` orders the priorities of a configuration.
+    /// Builds the order for a configuration.
     #[must_use]
     pub fn new(desired: &Desired) -> Self {
-        let own = desired.organisations.iter().map(|o| o.priority);
-        let own = own.collect::<BTreeSet<_>>();
+        let organisation_priorities = desired.organisations.iter().map(|o| o.priority);
+        let organisation_priorities = organisation_priorities.collect::<BTreeSet<_>>();
         let mut ranks = Self::default();
         for route in &desired.routes {
             for share in &route.pools {
                 let pool = ranks.pools.entry(Arc::clone(&share.pool)).or_default();
-                pool.add(route, &own);
+                pool.add_route(route, &organisation_priorities);
             }
         }
         for pool in ranks.pools.values_mut() {
-            pool.order.sort_unstable();
-            pool.order.dedup();
+            pool.priorities.sort_unstable();
+            pool.priorities.dedup();
         }
         ranks
     }
 
-    /// `rank` is the rank of a route's request, for an organisation if it has one.
+    /// Returns the rank of a route's request; `organisation` is `None` on an open route.
     #[must_use]
     pub fn rank(&self, pool: &str, route: &Route, organisation: Option<&Organisation>) -> Rank {
-        let own = organisation.and_then(|o| o.priority);
+        let organisation_priority = organisation.and_then(|o| o.priority);
         let Some(pool) = self.pools.get(pool) else {
             return Rank::default();
         };
-        let place = pool.order.partition_point(|p| *p < priorities(own, route));
-        let small = |count: usize| u8::try_from(count).unwrap_or(u8::MAX);
+        let level = pool.priorities.partition_point(|p| *p < priorities_of(organisation_priority, route));
+        let saturate = |count: usize| u8::try_from(count).unwrap_or(u8::MAX);
         Rank {
-            place: small(place),
-            places: small(pool.order.len()),
+            level: saturate(level),
+            levels: saturate(pool.priorities.len()),
         }
     }
 
-    /// `goal` is the shortest time within which a request for the pool wants its answer.
+    /// Returns the shortest latency goal of the pool's routes.
     #[must_use]
-    pub fn goal(&self, pool: &str) -> Duration {
-        let goal = self.pools.get(pool).and_then(|p| p.goal);
+    pub fn shortest_goal(&self, pool: &str) -> Duration {
+        let goal = self.pools.get(pool).and_then(|p| p.shortest_goal);
         goal.unwrap_or(DEFAULT_GOAL)
     }
 }
 
 impl PoolRanks {
-    fn add(&mut self, route: &Route, own: &BTreeSet<Option<u8>>) {
-        if route.public || own.is_empty() {
-            self.order.push(priorities(None, route));
+    fn add_route(&mut self, route: &Route, organisation_priorities: &BTreeSet<Option<u8>>) {
+        if route.public || organisation_priorities.is_empty() {
+            self.priorities.push(priorities_of(None, route));
         }
-        let with = own.iter().map(|own| priorities(*own, route));
-        self.order.extend(with);
+        let keys = organisation_priorities.iter().map(|priority| priorities_of(*priority, route));
+        self.priorities.extend(keys);
         let goal = Some(route.latency_goal).filter(|g| !g.is_zero());
-        self.goal = self.goal.into_iter().chain(goal).min();
+        self.shortest_goal = self.shortest_goal.into_iter().chain(goal).min();
     }
 }
 
-/// An organisation without a priority of its own has that of the route.
-fn priorities(own: Option<u8>, route: &Route) -> Priorities {
-    (own.unwrap_or(route.priority), route.priority)
+/// An organisation without a priority of its own takes that of the route.
+fn priorities_of(organisation_priority: Option<u8>, route: &Route) -> Priorities {
+    (
+        organisation_priority.unwrap_or(route.priority), route.priority,)
 }
--- a/crates/peppercrank-direct/src/retries.rs
+++ b/crates/peppercrank-direct/src/retries.rs
@@ -1,11 +1,11 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The fleet's retry budget and what follows an attempt that failed.
+//! The fleet's retry budget, and the next step after a failed attempt.
 //!
-//! Repeats reach a pool at most as a share of the requests for it plus a fixed extra, summed over
-//! all routers in any window. Each router spends its share of what it saw itself, and an equal
-//! part of the extra.
+//! In any window, the retries that all routers together send to a pool are limited to a share of
+//! the requests for it plus a fixed extra. Each router may use that share of the requests that it
+//! has received itself, and an equal part of the extra.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -16,102 +16,104 @@
 
 use crate::rates::as_f64;
 
-/// Part of the allowed share that is spent: the rest covers requests that a window's end parts
-/// from their repeats.
-const SHARE_USED: f64 = 0.85;
+/// Fraction of the allowed share that is used; the remainder covers retries that fall into a later
+/// window than their requests.
+const USABLE_SHARE: f64 = 0.85;
 
-/// Part of the allowed extra that is spent: the rest covers routers that do not know of each other.
-const EXTRA_USED: f64 = 0.7;
+/// Fraction of the allowed extra that is used; the remainder covers routers that do not know of
+/// each other.
+const USABLE_EXTRA: f64 = 0.7;
 
-/// `Terms` are the fleet's bounds on repeats.
+/// Limits on retries in the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
-    /// Repeats allowed for each request.
+pub struct RetryLimits {
+    /// Retries allowed per request.
     pub share: f64,
-    /// Repeats allowed besides, in a window, over all routers.
+    /// Additional retries allowed per window, over all routers.
     pub extra: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
 }
 
-/// `Counted` is one pool's recent requests and repeats.
+/// Times of the requests for a pool and of their retries within the window.
 #[derive(Debug, Default)]
-struct Counted {
+struct PoolHistory {
     requests: VecDeque<Instant>,
-    repeats: VecDeque<Instant>,
+    retries: VecDeque<Instant>,
 }
 
-/// `RetryBudget` allows repeats within the fleet's bounds.
+/// Retry budget of a router, which keeps to its part of the fleet's limits.
 #[derive(Debug)]
 pub struct RetryBudget {
-    terms: Terms,
-    /// When this process began to count: its predecessor's repeats are not known.
-    began: Instant,
-    pools: HashMap<Arc<str>, Counted>,
+    limits: RetryLimits,
+    /// Start of the count; retries of a previous process are not known.
+    started_at: Instant,
+    pools: HashMap<Arc<str>, PoolHistory>,
 }
 
 impl RetryBudget {
-    /// `new` begins to count at `now`.
+    /// Creates a budget that starts to count at `now`.
     #[must_use]
-    pub fn new(now: Instant, terms: Terms) -> Self {
+    pub fn new(now: Instant, limits: RetryLimits) -> Self {
         Self {
-            terms,
-            began: now,
+            limits,
+            started_at: now,
             pools: HashMap::new(),
         }
     }
 
-    /// `set` changes the bounds, as when the settings were read anew.
-    pub const fn set(&mut self, terms: Terms) {
-        self.terms = terms;
+    /// Changes the limits, for example after the settings were reloaded.
+    pub const fn set_limits(&mut self, limits: RetryLimits) {
+        self.limits = limits;
     }
 
-    /// `request` counts a request for a pool.
-    pub fn request(&mut self, now: Instant, pool: &Arc<str>) {
-        let window = self.terms.window;
-        let counted = self.counted(pool);
-        prune(&mut counted.requests, now, window);
-        counted.requests.push_back(now);
+    /// Records a request for a pool.
+    pub fn record_request(&mut self, now: Instant, pool: &Arc<str>) {
+        let window = self.limits.window;
+        let history = self.history(pool);
+        prune(&mut history.requests, now, window);
+        history.requests.push_back(now);
     }
 
-    /// `spend` takes one repeat from the budget and tells whether there was one.
+    /// Takes one retry from the budget; returns false if none is left.
     ///
-    /// `routers` is how many routers share the extra, this one included.
-    pub fn spend(&mut self, now: Instant, pool: &Arc<str>, routers: usize) -> bool {
+    /// `routers` is the number of routers that share the extra, including this one.
+    pub fn try_spend(&mut self, now: Instant, pool: &Arc<str>, routers: usize) -> bool {
         let fits = self.can_spend(now, pool, routers);
         if fits {
-            self.counted(pool).repeats.push_back(now);
+            self.history(pool).retries.push_back(now);
         }
         fits
     }
 
-    /// `can_spend` tells whether the budget has a repeat.
+    /// Returns whether at least one retry is left.
     pub fn can_spend(&mut self, now: Instant, pool: &Arc<str>, routers: usize) -> bool {
-        self.left(now, pool, routers) >= 1.0
+        self.remaining(now, pool, routers) >= 1.0
     }
 
-    /// `left` is how many repeats the budget has.
-    pub fn left(&mut self, now: Instant, pool: &Arc<str>, routers: usize) -> f64 {
-        let Terms {
+    /// Returns the number of retries that are left. It is negative if the limits were lowered, or
+    /// if requests have left the window before their retries.
+    pub fn remaining(&mut self, now: Instant, pool: &Arc<str>, routers: usize) -> f64 {
+        let RetryLimits {
             share,
             extra,
             window,
-        } = self.terms;
-        let aged = now.since(self.began).as_secs_f64() / window.as_secs_f64().max(0.001);
-        let part = EXTRA_USED * aged.min(1.0) / as_f64(routers.max(1) as u64);
-        let counted = self.counted(pool);
-        prune(&mut counted.requests, now, window);
-        prune(&mut counted.repeats, now, window);
-        let allowed = as_f64(counted.requests.len() as u64) * share * SHARE_USED + extra * part;
-        allowed - as_f64(counted.repeats.len() as u64)
+        } = self.limits;
+        let window_share = now.since(self.started_at).as_secs_f64() / window.as_secs_f64().max(0.001);
+        let extra_share = USABLE_EXTRA * window_share.min(1.0) / as_f64(routers.max(1) as u64);
+        let history = self.history(pool);
+        prune(&mut history.requests, now, window);
+        prune(&mut history.retries, now, window);
+        let allowed = as_f64(history.requests.len() as u64) * share * USABLE_SHARE + extra * extra_share;
+        allowed - as_f64(history.retries.len() as u64)
     }
 
-    /// `pools` are the pools that were counted for.
+    /// Returns the pools for which requests or retries were recorded.
     pub fn pools(&self) -> impl Iterator<Item = &Arc<str>> {
         self.pools.keys()
     }
 
-    fn counted(&mut self, pool: &Arc<str>) -> &mut Counted {
+    fn history(&mut self, pool: &Arc<str>) -> &mut PoolHistory {
         self.pools.entry(Arc::clone(pool)).or_default()
     }
 }
@@ -122,97 +124,97 @@
     }
 }
 
-/// `ExecutionState` is whether a target ran an attempt that gave no answer to pass on.
+/// Whether a target executed an attempt that produced no answer to pass on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExecutionState {
-    /// No byte of it reached the target.
+    /// No byte of the request reached the target.
     NotSent,
-    /// The target says that it did not run it.
+    /// The target states that it did not execute the request.
     NotRun,
-    /// It may have run.
+    /// The target may have executed the request.
     Unknown,
-    /// It ran and the target's answer tells of a failure.
+    /// The target executed the request and answered with a failure.
     Failed,
 }
 
-/// `Plan` is how far one request has come over its attempts.
+/// State of one request over its attempts.
 #[derive(Debug, Clone, Copy)]
-pub struct Plan {
-    /// Whether it may run again.
-    pub repeats: bool,
-    /// Targets that it may run on.
-    pub attempts: u32,
-    /// Attempts that may have run.
+pub struct RetryPlan {
+    /// Whether the request may be executed more than once.
+    pub repeatable: bool,
+    /// Maximum number of attempts that may have executed the request.
+    pub max_runs: u32,
+    /// Attempts that may have executed the request.
     runs: u32,
-    /// Attempts in all.
+    /// All attempts.
     sends: u32,
 }
 
-/// Attempts of one request in all, those that did not run included: a request that finds this
-/// many targets closed meets an outage, which further tries only feed.
-const MOST_SENDS: u32 = 4;
+/// Maximum number of attempts of a request, including those that were not executed. A request that
+/// finds this many targets unavailable is in an outage, which more attempts would only make worse.
+const MAX_SENDS: u32 = 4;
 
-/// `After` is what follows an attempt.
+/// Next step after an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum After {
-    /// Another target, which costs nothing of the budget.
-    Again,
-    /// Another target, if the budget allows.
-    AgainIfAllowed,
-    /// A refusal that says that it has not run.
+pub enum NextStep {
+    /// Try another target; this does not use the retry budget.
+    Retry,
+    /// Try another target if the retry budget allows it.
+    RetryWithinBudget,
+    /// Refuse the request, stating that it was not executed.
     Refuse,
-    /// A failure that says nothing of whether it ran.
+    /// Fail the request without stating whether it was executed.
     Fail,
 }
 
-impl Plan {
-    /// `new` begins the plan of a request.
+impl RetryPlan {
+    /// Creates the plan of a request without attempts.
     #[must_use]
-    pub const fn new(repeats: bool, attempts: u32) -> Self {
+    pub const fn new(repeatable: bool, max_runs: u32) -> Self {
         Self {
-            repeats,
-            attempts,
+            repeatable,
+            max_runs,
             runs: 0,
             sends: 0,
         }
     }
 
-    /// `has_run` tells whether any attempt may have run.
+    /// Returns whether any attempt may have executed the request.
     #[must_use]
-    pub const fn has_run(&self) -> bool {
+    pub const fn may_have_run(&self) -> bool {
         self.runs > 0
     }
 
-    /// `sends` is how many attempts were made.
+    /// Returns the number of attempts.
     #[must_use]
     pub const fn sends(&self) -> u32 {
         self.sends
     }
 
-    /// `after` notes how an attempt ended and tells what follows.
-    pub const fn after(&mut self, execution: ExecutionState) -> After {
+    /// Records how an attempt ended and returns the next step.
+    pub const fn record_attempt(&mut self, execution: ExecutionState) -> NextStep {
         self.sends += 1;
         if matches!(execution, ExecutionState::Unknown | ExecutionState::Failed) {
             self.runs += 1;
         }
-        let spent = self.sends >= MOST_SENDS || self.runs >= self.attempts;
+        let spent = self.sends >= MAX_SENDS || self.runs >= self.max_runs;
         match execution {
-            ExecutionState::NotSent if !spent => After::Again,
-            ExecutionState::NotRun if !spent => After::AgainIfAllowed,
-            ExecutionState::Unknown | ExecutionState::Failed if self.repeats && !spent => {
-                After::AgainIfAllowed
+            ExecutionState::NotSent if !spent => NextStep::Retry,
+            ExecutionState::NotRun if !spent => NextStep::RetryWithinBudget,
+            ExecutionState::Unknown | ExecutionState::Failed if self.repeatable && !spent => {
+                NextStep::RetryWithinBudget
             }
             _ => self.give_up(),
         }
     }
 
-    /// `give_up` is how a request ends that gets no further attempt.
+    /// Returns how a request ends that gets no further attempt.
     #[must_use]
-    pub const fn give_up(&self) -> After {
+    pub const fn give_up(&self) -> NextStep {
         if self.runs > 0 {
-            After::Fail
+            NextStep::Fail
         } else {
-            After::Refuse
+            NextStep::Refuse
         }
     }
 }
--- a/crates/peppercrank-direct/src/silence.rs
+++ b/crates/peppercrank-direct/src/silence.rs
@@ -1,69 +1,71 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! When a stream that has begun counts as silent, so that it goes on elsewhere if it may.
+//! Detection of streams that have stalled, which are then resumed on another target if possible.
 //!
-//! Guards against targets and connections that fall silent without a reset, which hold a caller until
-//! it leaves.
+//! It covers targets and connections that fall silent without a reset, which would hold a caller
+//! until it gives up.
 
 use std::time::Duration;
 
 use peppercrank_core::time::Instant;
 
-/// Part of the longest pause that is on time after which a stream counts as silent: the rest is for
-/// the next target to read the prompt.
-const PART: f64 = 0.75;
+/// Fraction of the longest acceptable pause after which a stream counts as silent; the remainder is
+/// for the next target to process the prompt.
+const PAUSE_SHARE: f64 = 0.75;
 
-/// The least time: steps of a busy engine that reads several long prompts take some hundred
-/// milliseconds, and its streams pause with them.
-const LEAST: Duration = Duration::from_millis(300);
+/// Shortest limit: steps of a busy engine that prefills several long prompts take some hundred
+/// milliseconds, and its streams pause for that time.
+const MIN_LIMIT: Duration = Duration::from_millis(300);
 
-/// The time where the route names no pause; callers wait two seconds for an event at least.
-const UNNAMED: Duration = Duration::from_secs(1);
+/// Limit on routes that set no longest pause; callers wait at least two seconds for an event.
+const DEFAULT_LIMIT: Duration = Duration::from_secs(1);
 
-/// `Silence` tells whether a stream is silent.
+/// Detector of silence on one stream.
 #[derive(Debug, Clone, Copy)]
-pub struct Silence {
+pub struct SilenceDetector {
     limit: Duration,
-    heard: Instant,
+    last_heard: Instant,
 }
 
-/// `Heard` is what is to be thought of a stream's pause.
+/// State of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
-    /// Nothing yet; look again at this moment.
-    Until(Instant),
-    /// It is silent.
+pub enum StreamState {
+    /// The stream is not silent yet; check again at this time.
+    ActiveUntil(Instant),
+    /// The stream is silent.
     Silent,
 }
 
-impl Silence {
-    /// `new` begins at a stream's first part, on a route whose answers may pause for this time.
+impl SilenceDetector {
+    /// Creates a detector at the first part of a stream; `pause` is the longest acceptable pause of
+    /// the route, if it sets one.
     #[must_use]
     pub fn new(now: Instant, pause: Option<Duration>) -> Self {
-        let limit = pause.map_or(UNNAMED, |p| p.mul_f64(PART).max(LEAST));
-        Self { limit, heard: now }
+        let limit = pause.map_or(DEFAULT_LIMIT, |p| p.mul_f64(PAUSE_SHARE).max(MIN_LIMIT));
+        Self { limit,
+            last_heard: now, }
     }
 
-    /// `quiet` is the time since the last part.
+    /// Returns the time since the last part.
     #[must_use]
-    pub const fn quiet(&self, now: Instant) -> Duration {
-        now.since(self.heard)
+    pub const fn idle_time(&self, now: Instant) -> Duration {
+        now.since(self.last_heard)
     }
 
-    /// `heard` notes a part, or a wait that begins anew.
-    pub const fn heard(&mut self, now: Instant) {
-        self.heard = now;
+    /// Records a part, or restarts the limit.
+    pub const fn record_part(&mut self, now: Instant) {
+        self.last_heard = now;
     }
 
-    /// `at` tells what is to be thought of the pause at this moment.
+    /// Returns the state of the stream at `now`.
     #[must_use]
-    pub fn at(&self, now: Instant) -> Heard {
-        let until = self.heard + self.limit;
+    pub fn state(&self, now: Instant) -> StreamState {
+        let until = self.last_heard + self.limit;
         if now < until {
-            Heard::Until(until)
+            StreamState::ActiveUntil(until)
         } else {
-            Heard::Silent
+            StreamState::Silent
         }
     }
 }
--- a/crates/peppercrank-direct/tests/verify_hot_prompts.rs
+++ b/crates/peppercrank-direct/tests/verify_hot_prompts.rs
@@ -116,7 +116,7 @@
     /// Sends each router's summary to its next peers.
     fn send_summaries(&mut self, now: u64) {
         for from in 0..ROUTERS {
-            let work = self.routers[from].stats.iter().map(|s| s.running);
+            let work = self.routers[from].stats.iter().map(|s| s.in_flight);
             let work = work.collect::<Vec<_>>();
             for _ in 0..PEERS_PER_ROUND {
                 let to = (from + 1 + self.routers[from].next_peer) % ROUTERS;
@@ -125,7 +125,7 @@
                 peer.summaries[from] = (now, work.clone());
                 for target in 0..TARGETS {
                     let sum = peer.summaries.iter().map(|(_, work)| work[target]).sum();
-                    peer.stats[target].peers_running = sum;
+                    peer.stats[target].peers_in_flight = sum;
                 }
             }
         }
@@ -160,7 +160,7 @@
             held_tokens: if home == Some(target) { 10_000 } else { 0 },
             recently_joined: false,
             peers_lag,
-            stats: self.routers[router].stats[target].at(at(now), peers_lag, mean_hold_ms()),
+            stats: self.routers[router].stats[target].as_of(at(now), peers_lag, mean_hold_ms()),
         };
         let candidates = (0..TARGETS).map(candidate).collect::<Vec<_>>();
         let request = PlacementRequest {
@@ -190,8 +190,8 @@
         self.held[target] += 1;
         let hold = HOLD_MS / 2 + self.draw(HOLD_MS);
         let stats = &mut self.routers[router].stats[target];
-        stats.running += 1;
-        stats.sent(at(now));
+        stats.in_flight += 1;
+        stats.record_sent(at(now));
         let mut then = |after, event| {
             let events = self.events.entry(now + after).or_default();
             events.push((event, router, target));
@@ -209,10 +209,10 @@
         {
             let stats = &mut self.routers[router].stats[target];
             match event {
-                Event::Head => stats.reported(at(now), self.held[target]),
+                Event::Head => stats.record_report(at(now), self.held[target]),
                 Event::End => {
                     self.held[target] -= 1;
-                    stats.ended();
+                    stats.record_end();
                 }
             }
         }
--- a/crates/peppercrank-direct/tests/verify_overcount.rs
+++ b/crates/peppercrank-direct/tests/verify_overcount.rs
@@ -1,14 +1,15 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The load cap where peers tell of work that is no longer there.
+//! The load cap where peers count work that is no longer at the targets.
 //!
-//! What happened: after a flood of 16 times the usual requests, more than 3 in 100 requests reached targets that held over twice
-//! the mean of their pool and three, in four of eight runs on a fleet of 31 routers and 57 targets. Order of events: routers on
-//! full links tell of requests that have not reached their targets; others count them; a request goes to the target
-//! that holds its prompt, as that is still below twice the mean. Cause: the load of that target was right, as it told of it
-//! itself, and the mean was not. Evidence: a router believed 40 requests a target where targets held 26, 61 at the
-//! one that held 61, and the cap to be 70.
+//! Guards against a flood of 16 times the usual requests, after which more than 3 in 100 requests
+//! reached targets that held over twice the mean of their pool plus three, in four of eight runs on
+//! a fleet of 31 routers and 57 targets. Routers on congested links report requests that have not
+//! reached their targets, other routers count them, and a request goes to the target that holds its
+//! prompt because its load is still below twice the mean. The load of that target was right, as it
+//! had reported it, but the mean was not: a router assumed 40 requests per target where targets
+//! held 26, 61 at the target that held 61, and a cap of 70.
 
 use std::time::Duration;
 
@@ -27,16 +28,16 @@
 use peppercrank_direct::stats::Stats;
 use slotmap::SlotMap;
 
-/// Requests that each target held, and that peers told of there.
-const HELD: u32 = 26;
-const TOLD: u32 = 40;
+/// Requests that each target holds, and that peers count there.
+const ACTUAL_LOAD: u32 = 26;
+const PEER_COUNT: u32 = 40;
 
 /// Requests at the target that holds the prompt.
-const HOT: u32 = 61;
+const HOT_LOAD: u32 = 61;
 
-/// Targets that told of their load, and all.
-const REPORTED: usize = 10;
-const ALL: usize = 57;
+/// Number of targets that report their load, and of all targets.
+const REPORTING_TARGETS: usize = 10;
+const TARGETS: usize = 57;
 
 const PROMPT: u64 = 8_000;
 
@@ -44,11 +45,11 @@
     Instant::from_millis(60_000)
 }
 
-fn candidate(key: TargetKey, n: usize, told: u32, reported: Option<u32>) -> Candidate {
+fn candidate(key: TargetKey, n: usize, counted: u32, reported: Option<u32>) -> Candidate {
     let mut stats = Stats::default();
-    stats.peers_running = told;
+    stats.peers_in_flight = counted;
     if let Some(load) = reported {
-        stats.reported(now(), load);
+        stats.record_report(now(), load);
     }
     Candidate {
         key,
@@ -62,16 +63,16 @@
     }
 }
 
-/// The pool as the router believed it; the first target holds the prompt.
+/// The pool as the router sees it; the first target holds the prompt.
 fn pool() -> Vec<Candidate> {
     let mut targets = SlotMap::<TargetKey, ()>::with_key();
     let mut pool = Vec::new();
-    for n in 0..ALL {
+    for n in 0..TARGETS {
         let key = targets.insert(());
         pool.push(match n {
-            0 => candidate(key, n, HOT, Some(HOT)),
-            _ if n <= REPORTED => candidate(key, n, TOLD, Some(HELD)),
-            _ => candidate(key, n, TOLD, None),
+            0 => candidate(key, n, HOT_LOAD, Some(HOT_LOAD)),
+            _ if n <= REPORTING_TARGETS => candidate(key, n, PEER_COUNT, Some(ACTUAL_LOAD)),
+            _ => candidate(key, n, PEER_COUNT, None),
         });
     }
     pool[0].held_tokens = PROMPT;
@@ -79,7 +80,7 @@
 }
 
 #[test]
-fn verify_a_target_over_twice_the_mean_gets_nothing_where_peers_tell_of_too_much() {
+fn verify_a_target_over_twice_the_mean_gets_nothing_where_peers_overcount() {
     let candidates = pool();
     let request = PlacementRequest {
         policy: Policy::Cost,
@@ -112,47 +113,48 @@
     let Decision::Send(choice) = decision else {
         panic!("{decision:?}");
     };
-    assert_ne!(choice.key, candidates[0].key, "it holds {HOT}");
+    assert_ne!(choice.key, candidates[0].key, "it holds {HOT_LOAD}");
 }
 
 #[test]
-fn verify_what_targets_tell_corrects_the_mean() {
-    let held = (f64::from(HELD) * (count(ALL) - 1.0) + f64::from(HOT)) / count(ALL);
+fn verify_reported_loads_correct_the_mean() {
+    let held =
+        (f64::from(ACTUAL_LOAD) * (count(TARGETS) - 1.0) + f64::from(HOT_LOAD)) / count(TARGETS);
     let mean = mean(&pool());
     assert!((mean - held).abs() < 2.0, "{mean}");
 }
 
 #[test]
-fn verify_a_router_s_own_requests_and_little_evidence_change_nothing() {
+fn verify_own_requests_and_few_reports_leave_the_mean_unchanged() {
     let mut own = pool();
     for candidate in &mut own {
-        candidate.stats.running = candidate.stats.peers_running;
-        candidate.stats.peers_running = 0;
+        candidate.stats.in_flight = candidate.stats.peers_in_flight;
+        candidate.stats.peers_in_flight = 0;
     }
     assert_same(&own);
-    // One target with a few requests says nothing of 56 others.
+    // One target with a few requests says nothing about 56 others.
     let mut few = pool();
-    for candidate in &mut few[1..=REPORTED] {
-        candidate.stats.peers_running = 0;
+    for candidate in &mut few[1..=REPORTING_TARGETS] {
+        candidate.stats.peers_in_flight = 0;
     }
-    few[0].stats.peers_running = 7;
+    few[0].stats.peers_in_flight = 7;
     assert_same(&few);
 }
 
 #[test]
-fn verify_targets_that_hold_more_than_was_told_raise_no_other() {
+fn verify_higher_reports_do_not_raise_other_targets() {
     let mut more = pool();
-    for candidate in &mut more[1..=REPORTED] {
-        candidate.stats.reported(now(), 3 * TOLD);
+    for candidate in &mut more[1..=REPORTING_TARGETS] {
+        candidate.stats.record_report(now(), 3 * PEER_COUNT);
     }
     assert_same(&more);
 }
 
 fn mean(candidates: &[Candidate]) -> f64 {
-    overcount::mean(candidates.iter().map(|c| &c.stats))
+    overcount::mean_load(candidates.iter().map(|c| &c.stats))
 }
 
-/// The mean is that of the loads as they are counted.
+/// Asserts that the mean is that of the uncorrected loads.
 fn assert_same(candidates: &[Candidate]) {
     let loads = candidates.iter().map(|c| f64::from(c.stats.load()));
     let counted = loads.sum::<f64>() / count(candidates.len());
--- a/crates/peppercrank-direct/tests/verify_place.rs
+++ b/crates/peppercrank-direct/tests/verify_place.rs
@@ -107,9 +107,9 @@
     let holder = candidates.iter().position(|c| c.key != home);
     let holder = holder.expect("another one");
     candidates[holder].held_tokens = 10_000;
-    candidates[holder].stats.running = 1;
+    candidates[holder].stats.in_flight = 1;
     // A few hundred milliseconds of prefill are queued there.
-    candidates[holder].stats.reading = 10_000;
+    candidates[holder].stats.prefill_tokens = 10_000;
     let choice = choose(&request(), &candidates);
     assert_eq!(choice.key, candidates[holder].key);
     assert_eq!(choice.prefill_tokens, 1_000);
@@ -119,7 +119,7 @@
 fn verify_a_short_request_that_would_be_late_is_prefilled_elsewhere() {
     let mut candidates = idle(3);
     candidates[0].held_tokens = 500;
-    candidates[0].stats.reading = 200_000;
+    candidates[0].stats.prefill_tokens = 200_000;
     let short = PlacementRequest {
         prompt_tokens: 600,
         shared_tokens: 500,
@@ -147,7 +147,7 @@
 fn verify_an_engine_copies_a_prefix_that_another_holds() {
     let mut candidates = ranked(3);
     candidates[0].held_tokens = 10_000;
-    candidates[0].stats.reading = 60_000;
+    candidates[0].stats.prefill_tokens = 60_000;
     let choice = choose(&copying(), &candidates);
     assert_ne!(choice.key, candidates[0].key);
     assert_eq!(choice.copy, Some((candidates[0].key, 10_000)));
@@ -199,11 +199,11 @@
     // With the idle target the mean load is 8.25 where the home holds 17, which is too much;
     // without it, the mean would be 11.
     for candidate in &mut candidates {
-        candidate.stats.running = 8;
+        candidate.stats.in_flight = 8;
     }
     let home = candidates[0].key;
     for (running, placed_at_home) in [(14, true), (17, false)] {
-        candidates[0].stats.running = running;
+        candidates[0].stats.in_flight = running;
         let holders = [holder];
         let placed = place(
             NOW,
@@ -234,10 +234,10 @@
         let mut candidates = ranked(20);
         for candidate in &mut candidates {
             candidate.slots = 16;
-            candidate.stats.running = mean;
+            candidate.stats.in_flight = mean;
         }
         candidates[0].held_tokens = 10_000;
-        candidates[0].stats.running = home;
+        candidates[0].stats.in_flight = home;
         choose(&copying(), &candidates).key == candidates[0].key
     };
     // Below the number of slots, the cap is 1.7 times the mean plus two.
@@ -269,7 +269,7 @@
 #[test]
 fn verify_peers_prefill_work_expires() {
     let mut candidates = ranked(2);
-    candidates[0].stats.peers_reading = 200_000;
+    candidates[0].stats.peers_prefill_tokens = 200_000;
     assert_ne!(choose(&copying(), &candidates).key, candidates[0].key);
     // At 50 tokens per millisecond, they have been prefilled since the peers reported them.
     for candidate in &mut candidates {
@@ -285,7 +285,7 @@
     for _ in 0..500 {
         let choice = choose(&request(), &candidates);
         let chosen = candidates.iter_mut().find(|c| c.key == choice.key);
-        chosen.expect("a candidate").stats.running += 1;
+        chosen.expect("a candidate").stats.in_flight += 1;
         let loads = candidates.iter().map(|c| c.stats.load());
         let sum = loads.clone().sum::<u32>();
         let most = f64::from(sum) / 9.0 * 2.0 + 3.0;
@@ -300,14 +300,14 @@
     let home = candidates.iter().position(|c| c.key == home);
     let home = home.expect("a candidate");
     let stats = &mut candidates[home].stats;
-    assert!(!stats.failed(NOW));
-    assert!(!stats.failed(NOW));
-    assert!(stats.failed(NOW));
+    assert!(!stats.record_failure(NOW));
+    assert!(!stats.record_failure(NOW));
+    assert!(stats.record_failure(NOW));
     assert_ne!(choose(&request(), &candidates).key, candidates[home].key);
     // After the ejection has expired, one request tries the target. It gets no other until that one
     // ends.
     let later = Instant::from_millis(60_000);
-    candidates[1 - home].stats.reading = 10_000_000;
+    candidates[1 - home].stats.prefill_tokens = 10_000_000;
     let at = |candidates: &[Candidate]| match place(
         later,
         &Rates::default(),
@@ -320,9 +320,9 @@
         other => panic!("{other:?}"),
     };
     assert_eq!(at(&candidates), candidates[home].key);
-    candidates[home].stats.sent(later);
+    candidates[home].stats.record_sent(later);
     assert_ne!(at(&candidates), candidates[home].key);
-    candidates[home].stats.succeeded();
+    candidates[home].stats.record_success();
     assert_eq!(at(&candidates), candidates[home].key);
 }
 
@@ -330,14 +330,14 @@
 fn verify_an_inconclusive_trial_allows_another_one() {
     let mut stats = Stats::default();
     for _ in 0..3 {
-        stats.failed(NOW);
+        stats.record_failure(NOW);
     }
     let later = Instant::from_millis(60_000);
     let mut candidates = idle(2);
     candidates[0].stats = stats;
-    candidates[1].stats.reading = 10_000_000;
-    candidates[0].stats.sent(later);
-    candidates[0].stats.ended();
+    candidates[1].stats.prefill_tokens = 10_000_000;
+    candidates[0].stats.record_sent(later);
+    candidates[0].stats.record_end();
     let placed = place(later, &Rates::default(), &request(), None, &candidates, &[]);
     assert!(matches!(placed, PlacementOutcome::Target(c) if c.key == candidates[0].key));
 }
@@ -347,7 +347,7 @@
     let mut candidates = idle(3);
     for candidate in &mut candidates {
         for _ in 0..3 {
-            candidate.stats.failed(NOW);
+            candidate.stats.record_failure(NOW);
         }
     }
     let placed = place(NOW, &Rates::default(), &request(), None, &candidates, &[]);
@@ -363,7 +363,7 @@
     let home = candidates.iter().position(|c| c.key == home);
     let home = home.expect("a candidate");
     for _ in 0..30 {
-        candidates[home].stats.timed(4_000.0, 200.0);
+        candidates[home].stats.record_latency(4_000.0, 200.0);
     }
     assert_ne!(choose(&request(), &candidates).key, candidates[home].key);
 }
@@ -371,10 +371,10 @@
 #[test]
 fn verify_baseline_policies() {
     let mut candidates = ranked(4);
-    candidates[0].stats.running = 5;
-    candidates[1].stats.running = 4;
-    candidates[2].stats.running = 3;
-    candidates[3].stats.running = 4;
+    candidates[0].stats.in_flight = 5;
+    candidates[1].stats.in_flight = 4;
+    candidates[2].stats.in_flight = 3;
+    candidates[3].stats.in_flight = 4;
     let with = |policy, id_hash| PlacementRequest {
         policy,
         id_hash,
@@ -396,14 +396,14 @@
     // Each target finished its requests and reported so; the routers still count 40 on each.
     let mut candidates = ranked(9);
     for candidate in &mut candidates {
-        candidate.stats.running = 20;
-        candidate.stats.peers_running = 20;
-        candidate.stats.reported(NOW, 2);
+        candidate.stats.in_flight = 20;
+        candidate.stats.peers_in_flight = 20;
+        candidate.stats.record_report(NOW, 2);
     }
     let mut sent = 0;
     while choose(&request(), &candidates).key == candidates[0].key {
-        candidates[0].stats.running += 1;
-        candidates[0].stats.sent(NOW);
+        candidates[0].stats.in_flight += 1;
+        candidates[0].stats.record_sent(NOW);
         sent += 1;
         assert!(
             sent < 10,
@@ -413,10 +413,10 @@
     // Later the target's report is too old to count.
     let later = Instant::from_millis(5_000);
     assert_eq!(
-        candidates[1].stats.at(later, Duration::ZERO, HOLD_MS).load(),
+        candidates[1].stats.as_of(later, Duration::ZERO, HOLD_MS).load(),
         40
     );
-    assert_eq!(candidates[1].stats.at(NOW, Duration::ZERO, HOLD_MS).load(), 2);
+    assert_eq!(candidates[1].stats.as_of(NOW, Duration::ZERO, HOLD_MS).load(), 2);
 }
 
 #[test]
