--- a/crates/peppercrank-gateway/src/admin.rs
+++ b/crates/peppercrank-gateway/src/admin.rs
@@ -25,7 +25,7 @@
 
 /// Time without the store after which a router asks for no more callers although others confirm to it
 /// what it knows of keys: it does not hear of targets that come and leave.
-const AWAY: Duration = Duration::from_millis(1_500);
+const MAX_STORE_OUTAGE: Duration = Duration::from_millis(1_500);
 
 /// `is_ready` tells whether the router should get new callers.
 #[must_use]
@@ -34,14 +34,16 @@
     let settings = gateway.settings();
     let state = gateway.state();
     let age = state.freshness.age(now);
-    let young = match (age, settings.keys) {
+    let keys_fresh = match (age, settings.keys) {
         (None, _) => false,
         (Some(_), None) => true,
         (Some(age), Some(keys)) => age < keys.revoke.mul_f64(READY_SHARE),
     };
-    let in_touch = state.away.is_none_or(|since| now.since(since) < AWAY);
+    let in_touch = state
+        .store_away_since
+        .is_none_or(|since| now.since(since) < MAX_STORE_OUTAGE);
     let listed = state.directory.listed().is_some() && state.directory.evacuations.is_listed();
-    young && in_touch && listed && !gateway.stop.is_stopping()
+    keys_fresh && in_touch && listed && !gateway.stop_signal.is_stopping()
 }
 
 /// `ready` answers the balancer.
@@ -54,13 +56,13 @@
         READY_PATH => StatusCode::SERVICE_UNAVAILABLE,
         _ => StatusCode::NOT_FOUND,
     };
-    if gateway.told_ready.swap(ready, Ordering::Relaxed) != ready {
-        let stopping = gateway.stop.is_stopping();
+    if gateway.reported_ready.swap(ready, Ordering::Relaxed) != ready {
+        let stopping = gateway.stop_signal.is_stopping();
         let fields = [
             ("ready", Field::Number(u64::from(ready))),
             ("stopping", Field::Number(u64::from(stopping))),
         ];
-        let fields = [&fields[..], &gateway.beliefs().fields()[..]].concat();
+        let fields = [&fields[..], &gateway.state_summary().log_fields()[..]].concat();
         gateway.log.write(Event::Ready, &fields);
     }
     reply
@@ -74,7 +76,7 @@
         *reply.status_mut() = StatusCode::NOT_FOUND;
         return reply;
     }
-    let mut reply = Reply::new(body::full(gateway.metrics.text(gateway)));
+    let mut reply = Reply::new(body::full(gateway.metrics.render(gateway)));
     let kind = HeaderValue::from_static("text/plain; version=0.0.4");
     reply.headers_mut().insert(header::CONTENT_TYPE, kind);
     reply
--- a/crates/peppercrank-gateway/src/attempt.rs
+++ b/crates/peppercrank-gateway/src/attempt.rs
@@ -31,7 +31,7 @@
 use crate::job::Job;
 
 /// A failure that a target answers, in the words of the log.
-pub const FAILURE: &str = "failure of the target";
+pub const TARGET_FAILURE: &str = "failure of the target";
 
 /// `WholeAnswer` is an answer that was read to its end.
 #[derive(Debug, Clone)]
@@ -70,44 +70,48 @@
     /// Whether the target may have run the request.
     pub execution: ExecutionState,
     /// What happened, in the words of the log.
-    pub what: &'static str,
+    pub cause: &'static str,
     /// Whether it speaks against the target.
-    against: bool,
+    counts_against_target: bool,
     /// Whether the target may have ended under the request.
-    pub loss: Loss,
+    pub crash_evidence: CrashEvidence,
 }
 
 /// `Loss` is whether a target may have ended under a request that was lost there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Loss {
+pub enum CrashEvidence {
     /// It tells nothing of that.
-    Other,
+    None,
     /// Its answer broke off, as it does where the target ends.
-    BrokenOff,
+    ConnectionLost,
     /// The target has started again.
-    StartedAgain,
+    TargetRestarted,
 }
 
 impl AttemptError {
     /// The target may have run the request and its answer is of no use.
-    const fn unknown(what: &'static str) -> Self {
+    const fn unknown_outcome(what: &'static str) -> Self {
         Self::new(ExecutionState::Unknown, what, true)
     }
 
     /// The target's answer broke off, as it does where the target ends.
-    const fn broken_off(what: &'static str) -> Self {
+    const fn connection_lost(what: &'static str) -> Self {
         Self {
-            loss: Loss::BrokenOff,
-            ..Self::unknown(what)
+            crash_evidence: CrashEvidence::ConnectionLost,
+            ..Self::unknown_outcome(what)
         }
     }
 
-    const fn new(execution: ExecutionState, what: &'static str, against: bool) -> Self {
+    const fn new(
+        execution: ExecutionState,
+        cause: &'static str,
+        counts_against_target: bool,
+    ) -> Self {
         Self {
             execution,
-            what,
-            against,
-            loss: Loss::Other,
+            cause,
+            counts_against_target,
+            crash_evidence: CrashEvidence::None,
         }
     }
 }
@@ -125,7 +129,7 @@
     until: Moment,
     last_event: Option<&str>,
 ) -> Result<TargetAnswer, AttemptError> {
-    let request = request(gateway, job, flight, last_event);
+    let request = build_request(gateway, job, flight, last_event);
     let reuse = if job.kind.repeats() {
         Reuse::Allowed
     } else {
@@ -134,20 +138,20 @@
     let mut termination = flight.termination.clone();
     let exchange = async {
         let sending = gateway.client.send(flight.address, request, reuse);
-        let Some(sent) = gateway.in_time(until, sending).await else {
-            return Err(AttemptError::unknown("no answer in time"));
+        let Some(sent) = gateway.timeout_at(until, sending).await else {
+            return Err(AttemptError::unknown_outcome("no answer in time"));
         };
-        take(gateway, job, flight, sent, until).await
+        read_answer(gateway, job, flight, sent, until).await
     };
     let outcome = tokio::select! {
         biased;
-        taken = exchange => taken,
+        result = exchange => result,
         () = termination.wait() => Err(AttemptError {
-            loss: Loss::StartedAgain,
+            crash_evidence: CrashEvidence::TargetRestarted,
             ..AttemptError::new(ExecutionState::Unknown, "target started again", false)
         }),
         // It waits its turn at a target, which would end under it.
-        () = crashes::quarantined(gateway, job) => Err(AttemptError::new(
+        () = crashes::wait_until_quarantined(gateway, job) => Err(AttemptError::new(
             ExecutionState::Unknown,
             "quarantined",
             false,
@@ -156,46 +160,49 @@
     if let Err(error) = &outcome {
         // Where this router's own link is full, nothing is known of the target.
         if error.execution == ExecutionState::NotSent && !is_congested(&link_state(gateway)) {
-            flight.unreachable();
+            flight.record_unreachable();
         }
-        if error.against {
-            flight.failed();
+        if error.counts_against_target {
+            flight.record_failure();
         }
     }
     outcome
 }
 
 /// Takes in what came of sending a request.
-async fn take(
+async fn read_answer(
     gateway: &Gateway,
     job: &Job,
     flight: &mut Flight,
-    sent: Result<Answer, SendError>,
+    send_result: Result<Answer, SendError>,
     until: Moment,
 ) -> Result<TargetAnswer, AttemptError> {
-    match sent {
-        Ok(answer) => match gateway.in_time(until, judge(job, flight, answer)).await {
-            Some(judged) => judged,
-            None => Err(AttemptError::unknown("no whole answer in time")),
+    match send_result {
+        Ok(answer) => match gateway
+            .timeout_at(until, classify_answer(job, flight, answer))
+            .await
+        {
+            Some(classified) => classified,
+            None => Err(AttemptError::unknown_outcome("no whole answer in time")),
         },
         Err(SendError::NotSent(_)) => Err(AttemptError::new(
             ExecutionState::NotSent,
             "not connected",
             true,
         )),
-        Err(SendError::MayHaveBeenSent(_)) => Err(AttemptError::broken_off("connection lost")),
+        Err(SendError::MayHaveBeenSent(_)) => Err(AttemptError::connection_lost("connection lost")),
     }
 }
 
 /// The request as the target gets it.
-fn request(
+fn build_request(
     gateway: &Gateway,
     job: &Job,
     flight: &Flight,
     last_event: Option<&str>,
 ) -> Request<body::Body> {
     let left = job.deadline.since(gateway.now());
-    let sent = Sent {
+    let forwarded = Sent {
         wait: left,
         instance: &flight.instance,
         organisation: job.organisation.as_deref(),
@@ -207,12 +214,12 @@
     *request.method_mut() = job.head.method.clone();
     *request.uri_mut() = job.head.uri.clone();
     *request.headers_mut() = job.head.headers.clone();
-    call::forward(request.headers_mut(), &sent);
+    call::forward(request.headers_mut(), &forwarded);
     request
 }
 
 /// Judges an answer's head and reads what is needed of its body.
-async fn judge(
+async fn classify_answer(
     job: &Job,
     flight: &mut Flight,
     answer: Answer,
@@ -220,12 +227,15 @@
     let (head, mut body) = answer.into_parts();
     let mut headers = head.headers;
     let status = head.status;
-    let said = answer::read(status, &headers, &job.id);
-    if let Some(load) = said.load.filter(|_| said.kind != Kind::Foreign) {
-        flight.told(load);
+    let answer_head = answer::read(status, &headers, &job.id);
+    if let Some(load) = answer_head
+        .load
+        .filter(|_| answer_head.kind != Kind::Foreign)
+    {
+        flight.record_load(load);
     }
-    flight.noticed(said.notice);
-    match said.kind {
+    flight.apply_notice(answer_head.notice);
+    match answer_head.kind {
         Kind::NotRun => {
             drain(body).await;
             return Err(AttemptError::new(
@@ -235,7 +245,7 @@
             ));
         }
         Kind::OtherInstance => {
-            flight.lost();
+            flight.record_other_instance();
             drain(body).await;
             return Err(AttemptError::new(
                 ExecutionState::NotRun,
@@ -244,16 +254,16 @@
             ));
         }
         Kind::Foreign => {
-            return Err(AttemptError::unknown("foreign answer"));
+            return Err(AttemptError::unknown_outcome("foreign answer"));
         }
         Kind::Success | Kind::Failure => {}
     }
     peppercrank_wire::headers::strip(&mut headers);
     answer::pass_on(&mut headers);
-    let cut = AttemptError::broken_off("answer cut");
-    if said.kind == Kind::Success && matches!(job.kind, RouteKind::Stream { .. }) {
-        let first = next(&mut body).await.map_err(|()| cut)?;
-        flight.first();
+    let truncated = AttemptError::connection_lost("answer cut");
+    if answer_head.kind == Kind::Success && matches!(job.kind, RouteKind::Stream { .. }) {
+        let first = next_part(&mut body).await.map_err(|()| truncated)?;
+        flight.record_first_part();
         return Ok(TargetAnswer::Stream {
             status,
             headers,
@@ -262,7 +272,7 @@
         });
     }
     let Ok(whole) = body.collect().await else {
-        return Err(cut);
+        return Err(truncated);
     };
     let whole = WholeAnswer {
         status,
@@ -272,16 +282,16 @@
     if status.is_server_error() {
         return Ok(TargetAnswer::Failure(whole));
     }
-    flight.first();
+    flight.record_first_part();
     Ok(TargetAnswer::Whole(whole))
 }
 
 /// Reads a refusal's body, so that its connection is kept.
 async fn drain(body: AnswerBody) {
     /// Time for a refusal's body, which comes with its head.
-    const REST: Duration = Duration::from_millis(20);
+    const DRAIN_TIMEOUT: Duration = Duration::from_millis(20);
     // A body that fails or does not come only costs its connection.
-    let _over = tokio::time::timeout(REST, body.collect()).await;
+    let _result = tokio::time::timeout(DRAIN_TIMEOUT, body.collect()).await;
 }
 
 /// `next` is the next part of a body; none at its end.
@@ -289,7 +299,7 @@
 /// # Errors
 ///
 /// Fails when the body breaks off.
-pub async fn next(body: &mut AnswerBody) -> Result<Option<Bytes>, ()> {
+pub async fn next_part(body: &mut AnswerBody) -> Result<Option<Bytes>, ()> {
     loop {
         match body.frame().await {
             None => return Ok(None),
--- a/crates/peppercrank-gateway/src/choose.rs
+++ b/crates/peppercrank-gateway/src/choose.rs
@@ -34,15 +34,15 @@
 
 /// Time for which a target that came counts as fresh: prompts that are asked for less often than
 /// that are worth little in memory.
-const FRESH: Duration = Duration::from_secs(30);
+const RECENT_JOIN_WINDOW: Duration = Duration::from_secs(30);
 
 /// Time after the first list of targets in which more of the same start of a fleet may come.
-const FIRST: Duration = Duration::from_secs(10);
+const FLEET_START_WINDOW: Duration = Duration::from_secs(10);
 
 /// Whether a target came lately to a fleet that was there before.
-fn is_fresh(state: &State, now: Moment, since: Moment) -> bool {
-    let first = state.directory.listed().unwrap_or(now);
-    since > first + FIRST && now.since(since) < FRESH
+fn joined_recently(state: &State, now: Moment, joined_at: Moment) -> bool {
+    let first_listed = state.directory.listed().unwrap_or(now);
+    joined_at > first_listed + FLEET_START_WINDOW && now.since(joined_at) < RECENT_JOIN_WINDOW
 }
 
 /// `begin` chooses a target and counts the request there.
@@ -50,16 +50,20 @@
 /// # Errors
 ///
 /// Returns the reason for which the request goes nowhere.
-pub fn begin(gateway: &Arc<Gateway>, job: &Job, tried: &[TargetKey]) -> Result<Flight, Rejection> {
+pub fn reserve_target(
+    gateway: &Arc<Gateway>,
+    job: &Job,
+    tried: &[TargetKey],
+) -> Result<Flight, Rejection> {
     let mut state = gateway.state();
     let choice = choose(gateway, &mut state, job, tried)?;
-    let flight = take(gateway, &mut state, job, &choice);
-    flight.ok_or(Rejection::now(Reason::NoTarget))
+    let flight = reserve(gateway, &mut state, job, &choice);
+    flight.ok_or(Rejection::with_default_delay(Reason::NoTarget))
 }
 
 /// `could_begin` tells whether some target would be sent a further attempt of a request now.
 #[must_use]
-pub fn could_begin(gateway: &Gateway, job: &Job, tried: &[TargetKey]) -> bool {
+pub fn can_reserve_target(gateway: &Gateway, job: &Job, tried: &[TargetKey]) -> bool {
     choose(gateway, &mut gateway.state(), job, tried).is_ok()
 }
 
@@ -74,33 +78,33 @@
     let settings = gateway.settings();
     // The process may have stood still since the request was judged.
     if job.organisation.is_some() && !state.freshness.is_fresh(now) {
-        return Err(Rejection::now(Reason::StaleKeys));
+        return Err(Rejection::with_default_delay(Reason::StaleKeys));
     }
     if is_congested(&link_state(gateway)) {
-        return Err(Rejection::now(Reason::Congested));
+        return Err(Rejection::with_default_delay(Reason::Congested));
     }
     let rates = state.rates.get(&job.pool).copied().unwrap_or_default();
     let eligible = eligible::find(state, now, job, &settings)?;
-    let survey = Survey {
+    let view = PoolView {
         state,
         now,
         job,
         settings: &settings,
-        lag: state.peers.lag(now),
-        hold: rates.hold(),
+        peer_lag: state.peers.lag(now),
+        slot_hold_ms: rates.hold(),
     };
-    let candidates = survey.candidates(&eligible.open, tried);
-    let holders = survey.holders(&eligible);
+    let candidates = view.candidates(&eligible.candidates, tried);
+    let holders = view.holders(&eligible);
     let request = PlacementRequest {
         policy: policy(settings.placement),
-        id: job.own(),
-        home: job.home(),
+        id: job.id_hash(),
+        home: job.home_hash(),
         goal: job.goal,
         cap: settings.cap,
-        tokens: job.tokens,
-        shared: job.shared().iter().map(|p| p.tokens).sum(),
-        size: job.size(),
-        copying: job.copying,
+        tokens: job.prompt_tokens,
+        shared: job.shared_parts().iter().map(|p| p.tokens).sum(),
+        size: job.size_tokens(),
+        copying: job.copy_rate,
     };
     let attempt = Attempt {
         rank: job.rank,
@@ -118,12 +122,15 @@
         &candidates,
         &holders,
     );
-    let (reason, after) = match decision {
+    let (reason, retry_after) = match decision {
         Decision::Send(choice) => return Ok(choice),
         Decision::Full { after } => (Reason::Full, after),
         Decision::NoTarget { after } => (Reason::NoTarget, after),
     };
-    Err(Rejection { reason, after })
+    Err(Rejection {
+        reason,
+        retry_after,
+    })
 }
 
 /// `link_state` is how connections to targets fare on this router's link.
@@ -148,26 +155,31 @@
 }
 
 /// Counts the request at its target; none if that is gone.
-fn take(gateway: &Arc<Gateway>, state: &mut State, job: &Job, choice: &Choice) -> Option<Flight> {
+fn reserve(
+    gateway: &Arc<Gateway>,
+    state: &mut State,
+    job: &Job,
+    choice: &Choice,
+) -> Option<Flight> {
     let key = choice.key;
     let now = gateway.now();
-    let source = choice
+    let copy_source = choice
         .copy
         .and_then(|(source, _)| state.directory.get(source));
-    let copy_from = source.map(|t| t.registration.address);
+    let copy_from = copy_source.map(|t| t.registration.address);
     let registration = &state.directory.get(key)?.registration;
     let (instance, address) = (Arc::clone(&registration.instance), registration.address);
     let target = registration.id();
-    state.sent(now, choice, target, job.shared());
-    state.gate.sent(now, key);
-    if let Some(own) = job.parts.last() {
+    state.record_sent_parts(now, choice, target, job.shared_parts());
+    state.warm_up_gate.sent(now, key);
+    if let Some(last_part) = job.prompt_parts.last() {
         // Peers gain nothing from the last part, which is the request's own.
-        state.prefixes.note(now, key, own.chain);
+        state.prefixes.note(now, key, last_part.chain);
     }
     Some(Flight {
         termination: state.terminations.subscribe(key),
         gateway: Arc::clone(gateway),
-        counted: InFlight::begin(now, &mut state.board, *choice),
+        in_flight: InFlight::begin(now, &mut state.board, *choice),
         pool: Arc::clone(&job.pool),
         instance,
         target,
@@ -178,27 +190,27 @@
 }
 
 /// `Survey` is how one request sees the targets of its pool.
-struct Survey<'a> {
+struct PoolView<'a> {
     state: &'a State,
     now: Moment,
     job: &'a Job,
     settings: &'a GatewaySettings,
     /// How long ago peers told of their work.
-    lag: Duration,
+    peer_lag: Duration,
     /// What is learnt of the time that a request holds a place.
-    hold: f64,
+    slot_hold_ms: f64,
 }
 
-impl Survey<'_> {
+impl PoolView<'_> {
     /// The targets that may get the request: of those that take work the ones that were not tried, unless all were.
     fn candidates(&self, usable: &[TargetKey], tried: &[TargetKey]) -> Vec<Candidate> {
         let untried = usable.iter().filter(|k| !tried.contains(k)).copied();
         let untried = untried.collect::<Vec<_>>();
         let keys = if untried.is_empty() { usable } else { &untried };
-        keys.iter().filter_map(|k| self.see(*k)).collect()
+        keys.iter().filter_map(|k| self.candidate(*k)).collect()
     }
 
-    fn see(&self, key: TargetKey) -> Option<Candidate> {
+    fn candidate(&self, key: TargetKey) -> Option<Candidate> {
         let Self { state, now, .. } = self;
         let target = state.directory.get(key)?;
         let registration = &target.registration;
@@ -207,36 +219,45 @@
             name: registration.draw(),
             slots: registration.slots,
             near: *registration.zone == *self.settings.zone,
-            held: state.prefixes.held(key, &self.job.parts),
-            fresh: is_fresh(state, *now, state.directory.came(key)?),
-            lag: now.since(state.heard),
-            stats: state.board.get(key).at(*now, self.lag, self.hold),
+            held: state.prefixes.held(key, &self.job.prompt_parts),
+            fresh: joined_recently(state, *now, state.directory.came(key)?),
+            lag: now.since(state.peers_heard_at),
+            stats: state
+                .board
+                .get(key)
+                .at(*now, self.peer_lag, self.slot_hold_ms),
         })
     }
 
     /// The targets that do not get the request and may hold its prompt, or count in the pool's mean load.
     fn holders(&self, eligible: &Eligible) -> Vec<Holder> {
         let finishing = self.state.directory.finishing(self.now, &self.job.pool);
-        let finishing = finishing.map(|(key, why)| (key, why.serves_on()));
+        let finishing = finishing.map(|(key, reason)| (key, reason.serves_on()));
         let all = finishing.chain(eligible.withheld.iter().map(|key| (*key, true)));
-        all.filter_map(|(key, counts)| self.hold(key, counts))
+        all.filter_map(|(key, counts)| self.holder(key, counts))
             .collect()
     }
 
     /// A target that does not get the request; none where it matters for nothing.
-    fn hold(&self, key: TargetKey, counts: bool) -> Option<Holder> {
+    fn holder(&self, key: TargetKey, counts_in_load: bool) -> Option<Holder> {
         let Self {
             state, now, job, ..
         } = self;
         let registration = &state.directory.get(key)?.registration;
-        let counted = counts.then(|| state.board.get(key).at(*now, self.lag, self.hold));
-        let copies = job.copying.is_some() && eligible::is_allowed(state, job, self.settings, key);
+        let counted = counts_in_load.then(|| {
+            state
+                .board
+                .get(key)
+                .at(*now, self.peer_lag, self.slot_hold_ms)
+        });
+        let copies =
+            job.copy_rate.is_some() && eligible::is_allowed(state, job, self.settings, key);
         let held = if copies {
-            state.prefixes.held(key, job.shared())
+            state.prefixes.held(key, job.shared_parts())
         } else {
             0
         };
-        (counts || copies).then(|| Holder {
+        (counts_in_load || copies).then(|| Holder {
             key,
             name: registration.draw(),
             held,
--- a/crates/peppercrank-gateway/src/confirm.rs
+++ b/crates/peppercrank-gateway/src/confirm.rs
@@ -24,7 +24,7 @@
 
 /// Time for another router's answer: some round trips between availability zones, and a router that is
 /// busy. The store is asked after it.
-const ANSWER: Duration = Duration::from_millis(120);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(120);
 
 /// `Confirmer` asks other routers.
 #[derive(Debug, Clone)]
@@ -32,7 +32,7 @@
     gateway: Arc<Gateway>,
     socket: Arc<UdpSocket>,
     /// Whether the last answer told of a newer version.
-    behind: bool,
+    heard_of_newer_version: bool,
 }
 
 impl Confirmer {
@@ -42,14 +42,14 @@
         Self {
             gateway: Arc::clone(gateway),
             socket: Arc::clone(socket),
-            behind: false,
+            heard_of_newer_version: false,
         }
     }
 
     /// `asks_store` tells whether this router is one of those that ask the store.
     #[must_use]
     pub fn asks_store(&self) -> bool {
-        self.choose().is_none()
+        self.choose_router().is_none()
     }
 
     /// `by_router` has what is known confirmed by a router that asks the store; false where the store
@@ -57,26 +57,26 @@
     ///
     /// A first word of a newer version leaves it to the watch: over the slow link of a small VM a
     /// large configuration may be on its way, and a second copy of it would hold up all streams.
-    pub async fn by_router(&mut self) -> bool {
-        let Some(to) = self.choose() else {
+    pub async fn confirm_by_router(&mut self) -> bool {
+        let Some(to) = self.choose_router() else {
             return false;
         };
         let nonce = rand::random();
         let question = Question { nonce };
         let at = self.gateway.now();
-        self.gateway.state().asked = Some(Asked { question, at });
-        let answered = self.gateway.answered.notified();
+        self.gateway.state().pending_question = Some(Asked { question, at });
+        let answered = self.gateway.confirmation_received.notified();
         let datagram = Datagram::Question(question);
         gossip::send(&self.gateway, &self.socket, to, datagram).await;
-        let answered = timeout(ANSWER, answered).await.is_ok();
-        let confirmed = self.gateway.state().asked.take().is_none();
-        let told = answered && !confirmed;
-        let before = std::mem::replace(&mut self.behind, told);
-        confirmed || (told && !before)
+        let answered = timeout(ANSWER_TIMEOUT, answered).await.is_ok();
+        let confirmed = self.gateway.state().pending_question.take().is_none();
+        let outdated = answered && !confirmed;
+        let already_outdated = std::mem::replace(&mut self.heard_of_newer_version, outdated);
+        confirmed || (outdated && !already_outdated)
     }
 
     /// One of the routers that ask the store; none if this one is of them.
-    fn choose(&self) -> Option<SocketAddr> {
+    fn choose_router(&self) -> Option<SocketAddr> {
         let now = self.gateway.now();
         let own = self.gateway.settings().name.clone();
         let state = self.gateway.state();
@@ -94,7 +94,7 @@
 
 /// `answer` answers another router's question; none where nothing is known.
 #[must_use]
-pub fn answer(gateway: &Gateway, question: Question) -> Option<Confirmation> {
+pub fn answer_question(gateway: &Gateway, question: Question) -> Option<Confirmation> {
     let now = gateway.now();
     let state = gateway.state();
     let known = Known {
@@ -106,20 +106,22 @@
 }
 
 /// `take` takes an answer in, if it is one to the question on its way.
-pub fn take(gateway: &Gateway, told: Confirmation) {
+pub fn apply_confirmation(gateway: &Gateway, confirmation: Confirmation) {
     let mut state = gateway.state();
     let version = state.config.index().map(|i| i.desired().version);
-    let verdict = state.asked.map(|asked| asked.judge(told, version));
+    let verdict = state
+        .pending_question
+        .map(|asked| asked.judge(confirmation, version));
     match verdict {
         Some(Verdict::Newest(at)) => {
             state.freshness.confirm(at, Source::Router);
-            state.asked = None;
+            state.pending_question = None;
         }
         // The question stays, which tells that its answer confirmed nothing.
         Some(Verdict::Outdated) => {}
         Some(Verdict::Nothing) | None => return,
     }
     drop(state);
-    evacuations::compare(gateway, told.evacuations);
-    gateway.answered.notify_waiters();
+    evacuations::compare_digest(gateway, confirmation.evacuations);
+    gateway.confirmation_received.notify_waiters();
 }
--- a/crates/peppercrank-gateway/src/crashes.rs
+++ b/crates/peppercrank-gateway/src/crashes.rs
@@ -28,78 +28,81 @@
 use crate::choose::link_state;
 use crate::flight::Flight;
 use crate::gateway::Gateway;
-use crate::gossip::HEADERS;
-use crate::gossip::draw;
+use crate::gossip::DATAGRAM_HEADER_BYTES;
+use crate::gossip::random_peers;
 use crate::gossip::send;
 use crate::job::Job;
 
 /// `tell` tells other routers at once under which requests targets ended, and reminds them of what is quarantined.
-pub async fn tell(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
+pub async fn send_crash_reports(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     let mut spread = Spread::new(gateway.now());
-    ask_others(&gateway, &socket).await;
+    request_reports(&gateway, &socket).await;
     loop {
-        wait(&gateway).await;
+        wait_for_news(&gateway).await;
         sleep(GATHER).await;
-        turn(&gateway, &socket, &mut spread).await;
+        send_next_reports(&gateway, &socket, &mut spread).await;
     }
 }
 
 /// Asks others what is quarantined, once this router has read who they are.
-async fn ask_others(gateway: &Gateway, socket: &UdpSocket) {
+async fn request_reports(gateway: &Gateway, socket: &UdpSocket) {
     gateway.routers_listed.notified().await;
-    let peers = draw(&gateway.state(), ASKED);
+    let peers = random_peers(&gateway.state(), ASKED);
     for to in peers {
         send(gateway, socket, to, Datagram::Crashes(Vec::new())).await;
     }
 }
 
 /// Waits for news, or for the time to tell what is known again.
-async fn wait(gateway: &Gateway) {
-    let news = gateway.crashed.notified();
+async fn wait_for_news(gateway: &Gateway) {
+    let news = gateway.crash_news.notified();
     if gateway.state().quarantine.is_empty() {
         return news.await;
     }
     // Over at the time or before it: either way there is something to tell.
-    let _over = timeout(AGAIN, news).await;
+    let _result = timeout(AGAIN, news).await;
 }
 
-async fn turn(gateway: &Gateway, socket: &UdpSocket, spread: &mut Spread) {
-    let Some((reports, peers)) = next(gateway, spread) else {
+async fn send_next_reports(gateway: &Gateway, socket: &UdpSocket, spread: &mut Spread) {
+    let Some((reports, peers)) = next_reports(gateway, spread) else {
         return;
     };
     let datagram = Datagram::Crashes(reports);
     for to in peers {
         let bytes = send(gateway, socket, to, datagram.clone()).await;
-        spread.sent(bytes + HEADERS);
+        spread.sent(bytes + DATAGRAM_HEADER_BYTES);
     }
 }
 
 /// What is told now, and to whom.
-fn next(gateway: &Gateway, spread: &mut Spread) -> Option<(Vec<CrashReport>, Vec<SocketAddr>)> {
+fn next_reports(
+    gateway: &Gateway,
+    spread: &mut Spread,
+) -> Option<(Vec<CrashReport>, Vec<SocketAddr>)> {
     let now = gateway.now();
     let mut state = gateway.state();
     let Telling { reports, peers } = spread.turn(now, &mut state.quarantine)?;
-    Some((reports, draw(&state, peers)))
+    Some((reports, random_peers(&state, peers)))
 }
 
 /// `broke_off` finds out whether a target has ended whose answer to a request broke off.
-pub async fn broke_off(gateway: &Arc<Gateway>, job: &Job, flight: &Flight) {
+pub async fn check_for_crash(gateway: &Arc<Gateway>, job: &Job, flight: &Flight) {
     let content = job.fingerprint();
     let target = flight.target;
-    let broken = gateway.state().quarantine.broke_off(content, target);
-    if broken == Broken::Asked {
+    let action = gateway.state().quarantine.broke_off(content, target);
+    if action == Broken::Asked {
         return;
     }
     // From a task of its own, as a caller who leaves must not take the answer from the others that wait for it.
-    let asking = tokio::spawn(ask(Arc::clone(gateway), target, flight.address));
-    if broken == Broken::AskFirst {
+    let probe = tokio::spawn(probe_target(Arc::clone(gateway), target, flight.address));
+    if action == Broken::AskFirst {
         // It ends early only with the process.
-        let _over = asking.await;
+        let _result = probe.await;
     }
 }
 
 /// Finds out whether a target has ended: then nobody listens there.
-async fn ask(gateway: Arc<Gateway>, target: TargetId, address: SocketAddr) {
+async fn probe_target(gateway: Arc<Gateway>, target: TargetId, address: SocketAddr) {
     let connected = gateway.client.connect(address).await.is_ok();
     // Where this router's own link is at fault, nothing is known of the target.
     if connected || is_congested(&link_state(&gateway)) {
@@ -108,25 +111,25 @@
     }
     let changes = gateway.state().quarantine.ended(gateway.now(), target);
     for (content, change) in changes {
-        learnt(&gateway, content, change);
+        report_change(&gateway, content, change);
     }
 }
 
 /// `started_again` notes that a target has started again with a request at work.
-pub fn started_again(gateway: &Gateway, job: &Job, flight: &Flight) {
+pub fn record_restart(gateway: &Gateway, job: &Job, flight: &Flight) {
     let content = job.fingerprint();
     let now = gateway.now();
     let mut state = gateway.state();
     let change = state.quarantine.ended_under(now, content, flight.target);
     drop(state);
-    learnt(gateway, content, change);
+    report_change(gateway, content, change);
 }
 
 /// `quarantined` returns once a request in progress is quarantined.
-pub async fn quarantined(gateway: &Gateway, job: &Job) {
+pub async fn wait_until_quarantined(gateway: &Gateway, job: &Job) {
     loop {
-        let news = gateway.quarantined.notified();
-        if refuses(gateway, job).is_some() {
+        let news = gateway.quarantine_changed.notified();
+        if quarantine_delay(gateway, job).is_some() {
             return;
         }
         news.await;
@@ -136,7 +139,7 @@
 /// `refuses` tells whether a request is kept from targets, as too many have ended under it, and when its caller should
 /// return.
 #[must_use]
-pub fn refuses(gateway: &Gateway, job: &Job) -> Option<Duration> {
+pub fn quarantine_delay(gateway: &Gateway, job: &Job) -> Option<Duration> {
     let now = gateway.now();
     let mut state = gateway.state();
     if state.quarantine.is_empty() {
@@ -146,30 +149,30 @@
 }
 
 /// Tells the log and other routers what this one has learnt.
-fn learnt(gateway: &Gateway, content: Fingerprint, change: Change) {
+fn report_change(gateway: &Gateway, content: Fingerprint, change: Change) {
     match change {
         Change::Known => return,
         Change::News => {}
-        Change::Quarantined => gateway.note_quarantined(content, "here"),
+        Change::Quarantined => gateway.record_quarantined(content, "here"),
     }
-    gateway.crashed.notify_one();
+    gateway.crash_news.notify_one();
 }
 
 /// `hear` takes in what another router told, and tells it what it does not know.
-pub async fn hear(
+pub async fn receive_reports(
     gateway: &Gateway,
     socket: &UdpSocket,
     from: SocketAddr,
     reports: &[CrashReport],
 ) {
-    let unknown = take(gateway, reports);
+    let unknown = apply_reports(gateway, reports);
     if !unknown.is_empty() {
         send(gateway, socket, from, Datagram::Crashes(unknown)).await;
     }
 }
 
 /// Takes in reports, and returns what their sender does not know.
-fn take(gateway: &Gateway, reports: &[CrashReport]) -> Vec<CrashReport> {
+fn apply_reports(gateway: &Gateway, reports: &[CrashReport]) -> Vec<CrashReport> {
     let now = gateway.now();
     let mut state = gateway.state();
     let relay = passes_on(state.routers.len());
@@ -183,10 +186,10 @@
     let news = state.quarantine.has_news();
     drop(state);
     if news {
-        gateway.crashed.notify_one();
+        gateway.crash_news.notify_one();
     }
     for content in quarantined {
-        gateway.note_quarantined(content, "router");
+        gateway.record_quarantined(content, "router");
     }
     unknown
 }
--- a/crates/peppercrank-gateway/src/eligible.rs
+++ b/crates/peppercrank-gateway/src/eligible.rs
@@ -24,14 +24,17 @@
     /// The reason for which it is refused.
     pub reason: Reason,
     /// Time after which it may fare better.
-    pub after: Duration,
+    pub retry_after: Duration,
 }
 
 impl Rejection {
     /// `now` is a refusal of which no more is known.
-    pub(crate) const fn now(reason: Reason) -> Self {
-        let after = SOONEST;
-        Self { reason, after }
+    pub(crate) const fn with_default_delay(reason: Reason) -> Self {
+        let retry_after = SOONEST;
+        Self {
+            reason,
+            retry_after,
+        }
     }
 }
 
@@ -39,7 +42,7 @@
 #[derive(Debug, Default)]
 pub struct Eligible {
     /// It may be sent to these.
-    pub open: Vec<TargetKey>,
+    pub candidates: Vec<TargetKey>,
     /// It may not: they are in a region in which it must not run, or are cold and get what they bear.
     pub withheld: Vec<TargetKey>,
 }
@@ -56,33 +59,33 @@
     settings: &GatewaySettings,
 ) -> Result<Eligible, Rejection> {
     if !state.directory.evacuations.is_listed() {
-        return Err(Rejection::now(Reason::Evacuated));
+        return Err(Rejection::with_default_delay(Reason::Evacuated));
     }
     let usable = state.directory.pool(now, &job.pool);
     let allowed = |key: &TargetKey| is_allowed(state, job, settings, *key);
     let (allowed, withheld) = usable.into_iter().partition::<Vec<_>, _>(allowed);
     if allowed.is_empty() {
-        return match why_none(state, now, job, settings, !withheld.is_empty()) {
+        return match no_candidate_reason(state, now, job, settings, !withheld.is_empty()) {
             Some(rejection) => Err(rejection),
             None => Ok(Eligible::default()),
         };
     }
     let mut eligible = Eligible {
-        open: Vec::with_capacity(allowed.len()),
+        candidates: Vec::with_capacity(allowed.len()),
         withheld,
     };
-    keep_from_cold(state, now, job, settings, allowed, &mut eligible)?;
+    apply_warm_up(state, now, job, settings, allowed, &mut eligible)?;
     Ok(eligible)
 }
 
 /// Why no target of the pool may be sent a request, though there are some; `others` tells whether some take work in regions in which it
 /// must not run.
-fn why_none(
+fn no_candidate_reason(
     state: &State,
     now: Moment,
     job: &Job,
     settings: &GatewaySettings,
-    others: bool,
+    excluded_by_region: bool,
 ) -> Option<Rejection> {
     let finishing = state.directory.finishing(now, &job.pool);
     let finishing = finishing.collect::<Vec<_>>();
@@ -93,15 +96,18 @@
         Withheld::Paused(until) => Some(until.since(now)),
         _ => None,
     });
-    if let Some(after) = pauses.min() {
+    if let Some(retry_after) = pauses.min() {
         let reason = Reason::Paused;
-        return Some(Rejection { reason, after });
+        return Some(Rejection {
+            reason,
+            retry_after,
+        });
     }
-    if others {
-        return Some(Rejection::now(Reason::NoRegion));
+    if excluded_by_region {
+        return Some(Rejection::with_default_delay(Reason::NoRegion));
     }
     let evacuated = finishing.iter().any(|(_, why)| *why == Withheld::Evacuated);
-    evacuated.then(|| Rejection::now(Reason::Evacuated))
+    evacuated.then(|| Rejection::with_default_delay(Reason::Evacuated))
 }
 
 /// `is_allowed` tells whether a request may run in a target's region.
@@ -114,7 +120,7 @@
 }
 
 /// Keeps a request from cold targets that get what they bear.
-fn keep_from_cold(
+fn apply_warm_up(
     state: &mut State,
     now: Moment,
     job: &Job,
@@ -123,39 +129,42 @@
     eligible: &mut Eligible,
 ) -> Result<(), Rejection> {
     let Some(warm_up) = job.warm_up else {
-        eligible.open = allowed;
+        eligible.candidates = allowed;
         return Ok(());
     };
     let allowance = Allowance {
         overage: settings.warm_up.overage,
         slack: settings.warm_up.slack,
     };
-    let requests = shared_out(&warm_up, &allowance);
-    let blind = state.gate.is_blind(now, state.away);
-    let routers = state.sharers(now);
-    let mut soonest = warm_up.lasts;
+    let request_limit = shared_out(&warm_up, &allowance);
+    let blind = state.warm_up_gate.is_blind(now, state.store_away_since);
+    let routers = state.router_count(now);
+    let mut min_delay = warm_up.lasts;
     for key in allowed {
         if !blind && now >= state.cold_until(key, warm_up.lasts) {
-            eligible.open.push(key);
+            eligible.candidates.push(key);
             continue;
         }
         let Some(target) = state.directory.get(key) else {
             continue;
         };
         let name = target.registration.draw();
-        match state.gate.opens(now, (key, name), requests, routers) {
-            Opens::Now => eligible.open.push(key),
-            Opens::After(time) => {
-                soonest = soonest.min(time);
+        match state
+            .warm_up_gate
+            .opens(now, (key, name), request_limit, routers)
+        {
+            Opens::Now => eligible.candidates.push(key),
+            Opens::After(delay) => {
+                min_delay = min_delay.min(delay);
                 eligible.withheld.push(key);
             }
             Opens::Never => eligible.withheld.push(key),
         }
     }
-    if eligible.open.is_empty() {
+    if eligible.candidates.is_empty() {
         return Err(Rejection {
             reason: Reason::WarmingUp,
-            after: soonest,
+            retry_after: min_delay,
         });
     }
     Ok(())
--- a/crates/peppercrank-gateway/src/evacuations.rs
+++ b/crates/peppercrank-gateway/src/evacuations.rs
@@ -10,7 +10,7 @@
 use crate::gateway::Gateway;
 
 /// `note` notes what changed.
-pub fn note(gateway: &Gateway, changes: impl IntoIterator<Item = Change>) {
+pub fn log_changes(gateway: &Gateway, changes: impl IntoIterator<Item = Change>) {
     for change in changes {
         let (event, zone) = match change {
             Change::Evacuated(zone) => (Event::ZoneEvacuated, zone),
@@ -21,8 +21,8 @@
 }
 
 /// `compare` has the evacuations read anew where another router, which asks the store, knows of others.
-pub fn compare(gateway: &Gateway, digest: u64) {
+pub fn compare_digest(gateway: &Gateway, digest: u64) {
     if gateway.state().directory.evacuations.digest() != digest {
-        gateway.evacuations_doubted.notify_one();
+        gateway.evacuations_outdated.notify_one();
     }
 }
--- a/crates/peppercrank-gateway/src/flight.rs
+++ b/crates/peppercrank-gateway/src/flight.rs
@@ -22,7 +22,7 @@
 pub struct Flight {
     pub(crate) gateway: Arc<Gateway>,
     /// What it counts for at its target.
-    pub counted: InFlight,
+    pub in_flight: InFlight,
     /// Tells when the target's start has ended.
     pub termination: Termination,
     /// The pool that it serves.
@@ -41,53 +41,55 @@
 
 impl Flight {
     /// `first` notes the answer's first part: the prompt is read.
-    pub fn first(&mut self) {
+    pub fn record_first_part(&mut self) {
         let now = self.gateway.now();
-        let took = now.since(self.counted.sent);
-        self.gateway.metrics.target_answered(&self.instance, took);
+        let took = now.since(self.in_flight.sent);
+        self.gateway
+            .metrics
+            .observe_target_answer(&self.instance, took);
         let mut state = self.gateway.state();
         let State { board, rates, .. } = &mut *state;
         let rates = rates.entry(Arc::clone(&self.pool)).or_default();
-        self.counted.first(now, board, rates);
+        self.in_flight.first(now, board, rates);
     }
 
     /// `told` notes what the target tells of its load.
-    pub fn told(&self, load: Load) {
+    pub fn record_load(&self, load: Load) {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
-        if let Some(stats) = state.board.of(self.counted.choice.key) {
+        if let Some(stats) = state.board.of(self.in_flight.choice.key) {
             stats.reported(now, load.running.saturating_add(load.waiting));
         }
     }
 
     /// `noticed` notes what the answer says of new work for its target.
-    pub fn noticed(&mut self, notice: Notice) {
+    pub fn apply_notice(&mut self, notice: Notice) {
         self.notice = notice;
         let now = self.gateway.now();
-        let key = self.counted.choice.key;
-        let noted = self.gateway.state().directory.noticed(now, key, notice);
-        targets::note(&self.gateway, vec![noted], None);
+        let key = self.in_flight.choice.key;
+        let change = self.gateway.state().directory.noticed(now, key, notice);
+        targets::apply_changes(&self.gateway, vec![change], None);
     }
 
     /// `lost` notes that another instance answers at the target's address.
-    pub fn lost(&self) {
+    pub fn record_other_instance(&self) {
         let now = self.gateway.now();
-        let key = self.counted.choice.key;
-        let noted = self.gateway.state().directory.lost(now, key);
-        targets::note(&self.gateway, vec![noted], None);
+        let key = self.in_flight.choice.key;
+        let change = self.gateway.state().directory.lost(now, key);
+        targets::apply_changes(&self.gateway, vec![change], None);
     }
 
     /// `failed` notes a failure that speaks against the target.
-    pub fn failed(&self) {
+    pub fn record_failure(&self) {
         self.gateway.count_failure(&self.suspect());
     }
 
     /// `unreachable` notes that no connection to the target could be made, so that it may have become cold when it is back.
-    pub fn unreachable(&self) {
+    pub fn record_unreachable(&self) {
         let now = self.gateway.now();
-        let key = self.counted.choice.key;
+        let key = self.in_flight.choice.key;
         if self.gateway.state().directory.get(key).is_some() {
-            self.gateway.state().gate.unreachable(now, key);
+            self.gateway.state().warm_up_gate.unreachable(now, key);
         }
     }
 
@@ -95,7 +97,7 @@
     #[must_use]
     pub fn suspect(&self) -> Suspect {
         Suspect {
-            key: self.counted.choice.key,
+            key: self.in_flight.choice.key,
             instance: Arc::clone(&self.instance),
         }
     }
@@ -107,6 +109,6 @@
         let mut state = self.gateway.state();
         let State { board, rates, .. } = &mut *state;
         let rates = rates.entry(Arc::clone(&self.pool)).or_default();
-        self.counted.end(now, board, rates);
+        self.in_flight.end(now, board, rates);
     }
 }
--- a/crates/peppercrank-gateway/src/follow.rs
+++ b/crates/peppercrank-gateway/src/follow.rs
@@ -30,56 +30,56 @@
 use crate::intake::Intake;
 use crate::outage::Outage;
 use crate::outage::OutageListener;
-use crate::role::Role;
-use crate::store::Ended;
-use crate::store::Outcome;
+use crate::role::FollowerRole;
+use crate::store::CallOutcome;
+use crate::store::CallResult;
 use crate::store::Store;
 
 /// Pause after a first failed call; it doubles with each further one.
-const PAUSE: Duration = Duration::from_millis(50);
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// The longest pause: what a store's return may cost in time.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(400);
 
 /// Time after which a follower that leaves it to another one looks for itself.
-const SPARE: Duration = Duration::from_secs(3);
+const OUTAGE_CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Time for an answer of the store to begin, beyond what it was asked to wait. Its usual answers take
 /// milliseconds; a store that is slow takes some hundreds.
-const ANSWER: Duration = Duration::from_millis(1_200);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// The same after a failed call: a question that was lost with the outage must not hide its end.
-const PROBE: Duration = Duration::from_millis(700);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Bytes below which an answer holds no configuration, whose bounds on callers alone take more.
-const NO_CHANGES: usize = 128;
+const MIN_CONFIGURATION_BYTES: usize = 128;
 
 /// `Follower` follows one kind.
 #[derive(Debug)]
 pub struct Follower {
     gateway: Arc<Gateway>,
     store: Store,
-    role: Role,
+    role: FollowerRole,
     kind: Kind,
     outage: Outage,
     /// Tells when the store is away or back.
-    outages: OutageListener,
+    outage_listener: OutageListener,
     intake: Intake,
     /// The store's era in which the revision counts up to which the kind is known.
     era: Option<Era>,
     /// Failures in a row.
     failures: u32,
     /// Answers in a row that did not prove what is known to be the newest.
-    unproven: u32,
+    unproven_answers: u32,
     /// Which answers may have been cut.
     truncation: Truncation,
 }
 
 /// `Turn` is how one call of a follower went.
-enum Turn {
-    Fine,
-    Again,
-    More,
+enum PollOutcome {
+    Done,
+    PollAgain,
+    PossiblyTruncated,
     Relist,
     Failed(&'static str),
 }
@@ -87,7 +87,7 @@
 impl Follower {
     /// `new` follows the kind of its role.
     #[must_use]
-    pub fn new(gateway: &Arc<Gateway>, store: &Store, role: Role, outage: &Outage) -> Self {
+    pub fn new(gateway: &Arc<Gateway>, store: &Store, role: FollowerRole, outage: &Outage) -> Self {
         let kind = role.kind();
         Self {
             gateway: Arc::clone(gateway),
@@ -95,11 +95,11 @@
             role,
             kind,
             outage: outage.clone(),
-            outages: outage.subscribe(),
+            outage_listener: outage.subscribe(),
             intake: Intake::new(gateway, kind),
             era: None,
             failures: 0,
-            unproven: 0,
+            unproven_answers: 0,
             truncation: Truncation::default(),
         }
     }
@@ -107,76 +107,82 @@
     /// `run` follows the kind for ever.
     pub async fn run(mut self) {
         loop {
-            self.spare().await;
-            let turn = self.turn().await;
-            self.after(turn).await;
+            self.defer_to_confirmer().await;
+            let outcome = self.poll().await;
+            self.finish_poll(outcome).await;
         }
     }
 
     /// Leaves it to the follower that confirms to find out when the store is back, as each call has
     /// its price, and looks for itself now and then.
-    async fn spare(&mut self) {
-        let away = self.outages.is_away();
-        if away && !matches!(self.role, Role::Confirms(_)) {
-            let _looks = timeout(SPARE, self.outages.returned()).await;
+    async fn defer_to_confirmer(&mut self) {
+        let away = self.outage_listener.is_away();
+        if away && !matches!(self.role, FollowerRole::ConfirmConfiguration(_)) {
+            let _result = timeout(
+                OUTAGE_CHECK_INTERVAL,
+                self.outage_listener.wait_for_return(),
+            )
+            .await;
         }
     }
 
-    async fn turn(&mut self) -> Turn {
-        let known = self.known();
+    async fn poll(&mut self) -> PollOutcome {
+        let known_revision = self.known_revision();
         match &mut self.role {
-            Role::Confirms(confirmer) if known.is_some() => {
-                let told = confirmer.by_router().await;
-                self.gateway.metrics.confirmed(told);
+            FollowerRole::ConfirmConfiguration(confirmer) if known_revision.is_some() => {
+                let by_router = confirmer.confirm_by_router().await;
+                self.gateway.metrics.count_confirmation(by_router);
                 // Only the store itself tells that it is back.
-                if told && !self.outage.is_away() {
-                    return Turn::Fine;
+                if by_router && !self.outage.is_away() {
+                    return PollOutcome::Done;
                 }
             }
             // One that asks the store anyway hears of changes by that.
-            Role::Watches(confirmer) if confirmer.asks_store() => return Turn::Fine,
-            Role::Confirms(_)
-            | Role::Watches(_)
-            | Role::Targets
-            | Role::Routers
-            | Role::Evacuations(_) => {}
+            FollowerRole::WatchConfiguration(confirmer) if confirmer.asks_store() => {
+                return PollOutcome::Done;
+            }
+            FollowerRole::ConfirmConfiguration(_)
+            | FollowerRole::WatchConfiguration(_)
+            | FollowerRole::Targets
+            | FollowerRole::Routers
+            | FollowerRole::Evacuations(_) => {}
         }
-        match self.reading() {
+        match self.next_reading() {
             Reading::Snapshot => self.list().await,
             Reading::Changes(revision) => self.watch(revision).await,
         }
     }
 
     /// What to ask the store for.
-    fn reading(&self) -> Reading {
+    fn next_reading(&self) -> Reading {
         if self.kind == Kind::Configuration {
             let now = self.gateway.now();
             let state = self.gateway.state();
             return state.catch_up.reading(state.freshness.age(now));
         }
         // Another follower may have been the first to hear of a new era.
-        let counts = self.gateway.state().eras.newest() == self.era;
-        let revision = self.intake.revision.filter(|_| counts);
+        let same_era = self.gateway.state().eras.newest() == self.era;
+        let revision = self.intake.revision.filter(|_| same_era);
         revision.map_or(Reading::Snapshot, Reading::Changes)
     }
 
     /// The revision up to which the kind is known; of the configuration, to either of its followers.
-    fn known(&self) -> Option<u64> {
+    fn known_revision(&self) -> Option<u64> {
         match self.kind {
             Kind::Configuration => self.gateway.state().catch_up.known(),
             Kind::Targets | Kind::Routers | Kind::Evacuations => self.intake.revision,
         }
     }
 
-    async fn after(&mut self, turn: Turn) {
-        match turn {
-            Turn::Fine => {
+    async fn finish_poll(&mut self, outcome: PollOutcome) {
+        match outcome {
+            PollOutcome::Done => {
                 self.failures = 0;
                 self.pace().await;
             }
-            Turn::Again => {}
-            Turn::More => sleep(GATHER).await,
-            Turn::Relist => {
+            PollOutcome::PollAgain => {}
+            PollOutcome::PossiblyTruncated => sleep(GATHER).await,
+            PollOutcome::Relist => {
                 self.intake.revision = None;
                 if self.kind == Kind::Configuration {
                     self.gateway.state().catch_up.forget();
@@ -184,13 +190,13 @@
                 let fields = [("kind", Field::Text(self.kind.word()))];
                 self.gateway.log.write(LogEvent::Relisted, &fields);
             }
-            Turn::Failed(what) => {
-                self.lost(what);
+            PollOutcome::Failed(cause) => {
+                self.record_store_lost(cause);
                 // What answers next may be another start of the store, with other limits.
                 self.truncation = Truncation::default();
-                let pause = PAUSE * 2_u32.saturating_pow(self.failures.min(4));
+                let pause = RETRY_PAUSE * 2_u32.saturating_pow(self.failures.min(4));
                 self.failures += 1;
-                sleep(jittered(pause.min(LONGEST_PAUSE))).await;
+                sleep(jittered(pause.min(MAX_RETRY_PAUSE))).await;
             }
         }
     }
@@ -198,16 +204,18 @@
     /// Lets changes gather, since each call has its price.
     async fn pace(&self) {
         // Before the first list there is nothing to gather, unless others are to be waited for.
-        if self.known().is_none() && !matches!(self.role, Role::Watches(_)) {
+        if self.known_revision().is_none()
+            && !matches!(self.role, FollowerRole::WatchConfiguration(_))
+        {
             return;
         }
         let routers = self.gateway.state().routers.len() + 1;
         sleep(jittered(self.role.pace(routers))).await;
     }
 
-    async fn list(&mut self) -> Turn {
-        let asked = self.gateway.now();
-        let began_in = self.gateway.state().eras.newest();
+    async fn list(&mut self) -> PollOutcome {
+        let asked_at = self.gateway.now();
+        let start_era = self.gateway.state().eras.newest();
         let mut entries = Vec::new();
         let mut after = None;
         let mut first = None;
@@ -218,65 +226,67 @@
                 Err(turn) => return turn,
             };
             let Ok(page) = store::read_page(self.kind, &body) else {
-                return Turn::Failed("malformed list");
+                return PollOutcome::Failed("malformed list");
             };
             self.truncation.listed(body.len());
             entries.extend(page.entries);
             // Changes since the first page may have missed the later ones.
-            let from = *first.get_or_insert(page.revision);
+            let revision = *first.get_or_insert(page.revision);
             after = page.next;
             let era = self.gateway.state().eras.newest();
-            if began_in.is_some() && era != began_in {
+            if start_era.is_some() && era != start_era {
                 // Pages of two eras are no list.
-                return Turn::Relist;
+                return PollOutcome::Relist;
             }
             if after.is_none() {
                 self.era = era;
-                return self.take_list(asked, from, entries);
+                return self.apply_list(asked_at, revision, entries);
             }
         }
     }
 
     /// Takes in the whole list, which shows at least this revision.
-    fn take_list(&mut self, asked: Moment, revision: u64, entries: Vec<Entry>) -> Turn {
-        self.back();
+    fn apply_list(&mut self, asked_at: Moment, revision: u64, entries: Vec<Entry>) -> PollOutcome {
+        self.record_store_back();
         if self.kind == Kind::Configuration {
             let events = entries.into_iter().map(Event::Put).collect();
             let changes = Changes { events, revision };
-            let proof = self.intake.configure(asked, Reading::Snapshot, changes);
-            return self.proven(proof);
+            let proof = self
+                .intake
+                .apply_configurations(asked_at, Reading::Snapshot, changes);
+            return self.follow_up(proof);
         }
-        self.intake.replace(asked, entries);
+        self.intake.replace(asked_at, entries);
         self.intake.revision = Some(revision);
-        Turn::Fine
+        PollOutcome::Done
     }
 
-    async fn watch(&mut self, revision: u64) -> Turn {
+    async fn watch(&mut self, revision: u64) -> PollOutcome {
         let wait = self.role.wait();
-        let asked = self.gateway.now();
+        let asked_at = self.gateway.now();
         let path = store::watch(self.kind, revision, wait);
         let body = match self.call(&path, wait).await {
             Ok(body) => body,
             Err(turn) => return turn,
         };
         let Ok(changes) = store::read_changes(self.kind, &body) else {
-            return Turn::Failed("malformed changes");
+            return PollOutcome::Failed("malformed changes");
         };
-        self.back();
+        self.record_store_back();
         if self.kind == Kind::Configuration {
             let reading = Reading::Changes(revision);
-            let proof = self.intake.configure(asked, reading, changes);
-            return self.proven(proof);
+            let proof = self.intake.apply_configurations(asked_at, reading, changes);
+            return self.follow_up(proof);
         }
         let next = self.truncation.next(Length {
             changes: changes.events.len(),
             bytes: body.len(),
         });
         self.intake.revision = Some(changes.revision);
-        self.intake.apply(asked, changes.events);
+        self.intake.apply(asked_at, changes.events);
         match next {
-            Next::Soon => Turn::More,
-            Next::Paced => Turn::Fine,
+            Next::Soon => PollOutcome::PossiblyTruncated,
+            Next::Paced => PollOutcome::Done,
         }
     }
 
@@ -284,107 +294,117 @@
     ///
     /// The one that confirms asks once more at once after a change, which costs a call and no bytes; where
     /// changes go on, the state is read after a pause.
-    fn proven(&mut self, proof: Proof) -> Turn {
+    fn follow_up(&mut self, proof: Proof) -> PollOutcome {
         match proof {
-            Proof::Newest => self.unproven = 0,
-            Proof::Nothing => self.unproven += 1,
+            Proof::Newest => self.unproven_answers = 0,
+            Proof::Nothing => self.unproven_answers += 1,
         }
         match self.role {
-            Role::Confirms(_) if self.unproven == 1 => Turn::Again,
-            _ => Turn::Fine,
+            FollowerRole::ConfirmConfiguration(_) if self.unproven_answers == 1 => {
+                PollOutcome::PollAgain
+            }
+            _ => PollOutcome::Done,
         }
     }
 
-    async fn call(&mut self, path: &str, wait: Duration) -> Result<Bytes, Turn> {
-        let patience = if self.failures == 0 { ANSWER } else { PROBE };
-        let asked = self.gateway.now();
-        let asked_in = self.gateway.state().eras.newest();
+    async fn call(&mut self, path: &str, wait: Duration) -> Result<Bytes, PollOutcome> {
+        let answer_timeout = if self.failures == 0 {
+            ANSWER_TIMEOUT
+        } else {
+            PROBE_TIMEOUT
+        };
+        let asked_at = self.gateway.now();
+        let asked_era = self.gateway.state().eras.newest();
         let answer = tokio::select! {
-            answer = self.store.ask(path, wait + patience) => answer,
+            answer = self.store.get(path, wait + answer_timeout) => answer,
             // Only a store that is back makes a call worth dropping that waits, and none that is being answered.
-            () = self.outages.returned() => return Err(Turn::Again),
-            () = doubted(&self.gateway, self.kind) => return Err(Turn::Relist),
+            () = self.outage_listener.wait_for_return() => return Err(PollOutcome::PollAgain),
+            () = evacuations_reread_requested(&self.gateway, self.kind) => return Err(PollOutcome::Relist),
         };
-        let Outcome { ended, era } = match answer {
-            Ok(answer) => self.store.finish(answer).await,
+        let CallOutcome { result, era } = match answer {
+            Ok(answer) => self.store.read_answer(answer).await,
             Err(outcome) => outcome,
         };
-        self.gateway.metrics.called(self.kind.word(), ended.code());
-        self.note(wait, asked, &ended);
-        match self.gateway.hear_era(era, asked_in) {
+        self.gateway
+            .metrics
+            .count_store_call(self.kind.word(), result.code());
+        self.log_configuration_call(wait, asked_at, &result);
+        match self.gateway.observe_era(era, asked_era) {
             Told::Same => {}
             // What it tells, it tells of revisions that mean something else now.
-            Told::Newer => return Err(Turn::Relist),
-            Told::Older => return Err(Turn::Fine),
+            Told::Newer => return Err(PollOutcome::Relist),
+            Told::Older => return Err(PollOutcome::Done),
         }
-        match ended {
-            Ended::Done(body) => {
+        match result {
+            CallResult::Done(body) => {
                 self.failures = 0;
                 Ok(body)
             }
-            Ended::HistoryGone => Err(Turn::Relist),
-            Ended::Refused(_) => Err(Turn::Failed("refused")),
-            Ended::Lost => Err(Turn::Failed("no answer")),
-            Ended::Cut => Err(Turn::Failed("answer broke off")),
-            Ended::Conflict | Ended::Missing => Err(Turn::Failed("unexpected answer")),
+            CallResult::HistoryGone => Err(PollOutcome::Relist),
+            CallResult::Rejected(_) => Err(PollOutcome::Failed("refused")),
+            CallResult::NoAnswer => Err(PollOutcome::Failed("no answer")),
+            CallResult::Truncated => Err(PollOutcome::Failed("answer broke off")),
+            CallResult::Conflict | CallResult::Missing => {
+                Err(PollOutcome::Failed("unexpected answer"))
+            }
         }
     }
 
     /// Notes an answer that holds a configuration, and a call for it that failed.
-    fn note(&self, wait: Duration, asked: Moment, ended: &Ended) {
-        let bytes = match ended {
-            Ended::Done(body) => body.len(),
+    fn log_configuration_call(&self, wait: Duration, asked_at: Moment, result: &CallResult) {
+        let bytes = match result {
+            CallResult::Done(body) => body.len(),
             _ => 0,
         };
-        let empty = matches!(ended, Ended::Done(_)) && bytes < NO_CHANGES;
+        let empty = matches!(result, CallResult::Done(_)) && bytes < MIN_CONFIGURATION_BYTES;
         if self.kind != Kind::Configuration || empty {
             return;
         }
         let fields = [
-            ("after", Field::Number(self.known().unwrap_or(0))),
+            ("after", Field::Number(self.known_revision().unwrap_or(0))),
             ("waits_ms", Field::Millis(wait)),
             ("bytes", Field::Number(bytes as u64)),
-            ("took_ms", Field::Millis(self.gateway.now().since(asked))),
-            ("outcome", Field::Text(ended.code())),
+            ("took_ms", Field::Millis(self.gateway.now().since(asked_at))),
+            ("outcome", Field::Text(result.code())),
         ];
         self.gateway.log.write(LogEvent::ChangesRead, &fields);
     }
 
     /// Notes that the store does not answer.
-    fn lost(&self, what: &'static str) {
+    fn record_store_lost(&self, cause: &'static str) {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
         state.directory.store_lost();
-        state.away.get_or_insert(now);
+        state.store_away_since.get_or_insert(now);
         drop(state);
-        if self.outage.set(true) {
-            let fields = [("what", Field::Text(what))];
+        if self.outage.set_away(true) {
+            let fields = [("what", Field::Text(cause))];
             self.gateway.log.write(LogEvent::PlatformDown, &fields);
         }
     }
 
     /// Notes that the store answers.
-    fn back(&self) {
+    fn record_store_back(&self) {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
         state.directory.store_back(now);
-        state.away = None;
+        state.store_away_since = None;
         drop(state);
-        if self.outage.set(false) {
+        if self.outage.set_away(false) {
             self.gateway.log.write(LogEvent::PlatformUp, &[]);
         }
     }
 }
 
 /// Returns when another router knows of other evacuations than this one.
-async fn doubted(gateway: &Gateway, kind: Kind) {
+async fn evacuations_reread_requested(gateway: &Gateway, kind: Kind) {
     match kind {
-        Kind::Evacuations => gateway.evacuations_doubted.notified().await,
+        Kind::Evacuations => gateway.evacuations_outdated.notified().await,
         Kind::Configuration | Kind::Targets | Kind::Routers => std::future::pending().await,
     }
 }
 
 /// A pause of most to the whole of `most`, so that routers do not call in step.
-fn jittered(most: Duration) -> Duration {
-    most.mul_f64(rand::random_range(0.8..1.0))
+fn jittered(max: Duration) -> Duration {
+    max.mul_f64(rand::random_range(0.8..1.0))
 }
--- a/crates/peppercrank-gateway/src/gateway.rs
+++ b/crates/peppercrank-gateway/src/gateway.rs
@@ -32,50 +32,50 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-use crate::limits::FIRST_BOUNDS;
+use crate::limits::DEFAULT_BOUNDS;
 use crate::limits::edge_limits;
 use crate::metrics::Metrics;
 use crate::state::State;
 
 /// Time for a connection to a target: a hundred round trips between availability zones.
-const CONNECT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Time for which an unused connection is kept; below the usual idle times of servers.
-const KEEP: Duration = Duration::from_secs(4);
+const KEEP_ALIVE: Duration = Duration::from_secs(4);
 
 /// Unused connections kept for each target: the bursts of one router seen by one target.
-pub const SPARE: usize = 8;
+pub const MAX_IDLE_PER_TARGET: usize = 8;
 
 /// Longest wait of the client itself; each request brings a shorter one of its own.
-const LONGEST: Duration = Duration::from_secs(60 * 60);
+const MAX_WAIT: Duration = Duration::from_secs(60 * 60);
 
 /// `Beliefs` are what decisions rest on.
 #[derive(Debug, Clone, Copy)]
-pub struct Beliefs {
+pub struct StateSummary {
     /// The version of the configuration in force, 0 before the first.
-    pub version: u64,
+    pub config_version: u64,
     /// The age of what is known of keys; none before the first answer of the store.
-    pub age: Option<Duration>,
+    pub keys_age: Option<Duration>,
     /// Who confirmed what is known of keys last.
-    pub source: Option<Source>,
+    pub keys_source: Option<Source>,
     /// Whether the store does not answer.
-    pub away: bool,
+    pub store_away: bool,
     /// Targets registered.
-    pub targets: usize,
+    pub target_count: usize,
 }
 
-impl Beliefs {
+impl StateSummary {
     /// `fields` are the beliefs as fields of a log line.
     #[must_use]
-    pub fn fields(&self) -> [(&'static str, Field<'static>); 5] {
-        let age = self.age.unwrap_or(Duration::MAX);
-        let source = self.source.map_or("", Source::code);
+    pub fn log_fields(&self) -> [(&'static str, Field<'static>); 5] {
+        let age = self.keys_age.unwrap_or(Duration::MAX);
+        let source = self.keys_source.map_or("", Source::code);
         [
-            ("version", Field::Number(self.version)),
+            ("version", Field::Number(self.config_version)),
             ("keys_age_ms", Field::Millis(age)),
             ("keys_by", Field::Text(source)),
-            ("store_away", Field::Number(u64::from(self.away))),
-            ("targets", Field::Number(self.targets as u64)),
+            ("store_away", Field::Number(u64::from(self.store_away))),
+            ("targets", Field::Number(self.target_count as u64)),
         ]
     }
 }
@@ -94,27 +94,27 @@
     /// Counters and histograms.
     pub metrics: Metrics,
     /// The signal that tells to stop.
-    pub stop: Stop,
+    pub stop_signal: Stop,
     /// Wakes the one who asked another router when its answer has come.
-    pub answered: Notify,
+    pub confirmation_received: Notify,
     /// Wakes the one who tells other routers under which requests targets ended.
-    pub crashed: Notify,
+    pub crash_news: Notify,
     /// Wakes the attempts in progress, as some request was quarantined.
-    pub quarantined: Notify,
+    pub quarantine_changed: Notify,
     /// Wakes what waits for a moment, as the machine was suspended and timers stood still.
-    pub resumed: Notify,
+    pub machine_resumed: Notify,
     /// Wakes the one who asks other routers, once they were listed first.
     pub routers_listed: Notify,
     /// Wakes the one who follows evacuations, as another router knows of others.
-    pub evacuations_doubted: Notify,
+    pub evacuations_outdated: Notify,
     /// Wakes the one who registers this router when its entry has gone.
-    pub unregistered: Notify,
+    pub entry_missing: Notify,
     /// The edge's limits, which follow the configuration in force.
     pub limits: watch::Sender<Arc<Limits>>,
     /// Where this router takes datagrams.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Whether the balancer was last told that the router is ready.
-    pub told_ready: AtomicBool,
+    pub reported_ready: AtomicBool,
     state: Mutex<State>,
 }
 
@@ -125,17 +125,17 @@
         clock: Clock,
         settings: watch::Receiver<Arc<GatewaySettings>>,
         log: Log,
-        stop: Stop,
-        peers: SocketAddr,
+        stop_signal: Stop,
+        peer_address: SocketAddr,
     ) -> Self {
         let state = State::new(clock.now(), &settings.borrow());
-        let limits = edge_limits(&settings.borrow(), FIRST_BOUNDS);
+        let limits = edge_limits(&settings.borrow(), DEFAULT_BOUNDS);
         let times = Times {
-            connect: CONNECT,
-            first_byte: LONGEST,
-            idle: LONGEST,
-            keep: KEEP,
-            spare: SPARE,
+            connect: CONNECT_TIMEOUT,
+            first_byte: MAX_WAIT,
+            idle: MAX_WAIT,
+            keep: KEEP_ALIVE,
+            spare: MAX_IDLE_PER_TARGET,
         };
         Self {
             clock,
@@ -143,17 +143,17 @@
             client: Client::new(times),
             log,
             metrics: Metrics::default(),
-            stop,
-            answered: Notify::new(),
-            crashed: Notify::new(),
-            quarantined: Notify::new(),
-            resumed: Notify::new(),
+            stop_signal,
+            confirmation_received: Notify::new(),
+            crash_news: Notify::new(),
+            quarantine_changed: Notify::new(),
+            machine_resumed: Notify::new(),
             routers_listed: Notify::new(),
-            evacuations_doubted: Notify::new(),
-            unregistered: Notify::new(),
+            evacuations_outdated: Notify::new(),
+            entry_missing: Notify::new(),
             limits: watch::Sender::new(Arc::new(limits)),
-            peers,
-            told_ready: AtomicBool::new(false),
+            peer_address,
+            reported_ready: AtomicBool::new(false),
             state: Mutex::new(state),
         }
     }
@@ -167,7 +167,7 @@
     ///
     /// Both come at once: while the bounds came up to 200 ms later, a router that was ready refused
     /// long requests for good that the configuration in force allowed.
-    pub fn bring_in_force(&self, desired: Desired) -> Applied {
+    pub fn apply_configuration(&self, desired: Desired) -> Applied {
         let bounds = desired.bounds;
         let applied = self.state().config.apply(self.now(), desired);
         if applied == Applied::InForce {
@@ -184,31 +184,31 @@
     }
 
     /// `until` returns at a moment, also where the machine was suspended before it.
-    pub async fn until(&self, at: Moment) {
+    pub async fn sleep_until(&self, at: Moment) {
         loop {
-            let resumed = self.resumed.notified();
+            let resumed = self.machine_resumed.notified();
             let left = at.since(self.now());
             if left.is_zero() {
                 return;
             }
             // Over by the timer or by a suspension: the clock tells whether the moment has come.
-            let _over = timeout(left, resumed).await;
+            let _result = timeout(left, resumed).await;
         }
     }
 
     /// `in_time` is what a future gives by a moment; none where it takes longer.
-    pub async fn in_time<F: Future>(&self, at: Moment, future: F) -> Option<F::Output> {
+    pub async fn timeout_at<F: Future>(&self, at: Moment, future: F) -> Option<F::Output> {
         tokio::select! {
             biased;
             output = future => Some(output),
-            () = self.until(at) => None,
+            () = self.sleep_until(at) => None,
         }
     }
 
     /// `count_failure` counts a failure that speaks against a target.
     pub fn count_failure(&self, target: &Suspect) {
         let now = self.now();
-        self.metrics.target_failed(&target.instance);
+        self.metrics.count_target_failure(&target.instance);
         let mut state = self.state();
         let ejected = state.board.of(target.key).is_some_and(|s| s.failed(now));
         drop(state);
@@ -220,48 +220,48 @@
 
     /// `hear_era` takes in the era that an answer of the store tells, to a question that was `asked` in another one or the same.
     #[must_use]
-    pub fn hear_era(&self, era: Option<Era>, asked: Option<Era>) -> Told {
+    pub fn observe_era(&self, era: Option<Era>, asked_era: Option<Era>) -> Told {
         let Some(era) = era else {
             return Told::Same;
         };
         let now = self.now();
         let mut state = self.state();
-        let told = state.eras.hear(now, era);
-        if told == Told::Newer {
+        let relation = state.eras.hear(now, era);
+        if relation == Told::Newer {
             state.store_restored(now);
             drop(state);
             let fields = [("era", Field::Number(era.0))];
             self.log.write(Event::StoreRestored, &fields);
         }
-        match told {
+        match relation {
             // Another call was the first to hear of it.
-            Told::Same if asked.is_some_and(|asked| asked < era) => Told::Newer,
+            Told::Same if asked_era.is_some_and(|asked| asked < era) => Told::Newer,
             told => told,
         }
     }
 
     /// `note_quarantined` tells that a request is kept from targets from now on, as learnt `here` or from a `router`.
-    pub fn note_quarantined(&self, content: Fingerprint, learnt: &'static str) {
-        self.quarantined.notify_waiters();
+    pub fn record_quarantined(&self, content: Fingerprint, learnt_from: &'static str) {
+        self.quarantine_changed.notify_waiters();
         let content = content.to_string();
         let fields = [
             ("content", Field::Text(&content)),
-            ("learnt", Field::Text(learnt)),
+            ("learnt", Field::Text(learnt_from)),
         ];
         self.log.write(Event::Quarantined, &fields);
     }
 
     /// `beliefs` are what decisions rest on, with their versions and ages.
     #[must_use]
-    pub fn beliefs(&self) -> Beliefs {
+    pub fn state_summary(&self) -> StateSummary {
         let now = self.now();
         let state = self.state();
-        Beliefs {
-            version: state.config.index().map_or(0, |i| i.desired().version),
-            age: state.freshness.age(now),
-            source: state.freshness.source(),
-            away: state.directory.is_away(),
-            targets: state.directory.len(),
+        StateSummary {
+            config_version: state.config.index().map_or(0, |i| i.desired().version),
+            keys_age: state.freshness.age(now),
+            keys_source: state.freshness.source(),
+            store_away: state.directory.is_away(),
+            target_count: state.directory.len(),
         }
     }
 
--- a/crates/peppercrank-gateway/src/gossip.rs
+++ b/crates/peppercrank-gateway/src/gossip.rs
@@ -28,61 +28,71 @@
 
 /// Pause between summaries, which is the lag of peers' loads in a small fleet; in a larger one the
 /// allowance of bytes spreads them out.
-const EVERY: Duration = Duration::from_millis(100);
+const SUMMARY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Bytes of datagrams that a router sends in a second, headers included; the users allow a daemon
 /// four kilobytes a second for control.
-const BYTES_A_SECOND: usize = 4_096;
+const BYTES_PER_SECOND: usize = 4_096;
 
 /// `HEADERS` is the bytes of the headers of a datagram, IPv4 and UDP.
-pub const HEADERS: usize = 28;
+pub const DATAGRAM_HEADER_BYTES: usize = 28;
 
 /// Room for a datagram, beyond the longest that is sent.
-const ROOM: usize = 2_048;
+const RECEIVE_BUFFER_BYTES: usize = 2_048;
 
 /// `Round` sends summaries round the peers, as many as the allowance of bytes allows.
 #[derive(Debug)]
-struct Round {
+struct SummarySchedule {
     incarnation: u64,
     sequence: u64,
     /// Bytes that may be sent now.
-    allowance: usize,
+    summary_allowance: usize,
     /// The peer that is next, in the order of names.
-    next: usize,
+    next_peer: usize,
     /// The length of the summary before, in bytes.
-    size: usize,
+    last_summary_bytes: usize,
     /// Bytes of load reports that may be sent now.
-    reports: usize,
+    report_allowance: usize,
 }
 
-impl Round {
+impl SummarySchedule {
     /// Adds what one turn allows.
-    fn earn(&mut self, peers: usize) {
-        let each = BYTES_A_SECOND / usize::try_from(1_000 / EVERY.as_millis()).unwrap_or(1);
-        let reports = reports::share(each, peers, self.size, BYTES_A_SECOND);
+    fn add_allowance(&mut self, peers: usize) {
+        let bytes_per_interval =
+            BYTES_PER_SECOND / usize::try_from(1_000 / SUMMARY_INTERVAL.as_millis()).unwrap_or(1);
+        let reports = reports::share(
+            bytes_per_interval,
+            peers,
+            self.last_summary_bytes,
+            BYTES_PER_SECOND,
+        );
         // What a pause saved does not add up to a burst.
-        self.allowance = (self.allowance + each - reports).min(2 * each.max(self.size));
-        self.reports = (self.reports + reports).min(2 * each);
+        self.summary_allowance = (self.summary_allowance + bytes_per_interval - reports)
+            .min(2 * bytes_per_interval.max(self.last_summary_bytes));
+        self.report_allowance = (self.report_allowance + reports).min(2 * bytes_per_interval);
     }
 
     /// The next summary and who gets it.
-    fn turn(&mut self, state: &mut State) -> (Summary, Vec<SocketAddr>) {
+    fn next_summary(&mut self, state: &mut State) -> (Summary, Vec<SocketAddr>) {
         let peers = state.routers.iter().map(|(name, r)| (name, r.address));
         let mut peers = peers.collect::<Vec<_>>();
-        self.earn(peers.len());
+        self.add_allowance(peers.len());
         peers.sort_unstable();
-        let most = (self.allowance / self.size.max(1)).min(peers.len());
-        let turned = peers.iter().cycle().skip(self.next % peers.len().max(1));
-        let to = turned.take(most).map(|(_, address)| *address);
+        let count = (self.summary_allowance / self.last_summary_bytes.max(1)).min(peers.len());
+        let rotated = peers
+            .iter()
+            .cycle()
+            .skip(self.next_peer % peers.len().max(1));
+        let to = rotated.take(count).map(|(_, address)| *address);
         let to = to.collect::<Vec<_>>();
-        self.next = (self.next + most) % peers.len().max(1);
+        self.next_peer = (self.next_peer + count) % peers.len().max(1);
         self.sequence += 1;
         (self.summary(state, to.len()), to)
     }
 
     fn summary(&self, state: &mut State, to: usize) -> Summary {
-        let names = state.names.iter();
-        let work = names.filter_map(|(name, key)| work(state, *name, *key));
+        let names = state.keys_by_id.iter();
+        let work = names.filter_map(|(name, key)| own_work(state, *name, *key));
         Summary {
             incarnation: self.incarnation,
             sequence: self.sequence,
@@ -96,84 +106,90 @@
     }
 
     /// Notes what was sent.
-    fn sent(&mut self, bytes: usize, datagrams: usize) {
-        self.size = bytes + HEADERS;
-        let spent = self.size * datagrams;
-        self.allowance = self.allowance.saturating_sub(spent);
+    fn record_sent(&mut self, bytes: usize, datagrams: usize) {
+        self.last_summary_bytes = bytes + DATAGRAM_HEADER_BYTES;
+        let spent = self.last_summary_bytes * datagrams;
+        self.summary_allowance = self.summary_allowance.saturating_sub(spent);
     }
 }
 
 /// `tell` sends summaries to other routers, several times a second.
-pub async fn tell(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
-    let mut round = Round {
+pub async fn send_summaries(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
+    let mut schedule = SummarySchedule {
         incarnation: unix_millis(),
         sequence: 0,
-        allowance: 0,
-        next: 0,
-        size: HEADERS,
-        reports: 0,
+        summary_allowance: 0,
+        next_peer: 0,
+        last_summary_bytes: DATAGRAM_HEADER_BYTES,
+        report_allowance: 0,
     };
-    let mut ticks = interval(EVERY);
+    let mut ticks = interval(SUMMARY_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let (summary, to) = round.turn(&mut gateway.state());
+        let (summary, to) = schedule.next_summary(&mut gateway.state());
         let Ok(bytes) = Datagram::Summary(summary).encode() else {
             continue;
         };
         for address in &to {
             let sent = socket.send_to(&bytes, address).await;
-            gateway.metrics.told(sent.is_ok());
+            gateway.metrics.count_datagram(sent.is_ok());
         }
-        round.sent(bytes.len(), to.len());
-        pass_on(&gateway, &socket, &mut round).await;
+        schedule.record_sent(bytes.len(), to.len());
+        relay_reports(&gateway, &socket, &mut schedule).await;
     }
 }
 
 /// Passes load reports on to one peer, drawn anew each time, as far as the allowance goes.
-async fn pass_on(gateway: &Gateway, socket: &UdpSocket, round: &mut Round) {
-    if round.reports < reports::MOST_BYTES + HEADERS {
+async fn relay_reports(gateway: &Gateway, socket: &UdpSocket, schedule: &mut SummarySchedule) {
+    if schedule.report_allowance < reports::MOST_BYTES + DATAGRAM_HEADER_BYTES {
         return;
     }
-    let Some((reports, to)) = reports_to_pass(gateway.now(), &gateway.state()) else {
+    let Some((reports, to)) = reports_to_relay(gateway.now(), &gateway.state()) else {
         return;
     };
     let bytes = send(gateway, socket, to, Datagram::Reports(reports)).await;
-    round.reports = round.reports.saturating_sub(bytes + HEADERS);
+    schedule.report_allowance = schedule
+        .report_allowance
+        .saturating_sub(bytes + DATAGRAM_HEADER_BYTES);
 }
 
 /// The newest load reports, and a peer; none where there are none.
-fn reports_to_pass(now: Moment, state: &State) -> Option<(Vec<LoadReport>, SocketAddr)> {
+fn reports_to_relay(now: Moment, state: &State) -> Option<(Vec<LoadReport>, SocketAddr)> {
     let report =
         |(name, key): (&TargetId, &TargetKey)| LoadReport::of(*name, &state.board.get(*key), now);
-    let mut reports = state.names.iter().filter_map(report).collect::<Vec<_>>();
+    let mut reports = state
+        .keys_by_id
+        .iter()
+        .filter_map(report)
+        .collect::<Vec<_>>();
     reports::choose(&mut reports);
     if reports.is_empty() {
         return None;
     }
-    let to = draw(state, 1).pop()?;
+    let to = random_peers(state, 1).pop()?;
     Some((reports, to))
 }
 
 /// `draw` is so many other routers, drawn anew each time.
 #[must_use]
-pub fn draw(state: &State, count: usize) -> Vec<SocketAddr> {
+pub fn random_peers(state: &State, count: usize) -> Vec<SocketAddr> {
     let peers = state.routers.values().map(|r| r.address);
     let peers = peers.collect::<Vec<_>>();
     if peers.is_empty() {
         return peers;
     }
     let first = rand::random_range(0..peers.len());
-    let turned = peers.iter().cycle().skip(first);
-    turned.take(count.min(peers.len())).copied().collect()
+    let rotated = peers.iter().cycle().skip(first);
+    rotated.take(count.min(peers.len())).copied().collect()
 }
 
 /// Takes in load reports that another router passed on.
-fn take_reports(gateway: &Gateway, reports: &[LoadReport]) {
+fn apply_reports(gateway: &Gateway, reports: &[LoadReport]) {
     let now = gateway.now();
     let mut state = gateway.state();
     for report in reports {
-        let Some(key) = state.names.get(&report.target()).copied() else {
+        let Some(key) = state.keys_by_id.get(&report.target()).copied() else {
             continue;
         };
         if let Some(stats) = state.board.of(key) {
@@ -189,39 +205,47 @@
 }
 
 /// This router's own work on a target, if there is any.
-fn work(state: &State, target: TargetId, key: TargetKey) -> Option<Work> {
-    let known = state.board.get(key);
-    let busy = known.running > 0;
+fn own_work(state: &State, target: TargetId, key: TargetKey) -> Option<Work> {
+    let target_stats = state.board.get(key);
+    let busy = target_stats.running > 0;
     busy.then_some(Work {
         target,
-        running: known.running,
-        reading: known.reading,
+        running: target_stats.running,
+        reading: target_stats.reading,
     })
 }
 
 /// `hear` takes in the others' summaries.
-pub async fn hear(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
+pub async fn receive(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     /// Pause after a failed read, so that a broken socket is not polled in a tight loop.
-    const PAUSE: Duration = Duration::from_millis(50);
-    let mut space = vec![0; ROOM];
+    const READ_RETRY_PAUSE: Duration = Duration::from_millis(50);
+    let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
     loop {
-        let Ok((len, from)) = socket.recv_from(&mut space).await else {
-            tokio::time::sleep(PAUSE).await;
+        let Ok((len, from)) = socket.recv_from(&mut buffer).await else {
+            tokio::time::sleep(READ_RETRY_PAUSE).await;
             continue;
         };
-        match Datagram::decode(&space[..len]) {
-            Ok(Datagram::Summary(summary)) => take(&gateway, from, &summary),
+        match Datagram::decode(&buffer[..len]) {
+            Ok(Datagram::Summary(summary)) => apply_summary(&gateway, from, &summary),
             Ok(Datagram::Question(question)) => {
-                if let Some(told) = confirm::answer(&gateway, question) {
-                    send(&gateway, &socket, from, Datagram::Confirmation(told)).await;
+                if let Some(confirmation) = confirm::answer_question(&gateway, question) {
+                    send(
+                        &gateway,
+                        &socket,
+                        from,
+                        Datagram::Confirmation(confirmation),
+                    )
+                    .await;
                 }
             }
-            Ok(Datagram::Confirmation(told)) => confirm::take(&gateway, told),
-            Ok(Datagram::Reports(reports)) => take_reports(&gateway, &reports),
+            Ok(Datagram::Confirmation(confirmation)) => {
+                confirm::apply_confirmation(&gateway, confirmation);
+            }
+            Ok(Datagram::Reports(reports)) => apply_reports(&gateway, &reports),
             Ok(Datagram::Crashes(reports)) => {
-                crashes::hear(&gateway, &socket, from, &reports).await;
+                crashes::receive_reports(&gateway, &socket, from, &reports).await;
             }
-            Err(_) => gateway.metrics.missed("malformed datagram"),
+            Err(_) => gateway.metrics.count_failed_attempt("malformed datagram"),
         }
     }
 }
@@ -237,11 +261,11 @@
         return 0;
     };
     let sent = socket.send_to(&bytes, to).await;
-    gateway.metrics.told(sent.is_ok());
+    gateway.metrics.count_datagram(sent.is_ok());
     bytes.len()
 }
 
-fn take(gateway: &Gateway, from: SocketAddr, summary: &Summary) {
+fn apply_summary(gateway: &Gateway, from: SocketAddr, summary: &Summary) {
     let now = gateway.now();
     let mut state = gateway.state();
     if !state.peers.take(now, from, summary) {
@@ -249,13 +273,13 @@
     }
     state.peers.expire(now);
     for hint in &summary.hints {
-        if let Some(key) = state.names.get(&hint.target).copied() {
+        if let Some(key) = state.keys_by_id.get(&hint.target).copied() {
             state.prefixes.note(now, key, hint.chain);
         }
     }
-    state.heard = now;
+    state.peers_heard_at = now;
     for (target, sum) in state.peers.changed() {
-        if let Some(key) = state.names.get(&target).copied() {
+        if let Some(key) = state.keys_by_id.get(&target).copied() {
             state.board.hear(key, sum);
         }
     }
--- a/crates/peppercrank-gateway/src/intake.rs
+++ b/crates/peppercrank-gateway/src/intake.rs
@@ -23,12 +23,12 @@
 
 use crate::evacuations;
 use crate::gateway::Gateway;
-use crate::state::Registered;
+use crate::state::RegisteredRouter;
 use crate::targets;
 
 /// Lines about entries of one answer that cannot be read: enough to tell who writes them, and few however many
 /// there are.
-const LINES: u32 = 20;
+const MAX_LOGGED_ENTRIES: u32 = 20;
 
 /// `Intake` takes entries of one kind in.
 #[derive(Debug)]
@@ -40,7 +40,7 @@
     /// Whether the whole list was taken in before.
     listed: bool,
     /// Entries of this answer that could not be read.
-    lines: u32,
+    malformed_entries: u32,
 }
 
 impl Intake {
@@ -52,74 +52,74 @@
             kind,
             revision: None,
             listed: false,
-            lines: 0,
+            malformed_entries: 0,
         }
     }
 
     /// `replace` takes in the whole list of targets, routers or evacuations, of which the store was `asked` at a moment.
-    pub fn replace(&mut self, asked: Moment, entries: Vec<Entry>) {
-        self.lines = 0;
+    pub fn replace(&mut self, asked_at: Moment, entries: Vec<Entry>) {
+        self.malformed_entries = 0;
         match self.kind {
             Kind::Configuration => {}
             Kind::Targets => {
-                let listed = entries.into_iter().filter_map(|e| self.target(e));
+                let listed = entries.into_iter().filter_map(|e| self.target_change(e));
                 let listed = listed.collect();
                 let now = self.gateway.now();
                 let mut state = self.gateway.state();
-                state.gate.heard(now);
+                state.warm_up_gate.heard(now);
                 let noted = state.directory.replace(now, listed);
                 drop(state);
-                targets::note(&self.gateway, noted, self.revision);
+                targets::apply_changes(&self.gateway, noted, self.revision);
             }
             Kind::Routers => {
                 let own = self.gateway.settings().name.clone();
-                let named = |e: &Entry| matches!(e, Entry::Router(r) if *r.name == *own);
+                let is_own = |e: &Entry| matches!(e, Entry::Router(r) if *r.name == *own);
                 // The first list may be older than this router's own first entry.
-                let again = std::mem::replace(&mut self.listed, true);
-                if again && !entries.iter().any(named) {
-                    self.gateway.unregistered.notify_one();
+                let listed_before = std::mem::replace(&mut self.listed, true);
+                if listed_before && !entries.iter().any(is_own) {
+                    self.gateway.entry_missing.notify_one();
                 }
                 self.gateway.state().routers.clear();
                 for entry in entries {
-                    self.router(entry);
+                    self.apply_router(entry);
                 }
                 self.gateway.state().routers_changed(&own);
-                if !again {
+                if !listed_before {
                     self.gateway.routers_listed.notify_one();
                 }
             }
             Kind::Evacuations => {
-                let zones = entries.into_iter().filter_map(|e| self.zone(e));
+                let zones = entries.into_iter().filter_map(|e| self.evacuated_zone(e));
                 let zones = zones.collect::<Vec<_>>();
                 let now = self.gateway.now();
                 let mut state = self.gateway.state();
-                let changes = state.directory.evacuations.replace(now, asked, &zones);
+                let changes = state.directory.evacuations.replace(now, asked_at, &zones);
                 drop(state);
-                evacuations::note(&self.gateway, changes);
+                evacuations::log_changes(&self.gateway, changes);
             }
         }
     }
 
     /// `apply` takes in changes of targets, routers or evacuations, for which the store was `asked` at a moment.
-    pub fn apply(&mut self, asked: Moment, events: Vec<Event>) {
-        self.lines = 0;
+    pub fn apply(&mut self, asked_at: Moment, events: Vec<Event>) {
+        self.malformed_entries = 0;
         match self.kind {
             Kind::Configuration => {}
             Kind::Targets => {
                 let now = self.gateway.now();
-                self.gateway.state().gate.heard(now);
+                self.gateway.state().warm_up_gate.heard(now);
                 for event in events {
-                    self.change(event);
+                    self.apply_target_event(event);
                 }
             }
             Kind::Routers => {
                 for event in events {
                     match event {
-                        Event::Put(entry) => self.router(entry),
+                        Event::Put(entry) => self.apply_router(entry),
                         Event::Removed(name) => {
                             self.gateway.state().routers.remove(&name);
                             if *name == *self.gateway.settings().name {
-                                self.gateway.unregistered.notify_one();
+                                self.gateway.entry_missing.notify_one();
                             }
                         }
                     }
@@ -131,19 +131,19 @@
                 let now = self.gateway.now();
                 for event in events {
                     let change = match event {
-                        Event::Put(entry) => self.zone(entry).map(Change::Evacuated),
+                        Event::Put(entry) => self.evacuated_zone(entry).map(Change::Evacuated),
                         Event::Removed(zone) => Some(Change::Restored(zone)),
                     };
                     let mut state = self.gateway.state();
                     let evacuations = &mut state.directory.evacuations;
                     let news = change.and_then(|c| evacuations.apply(now, c));
                     drop(state);
-                    evacuations::note(&self.gateway, news);
+                    evacuations::log_changes(&self.gateway, news);
                 }
                 let mut state = self.gateway.state();
-                let settled = state.directory.evacuations.settle(now, asked);
+                let changes = state.directory.evacuations.settle(now, asked_at);
                 drop(state);
-                evacuations::note(&self.gateway, settled);
+                evacuations::log_changes(&self.gateway, changes);
             }
         }
     }
@@ -152,34 +152,39 @@
     /// answer to a question of `asked` proves that it is the newest that can be read. One that cannot be read must not
     /// take the last good one out of use, which would refuse all callers.
     #[must_use]
-    pub fn configure(&mut self, asked: Moment, reading: Reading, changes: Changes) -> Proof {
-        self.lines = 0;
+    pub fn apply_configurations(
+        &mut self,
+        asked_at: Moment,
+        reading: Reading,
+        changes: Changes,
+    ) -> Proof {
+        self.malformed_entries = 0;
         let versions = changes.events.len();
         let mut newer = false;
         for event in changes.events {
             match event {
                 Event::Put(Entry::Configuration(desired)) => {
-                    newer |= self.bring_in_force(desired) == Applied::InForce;
+                    newer |= self.apply_configuration(desired) == Applied::InForce;
                 }
-                Event::Put(Entry::Malformed(name, e)) => self.malformed(&name, &e),
+                Event::Put(Entry::Malformed(name, e)) => self.record_malformed(&name, &e),
                 Event::Put(_) | Event::Removed(_) => {}
             }
         }
         let mut state = self.gateway.state();
         let revision = changes.revision;
         let proof = state.catch_up.read(reading, revision, versions, newer);
-        let vouches = state.eras.vouches(asked);
-        if proof == Proof::Newest && vouches && state.config.index().is_some() {
-            state.freshness.confirm(asked, Source::Store);
+        let same_era = state.eras.vouches(asked_at);
+        if proof == Proof::Newest && same_era && state.config.index().is_some() {
+            state.freshness.confirm(asked_at, Source::Store);
         }
         proof
     }
 
-    fn bring_in_force(&self, desired: Desired) -> Applied {
+    fn apply_configuration(&self, desired: Desired) -> Applied {
         let version = desired.version;
-        let applied = self.gateway.bring_in_force(desired);
+        let applied = self.gateway.apply_configuration(desired);
         if applied == Applied::InForce {
-            self.gateway.metrics.in_force(version);
+            self.gateway.metrics.set_config_version(version);
             let fields = [("version", Field::Number(version))];
             self.gateway.log.write(LogEvent::ConfigApplied, &fields);
         }
@@ -187,11 +192,11 @@
     }
 
     /// The zone that an entry evacuates.
-    fn zone(&mut self, entry: Entry) -> Option<Arc<str>> {
+    fn evacuated_zone(&mut self, entry: Entry) -> Option<Arc<str>> {
         match entry {
             Entry::Evacuation(zone) => Some(zone),
             Entry::Malformed(name, e) => {
-                self.malformed(&name, &e);
+                self.record_malformed(&name, &e);
                 None
             }
             Entry::Configuration(_) | Entry::Target(_) | Entry::Router(_) | Entry::Other => None,
@@ -199,11 +204,11 @@
     }
 
     /// What an entry says of the targets.
-    fn target(&mut self, entry: Entry) -> Option<TargetChange> {
+    fn target_change(&mut self, entry: Entry) -> Option<TargetChange> {
         match entry {
             Entry::Target(registration) => Some(TargetChange::Put(registration)),
             Entry::Malformed(name, e) => {
-                self.malformed(&name, &e);
+                self.record_malformed(&name, &e);
                 Some(TargetChange::Unreadable(name))
             }
             Entry::Configuration(_) | Entry::Router(_) | Entry::Evacuation(_) | Entry::Other => {
@@ -212,25 +217,25 @@
         }
     }
 
-    fn change(&mut self, event: Event) {
+    fn apply_target_event(&mut self, event: Event) {
         let change = match event {
-            Event::Put(entry) => self.target(entry),
+            Event::Put(entry) => self.target_change(entry),
             Event::Removed(instance) => Some(TargetChange::Removed(instance)),
         };
         let Some(change) = change else {
             return;
         };
         let now = self.gateway.now();
-        let noted = self.gateway.state().directory.apply(now, change);
-        targets::note(&self.gateway, vec![noted], self.revision);
+        let change = self.gateway.state().directory.apply(now, change);
+        targets::apply_changes(&self.gateway, vec![change], self.revision);
     }
 
-    fn router(&mut self, entry: Entry) {
+    fn apply_router(&mut self, entry: Entry) {
         match entry {
             Entry::Router(router) if *router.name == *self.gateway.settings().name => {
                 // Somebody else wrote it, and others would not find this router by it.
-                if router.address != self.gateway.peers {
-                    self.gateway.unregistered.notify_one();
+                if router.address != self.gateway.peer_address {
+                    self.gateway.entry_missing.notify_one();
                 }
             }
             Entry::Router(RouterEntry {
@@ -238,17 +243,17 @@
                 revision,
                 address,
             }) => {
-                let registered = Registered {
+                let registered = RegisteredRouter {
                     address,
                     revision,
-                    heard: self.gateway.now(),
+                    last_heard: self.gateway.now(),
                 };
                 self.gateway.state().routers.insert(name, registered);
             }
             Entry::Malformed(name, e) => {
-                self.malformed(&name, &e);
+                self.record_malformed(&name, &e);
                 if *name == *self.gateway.settings().name {
-                    self.gateway.unregistered.notify_one();
+                    self.gateway.entry_missing.notify_one();
                 }
                 self.gateway.state().routers.remove(&name);
             }
@@ -257,13 +262,13 @@
     }
 
     /// Counts an entry that could not be read, and writes a line unless this answer held many.
-    fn malformed(&mut self, name: &str, error: &peppercrank_platform::Error) {
-        self.gateway.metrics.invalid(self.kind.word());
-        self.lines += 1;
-        if self.lines > LINES {
+    fn record_malformed(&mut self, name: &str, error: &peppercrank_platform::Error) {
+        self.gateway.metrics.count_invalid_entry(self.kind.word());
+        self.malformed_entries += 1;
+        if self.malformed_entries > MAX_LOGGED_ENTRIES {
             return;
         }
-        let (name, text) = (brief(name), brief(&error.to_string()));
+        let (name, text) = (shorten(name), shorten(&error.to_string()));
         let fields = [
             ("kind", Field::Text(self.kind.word())),
             ("name", Field::Text(&name)),
@@ -274,8 +279,8 @@
 }
 
 /// The beginning of a text that another writer chose.
-fn brief(text: &str) -> String {
+fn shorten(text: &str) -> String {
     /// Characters that a line holds of it.
-    const MOST: usize = 200;
-    text.chars().take(MOST).collect()
+    const MAX_CHARS: usize = 200;
+    text.chars().take(MAX_CHARS).collect()
 }
--- a/crates/peppercrank-gateway/src/job.rs
+++ b/crates/peppercrank-gateway/src/job.rs
@@ -28,14 +28,14 @@
 use crate::refuse::Reason;
 
 /// Seed of the home of a request without a prompt.
-const ID_SEED: u64 = 0x6964;
+const ID_HASH_SEED: u64 = 0x6964;
 
 /// Tokens of a request's size that one token of its answer weighs, by the users' figure: tokens
 /// are written one by one and read by the thousand.
 const OUTPUT_WEIGHT: u64 = 10;
 
 /// The size of a request without a prompt, in tokens; only its ratios to itself matter.
-const PLAIN_SIZE: u64 = 1_000;
+const DEFAULT_SIZE_TOKENS: u64 = 1_000;
 
 /// `Job` is one request with all that its attempts need.
 #[derive(Debug)]
@@ -53,11 +53,11 @@
     /// Its route's name.
     pub route: Arc<str>,
     /// Targets that it may run on.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// The time within which an answer is wanted.
     pub goal: Duration,
     /// The longest pause of its answer that is on time, where that is named.
-    pub pause: Option<Duration>,
+    pub max_gap: Option<Duration>,
     /// The organisation that its caller belongs to.
     pub organisation: Option<Arc<str>>,
     /// How urgent it is among the requests for its pool.
@@ -65,23 +65,23 @@
     /// The shortest time within which a request for its pool wants its answer.
     pub pool_goal: Duration,
     /// Tokens of its prompt.
-    pub tokens: u64,
+    pub prompt_tokens: u64,
     /// The most tokens of its answer.
-    pub output: u64,
+    pub max_output_tokens: u64,
     /// How fast its pool's engines copy from each other, in tokens a millisecond.
-    pub copying: Option<f64>,
+    pub copy_rate: Option<f64>,
     /// How its pool's targets warm up, where they do.
     pub warm_up: Option<WarmUp>,
     /// The regions in which it may run.
     pub regions: Regions,
     /// Parts of its prompt.
-    pub parts: Vec<Part>,
+    pub prompt_parts: Vec<Part>,
     /// When it came.
-    pub begun: Moment,
+    pub received_at: Moment,
     /// When it must have its final answer.
     pub deadline: Moment,
     /// The configuration that it was judged by.
-    pub version: u64,
+    pub config_version: u64,
     /// What stands for its content, once that was asked for.
     fingerprint: OnceLock<Fingerprint>,
 }
@@ -89,17 +89,17 @@
 impl Job {
     /// `home` is the hash that the request's home is drawn by.
     #[must_use]
-    pub fn home(&self) -> u64 {
-        match self.shared().last() {
+    pub fn home_hash(&self) -> u64 {
+        match self.shared_parts().last() {
             Some(part) => part.chain,
-            None => self.own(),
+            None => self.id_hash(),
         }
     }
 
     /// `own` is a hash of the request's id.
     #[must_use]
-    pub fn own(&self) -> u64 {
-        hash64(ID_SEED, self.id.as_bytes())
+    pub fn id_hash(&self) -> u64 {
+        hash64(ID_HASH_SEED, self.id.as_bytes())
     }
 
     /// `fingerprint` stands for its content, which is the same when it comes again under another id.
@@ -121,18 +121,18 @@
 
     /// `shared` are the parts of its prompt that other requests share: all but its own last one.
     #[must_use]
-    pub fn shared(&self) -> &[Part] {
-        let most = self.parts.len().saturating_sub(1);
-        &self.parts[..most]
+    pub fn shared_parts(&self) -> &[Part] {
+        let most = self.prompt_parts.len().saturating_sub(1);
+        &self.prompt_parts[..most]
     }
 
     /// `size` is its size in tokens.
     #[must_use]
-    pub fn size(&self) -> u64 {
-        if self.tokens == 0 {
-            return PLAIN_SIZE;
+    pub fn size_tokens(&self) -> u64 {
+        if self.prompt_tokens == 0 {
+            return DEFAULT_SIZE_TOKENS;
         }
-        self.tokens + self.output * OUTPUT_WEIGHT
+        self.prompt_tokens + self.max_output_tokens * OUTPUT_WEIGHT
     }
 
     /// `judge` finds the route of a request and whether it may run.
@@ -140,13 +140,13 @@
     /// # Errors
     ///
     /// Returns the reason for which the request is refused.
-    pub fn judge(
+    pub fn from_request(
         gateway: &Gateway,
-        begun: Moment,
+        received_at: Moment,
         mut head: Parts,
         body: Bytes,
     ) -> Result<Self, Reason> {
-        let Ok(said) = call::read(&head.headers) else {
+        let Ok(call_head) = call::read(&head.headers) else {
             return Err(Reason::BadRequest);
         };
         let now = gateway.now();
@@ -162,7 +162,7 @@
                 Reason::StaleRoutes
             });
         };
-        let allowed = index.allowed(route, said.key.as_deref());
+        let allowed = index.allowed(route, call_head.key.as_deref());
         if !freshness.is_fresh(now) && !route.open && allowed != Allowed::Anyone {
             return Err(Reason::StaleKeys);
         }
@@ -171,35 +171,37 @@
             Allowed::Member(organisation) => Some(organisation),
             Allowed::Denied => return Err(Reason::Denied),
         };
-        let pool = route.pool(said.id.as_bytes()).ok_or(Reason::NoTarget)?;
+        let pool = route
+            .pool(call_head.id.as_bytes())
+            .ok_or(Reason::NoTarget)?;
         peppercrank_wire::headers::strip(&mut head.headers);
-        let wait = said.wait.unwrap_or(route.timeout).min(route.timeout);
-        let CallHead { id, prompt, .. } = said;
+        let timeout = call_head.wait.unwrap_or(route.timeout).min(route.timeout);
+        let CallHead { id, prompt, .. } = call_head;
         let prompt = prompt.unwrap_or_default();
         let settings = index.pool(pool);
-        let memory = settings.and_then(|p| p.memory);
+        let engine_memory = settings.and_then(|p| p.memory);
         Ok(Self {
             pool: Arc::clone(pool),
             kind: route.kind,
             route: Arc::clone(&route.name),
-            attempts: route.attempts,
+            max_attempts: route.attempts,
             goal: route.goal,
-            pause: route.pause,
+            max_gap: route.pause,
             organisation: organisation.map(|o| Arc::clone(&o.name)),
             rank: index.ranks().rank(pool, route, organisation),
             pool_goal: index.ranks().goal(pool),
-            tokens: prompt.tokens,
-            output: prompt.output,
-            copying: memory.and_then(|m| m.copying()),
+            prompt_tokens: prompt.tokens,
+            max_output_tokens: prompt.output,
+            copy_rate: engine_memory.and_then(|m| m.copying()),
             warm_up: settings.and_then(|p| p.warm_up),
             regions: match organisation {
                 Some(organisation) => route.regions.both(&organisation.regions),
                 None => route.regions.clone(),
             },
-            parts: prompt.parts,
-            begun,
-            deadline: begun + wait,
-            version: index.desired().version,
+            prompt_parts: prompt.parts,
+            received_at,
+            deadline: received_at + timeout,
+            config_version: index.desired().version,
             fingerprint: OnceLock::new(),
             id,
             head,
--- a/crates/peppercrank-gateway/src/metrics.rs
+++ b/crates/peppercrank-gateway/src/metrics.rs
@@ -27,27 +27,27 @@
 use crate::state::State;
 
 /// The least time that the histograms by kind tell apart, in seconds.
-const LEAST_SECONDS: f64 = 0.001;
+const KIND_MIN_SECONDS: f64 = 0.001;
 
 /// The buckets of the histograms by kind; each doubles the one before, up to 16 s.
-const BUCKETS: u16 = 15;
+const KIND_BUCKETS: u16 = 15;
 
 /// The least time that the histograms by target tell apart, in seconds.
-const TARGET_LEAST: f64 = 0.01;
+const TARGET_MIN_SECONDS: f64 = 0.01;
 
 /// The buckets of the histograms by target; each is four times the one before, up to 10 s.
 const TARGET_BUCKETS: u16 = 6;
 
 /// Targets that have histograms of their own; more share one, so that a large fleet's metrics stay
 /// below some hundred kilobytes.
-const TARGETS: usize = 64;
+const MAX_NAMED_TARGETS: usize = 64;
 
 /// The label of targets beyond these.
 const OTHER_TARGETS: &str = "other";
 
 /// `Label` is the reason that a counter counts by.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Label {
+pub struct ReasonLabel {
     reason: &'static str,
 }
 
@@ -80,25 +80,25 @@
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    refused: Family<Label, Counter>,
-    missed: Family<Label, Counter>,
-    repeats: Family<Label, Counter>,
-    calls: Family<CallLabel, Counter>,
-    bytes: Counter,
-    invalid: Family<KindLabel, Counter>,
-    datagrams: Family<Label, Counter>,
-    confirmations: Family<Label, Counter>,
-    first: Family<KindLabel, Histogram, fn() -> Histogram>,
-    gaps: Family<KindLabel, Histogram, fn() -> Histogram>,
-    targets_first: Family<TargetLabel, Histogram, fn() -> Histogram>,
-    targets_failed: Family<TargetLabel, Counter>,
+    refused: Family<ReasonLabel, Counter>,
+    attempts_failed: Family<ReasonLabel, Counter>,
+    repeats: Family<ReasonLabel, Counter>,
+    store_calls: Family<CallLabel, Counter>,
+    bytes_read: Counter,
+    invalid_entries: Family<KindLabel, Counter>,
+    datagrams: Family<ReasonLabel, Counter>,
+    confirmations: Family<ReasonLabel, Counter>,
+    first_seconds: Family<KindLabel, Histogram, fn() -> Histogram>,
+    gap_seconds: Family<KindLabel, Histogram, fn() -> Histogram>,
+    target_first_seconds: Family<TargetLabel, Histogram, fn() -> Histogram>,
+    target_failures: Family<TargetLabel, Counter>,
     /// Targets that have series of their own.
-    named: Mutex<HashSet<String>>,
-    budget: Family<PoolLabel, Gauge<f64, AtomicU64>>,
-    dropped: Gauge<i64, AtomicI64>,
+    named_targets: Mutex<HashSet<String>>,
+    retries_left: Family<PoolLabel, Gauge<f64, AtomicU64>>,
+    dropped_log_lines: Gauge<i64, AtomicI64>,
     config_age: Gauge<i64, AtomicI64>,
-    version: Gauge<i64, AtomicI64>,
-    age: Gauge<i64, AtomicI64>,
+    config_version: Gauge<i64, AtomicI64>,
+    keys_age: Gauge<i64, AtomicI64>,
     quarantined: Gauge<i64, AtomicI64>,
     peers: Gauge<i64, AtomicI64>,
     targets: Gauge<i64, AtomicI64>,
@@ -117,23 +117,23 @@
         let mut metrics = Self {
             registry: Registry::with_prefix("peppercrank_gateway"),
             refused: Family::default(),
-            missed: Family::default(),
+            attempts_failed: Family::default(),
             repeats: Family::default(),
-            calls: Family::default(),
-            bytes: Counter::default(),
-            invalid: Family::default(),
+            store_calls: Family::default(),
+            bytes_read: Counter::default(),
+            invalid_entries: Family::default(),
             datagrams: Family::default(),
             confirmations: Family::default(),
-            first: Family::new_with_constructor(by_kind),
-            gaps: Family::new_with_constructor(by_kind),
-            targets_first: Family::new_with_constructor(by_target),
-            targets_failed: Family::default(),
-            named: Mutex::default(),
-            budget: Family::default(),
-            dropped: Gauge::default(),
+            first_seconds: Family::new_with_constructor(kind_histogram),
+            gap_seconds: Family::new_with_constructor(kind_histogram),
+            target_first_seconds: Family::new_with_constructor(target_histogram),
+            target_failures: Family::default(),
+            named_targets: Mutex::default(),
+            retries_left: Family::default(),
+            dropped_log_lines: Gauge::default(),
             config_age: Gauge::default(),
-            version: Gauge::default(),
-            age: Gauge::default(),
+            config_version: Gauge::default(),
+            keys_age: Gauge::default(),
             quarantined: Gauge::default(),
             peers: Gauge::default(),
             targets: Gauge::default(),
@@ -141,7 +141,7 @@
         metrics.register();
         for reason in Reason::ALL {
             let reason = reason.code();
-            drop(metrics.refused.get_or_create(&Label { reason }));
+            drop(metrics.refused.get_or_create(&ReasonLabel { reason }));
         }
         metrics
     }
@@ -156,23 +156,27 @@
         r.register(
             "attempts_failed",
             "Attempts and streams without a whole answer, by cause",
-            self.missed.clone(),
+            self.attempts_failed.clone(),
         );
         r.register(
             "repeats",
             "Repeats asked of the retry budget, by its answer",
             self.repeats.clone(),
         );
-        r.register("store_calls", "Calls to the store", self.calls.clone());
+        r.register(
+            "store_calls",
+            "Calls to the store",
+            self.store_calls.clone(),
+        );
         r.register(
             "store_bytes",
             "Bytes of the store's answers, also of those given up",
-            self.bytes.clone(),
+            self.bytes_read.clone(),
         );
         r.register(
             "entries_invalid",
             "Entries of the store that could not be read, by kind",
-            self.invalid.clone(),
+            self.invalid_entries.clone(),
         );
         r.register(
             "confirmations",
@@ -183,37 +187,37 @@
         r.register(
             "first_seconds",
             "Time to an answer or a stream's first part, by kind of route",
-            self.first.clone(),
+            self.first_seconds.clone(),
         );
         r.register(
             "gap_seconds",
             "Time between two parts of a stream, by kind of route",
-            self.gaps.clone(),
+            self.gap_seconds.clone(),
         );
         r.register(
             "target_first_seconds",
             "Time from sending to a target to its answer's first part",
-            self.targets_first.clone(),
+            self.target_first_seconds.clone(),
         );
         r.register(
             "target_failures",
             "Failures that speak against a target",
-            self.targets_failed.clone(),
+            self.target_failures.clone(),
         );
-        self.register_beliefs();
+        self.register_state();
     }
 
-    fn register_beliefs(&mut self) {
+    fn register_state(&mut self) {
         let r = &mut self.registry;
         r.register(
             "repeats_left",
             "Repeats that this router's part of the budget has, by pool",
-            self.budget.clone(),
+            self.retries_left.clone(),
         );
         r.register(
             "log_lines_dropped",
             "Log lines that found no room or could not be written",
-            self.dropped.clone(),
+            self.dropped_log_lines.clone(),
         );
         r.register(
             "configuration_age_milliseconds",
@@ -223,12 +227,12 @@
         r.register(
             "configuration_version",
             "Version of the configuration in force",
-            self.version.clone(),
+            self.config_version.clone(),
         );
         r.register(
             "keys_age_milliseconds",
             "Age of what is known of keys; -1 before the first answer",
-            self.age.clone(),
+            self.keys_age.clone(),
         );
         r.register(
             "quarantined",
@@ -240,135 +244,151 @@
     }
 
     /// `refused` counts a request without a target's answer.
-    pub fn refused(&self, reason: Reason) {
+    pub fn count_refusal(&self, reason: Reason) {
         let reason = reason.code();
-        self.refused.get_or_create(&Label { reason }).inc();
+        self.refused.get_or_create(&ReasonLabel { reason }).inc();
     }
 
     /// `missed` counts an attempt or stream without a whole answer.
-    pub fn missed(&self, reason: &'static str) {
-        self.missed.get_or_create(&Label { reason }).inc();
+    pub fn count_failed_attempt(&self, reason: &'static str) {
+        self.attempts_failed
+            .get_or_create(&ReasonLabel { reason })
+            .inc();
     }
 
     /// `repeated` counts a repeat that the budget allowed or not.
-    pub fn repeated(&self, allowed: bool) {
+    pub fn count_retry(&self, allowed: bool) {
         let reason = if allowed { "allowed" } else { "budget_spent" };
-        self.repeats.get_or_create(&Label { reason }).inc();
+        self.repeats.get_or_create(&ReasonLabel { reason }).inc();
     }
 
     /// `called` counts a call to the store.
-    pub fn called(&self, kind: &'static str, outcome: &'static str) {
+    pub fn count_store_call(&self, kind: &'static str, outcome: &'static str) {
         let label = CallLabel { kind, outcome };
-        self.calls.get_or_create(&label).inc();
+        self.store_calls.get_or_create(&label).inc();
     }
 
     /// `store_bytes` counts the bytes of the store's answers.
     #[must_use]
-    pub fn store_bytes(&self) -> Counter {
-        self.bytes.clone()
+    pub fn store_byte_counter(&self) -> Counter {
+        self.bytes_read.clone()
     }
 
     /// `invalid` counts an entry of the store that could not be read.
-    pub fn invalid(&self, kind: &'static str) {
-        self.invalid.get_or_create(&KindLabel { kind }).inc();
+    pub fn count_invalid_entry(&self, kind: &'static str) {
+        self.invalid_entries
+            .get_or_create(&KindLabel { kind })
+            .inc();
     }
 
     /// `confirmed` counts a confirmation of what is known of keys, by who gave it.
-    pub fn confirmed(&self, by_router: bool) {
+    pub fn count_confirmation(&self, by_router: bool) {
         let reason = if by_router { "router" } else { "store" };
-        self.confirmations.get_or_create(&Label { reason }).inc();
+        self.confirmations
+            .get_or_create(&ReasonLabel { reason })
+            .inc();
     }
 
     /// `told` counts a datagram.
-    pub fn told(&self, sent: bool) {
+    pub fn count_datagram(&self, sent: bool) {
         let reason = if sent { "sent" } else { "failed" };
-        self.datagrams.get_or_create(&Label { reason }).inc();
+        self.datagrams.get_or_create(&ReasonLabel { reason }).inc();
     }
 
     /// `answered` notes an answer and its time to the first part.
-    pub fn answered(&self, kind: RouteKind, first: Duration) {
+    pub fn observe_answer(&self, kind: RouteKind, first: Duration) {
         let kind = kind.code();
         let label = KindLabel { kind };
-        self.first
+        self.first_seconds
             .get_or_create(&label)
             .observe(first.as_secs_f64());
     }
 
     /// `paused` notes the time between two parts of a stream.
-    pub fn paused(&self, kind: RouteKind, gap: Duration) {
+    pub fn observe_gap(&self, kind: RouteKind, gap: Duration) {
         let kind = kind.code();
         let label = KindLabel { kind };
-        self.gaps.get_or_create(&label).observe(gap.as_secs_f64());
+        self.gap_seconds
+            .get_or_create(&label)
+            .observe(gap.as_secs_f64());
     }
 
     /// `target_answered` notes a target's time to its answer's first part.
-    pub fn target_answered(&self, target: &str, took: Duration) {
+    pub fn observe_target_answer(&self, target: &str, took: Duration) {
         let label = self.label(target);
-        let histogram = self.targets_first.get_or_create(&label);
+        let histogram = self.target_first_seconds.get_or_create(&label);
         histogram.observe(took.as_secs_f64());
     }
 
     /// `target_failed` counts a failure that speaks against a target.
-    pub fn target_failed(&self, target: &str) {
+    pub fn count_target_failure(&self, target: &str) {
         let label = self.label(target);
-        self.targets_failed.get_or_create(&label).inc();
+        self.target_failures.get_or_create(&label).inc();
     }
 
     /// The label of a target's own series, or of the one that targets beyond the bound share.
     fn label(&self, target: &str) -> TargetLabel {
-        let mut named = self.named();
+        let mut named = self.lock_named_targets();
         if named.contains(target) {
-            return label_of(target);
+            return target_label(target);
         }
-        if named.len() < TARGETS {
+        if named.len() < MAX_NAMED_TARGETS {
             named.insert(target.to_owned());
-            return label_of(target);
+            return target_label(target);
         }
-        label_of(OTHER_TARGETS)
+        target_label(OTHER_TARGETS)
     }
 
-    fn named(&self) -> MutexGuard<'_, HashSet<String>> {
-        self.named.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_named_targets(&self) -> MutexGuard<'_, HashSet<String>> {
+        self.named_targets
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// `target_gone` drops the series of a target that is gone.
-    pub fn target_gone(&self, target: &str) {
-        self.named().remove(target);
-        let label = label_of(target);
-        self.targets_first.remove(&label);
-        self.targets_failed.remove(&label);
+    pub fn remove_target(&self, target: &str) {
+        self.lock_named_targets().remove(target);
+        let label = target_label(target);
+        self.target_first_seconds.remove(&label);
+        self.target_failures.remove(&label);
     }
 
     /// `in_force` notes the version in force.
-    pub fn in_force(&self, version: u64) {
-        self.version.set(i64::try_from(version).unwrap_or(i64::MAX));
+    pub fn set_config_version(&self, version: u64) {
+        self.config_version
+            .set(i64::try_from(version).unwrap_or(i64::MAX));
     }
 
-    fn show_budget(&self, state: &mut State, now: Moment) {
-        let routers = state.sharers(now);
-        let pools = state.budget.pools().cloned().collect::<Vec<_>>();
+    fn update_retries_left(&self, state: &mut State, now: Moment) {
+        let routers = state.router_count(now);
+        let pools = state.retry_budget.pools().cloned().collect::<Vec<_>>();
         for pool in pools {
-            let left = state.budget.left(now, &pool, routers);
+            let left = state.retry_budget.left(now, &pool, routers);
             let pool = pool.to_string();
-            self.budget.get_or_create(&PoolLabel { pool }).set(left);
+            self.retries_left
+                .get_or_create(&PoolLabel { pool })
+                .set(left);
         }
     }
 
     /// `text` is all metrics as text.
     #[must_use]
-    pub fn text(&self, gateway: &Gateway) -> String {
+    pub fn render(&self, gateway: &Gateway) -> String {
         let now = gateway.now();
         let mut state = gateway.state();
-        self.show_budget(&mut state, now);
+        self.update_retries_left(&mut state, now);
         let since = state.config.since().map(|at| now.since(at).as_millis());
-        self.config_age.set(since.map_or(-1, signed));
-        self.dropped.set(signed(u128::from(gateway.log.dropped())));
+        self.config_age.set(since.map_or(-1, saturating_i64));
+        self.dropped_log_lines
+            .set(saturating_i64(u128::from(gateway.log.dropped())));
         let age = state.freshness.age(now).map(|a| a.as_millis());
-        self.age.set(age.map_or(-1, signed));
+        self.keys_age.set(age.map_or(-1, saturating_i64));
         let quarantined = state.quarantine.quarantined();
-        self.quarantined.set(signed(quarantined as u128));
-        self.peers.set(signed(state.peers.alive(now) as u128));
-        self.targets.set(signed(state.directory.len() as u128));
+        self.quarantined.set(saturating_i64(quarantined as u128));
+        self.peers
+            .set(saturating_i64(state.peers.alive(now) as u128));
+        self.targets
+            .set(saturating_i64(state.directory.len() as u128));
         drop(state);
         let mut text = String::new();
         // Writing into a string does not fail.
@@ -377,20 +397,20 @@
     }
 }
 
-fn label_of(target: &str) -> TargetLabel {
+fn target_label(target: &str) -> TargetLabel {
     TargetLabel {
         target: target.to_owned(),
     }
 }
 
-fn by_kind() -> Histogram {
-    Histogram::new(exponential_buckets(LEAST_SECONDS, 2.0, BUCKETS))
+fn kind_histogram() -> Histogram {
+    Histogram::new(exponential_buckets(KIND_MIN_SECONDS, 2.0, KIND_BUCKETS))
 }
 
-fn by_target() -> Histogram {
-    Histogram::new(exponential_buckets(TARGET_LEAST, 4.0, TARGET_BUCKETS))
+fn target_histogram() -> Histogram {
+    Histogram::new(exponential_buckets(TARGET_MIN_SECONDS, 4.0, TARGET_BUCKETS))
 }
 
-fn signed(number: u128) -> i64 {
+fn saturating_i64(number: u128) -> i64 {
     i64::try_from(number).unwrap_or(i64::MAX)
 }
--- a/crates/peppercrank-gateway/src/outage.rs
+++ b/crates/peppercrank-gateway/src/outage.rs
@@ -25,7 +25,7 @@
 
     /// `set` notes whether the store is away; true if that is news.
     #[must_use]
-    pub fn set(&self, away: bool) -> bool {
+    pub fn set_away(&self, away: bool) -> bool {
         self.0
             .send_if_modified(|now| std::mem::replace(now, away) != away)
     }
@@ -48,7 +48,7 @@
     }
 
     /// `returned` returns once the store was away and is back.
-    pub async fn returned(&mut self) {
+    pub async fn wait_for_return(&mut self) {
         loop {
             if self.0.changed().await.is_err() {
                 return std::future::pending().await;
--- a/crates/peppercrank-gateway/src/progress.rs
+++ b/crates/peppercrank-gateway/src/progress.rs
@@ -14,19 +14,23 @@
 use crate::gateway::Gateway;
 
 /// Pause between lines; a request that takes longer is told of at least once.
-const EVERY: Duration = Duration::from_millis(500);
+const LOG_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Most requests on one line; it bounds the line to a few kilobytes.
-const MOST: usize = 200;
+const MAX_REQUESTS: usize = 200;
 
 /// `tell` writes the requests in progress, for ever.
-pub async fn tell(gateway: Arc<Gateway>) {
+pub async fn log_in_progress(gateway: Arc<Gateway>) {
     loop {
-        sleep(EVERY).await;
+        sleep(LOG_INTERVAL).await;
         let (count, ids) = {
             let state = gateway.state();
-            let ids = state.open.values().take(MOST).map(String::as_str);
-            (state.open.len(), ids.collect::<Vec<_>>().join(" "))
+            let ids = state
+                .in_progress
+                .values()
+                .take(MAX_REQUESTS)
+                .map(String::as_str);
+            (state.in_progress.len(), ids.collect::<Vec<_>>().join(" "))
         };
         if count > 0 {
             let fields = [
--- a/crates/peppercrank-gateway/src/refuse.rs
+++ b/crates/peppercrank-gateway/src/refuse.rs
@@ -84,7 +84,7 @@
 impl Reason {
     /// `passes` tells whether the same request may fare better a little later.
     #[must_use]
-    pub const fn passes(self) -> bool {
+    pub const fn is_transient(self) -> bool {
         matches!(
             self,
             Self::NoConfiguration
@@ -106,7 +106,7 @@
     /// `parts` tells whether the caller fares better by another router, so that its connection is closed:
     /// only a new one comes to a router that is ready.
     #[must_use]
-    pub const fn parts(self) -> bool {
+    pub const fn closes_connection(self) -> bool {
         matches!(
             self,
             Self::NoConfiguration | Self::StaleKeys | Self::StaleRoutes
@@ -122,10 +122,10 @@
     let headers = reply.headers_mut();
     let code = HeaderValue::from_static(reason.code());
     headers.insert("x-peppercrank-reason", code);
-    if reason.parts() {
+    if reason.closes_connection() {
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    if reason.passes() {
+    if reason.is_transient() {
         let seconds = format!("{:.3}", after.as_secs_f64());
         // Digits and a point are always a header's value.
         if let Ok(value) = HeaderValue::from_str(&seconds) {
--- a/crates/peppercrank-gateway/src/register.rs
+++ b/crates/peppercrank-gateway/src/register.rs
@@ -17,76 +17,78 @@
 
 use crate::confirm::Confirmer;
 use crate::gateway::Gateway;
-use crate::state::Registered;
+use crate::state::RegisteredRouter;
 use crate::state::State;
-use crate::store::Ended;
+use crate::store::CallResult;
 use crate::store::Store;
 
 /// Pause after a failed call; routers serve well without knowing of each other for a while.
-const PAUSE: Duration = Duration::from_millis(700);
+const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
 /// Time without a word, beyond that of a large fleet's rounds, after which an entry is taken as that of
 /// a router that is gone for good. Nothing in the store expires by itself, and each entry costs
 /// datagrams and a part of the budget of repeats.
-const GONE: Duration = Duration::from_secs(60);
+const GONE_AFTER: Duration = Duration::from_secs(60);
 
 /// Pause between looks at entries of routers that may be gone.
-const LOOK: Duration = Duration::from_secs(5);
+const PRUNE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Time for the removal of this router's own entry at its end: a store that does not answer must not
 /// hold the process up past the time that it has.
-const LEAVE: Duration = Duration::from_millis(200);
+const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// `register` writes the router's entry, and again whenever it has gone.
-pub async fn register(gateway: Arc<Gateway>, store: Store) {
+pub async fn keep_registered(gateway: Arc<Gateway>, store: Store) {
     loop {
-        while !write(&gateway, &store).await {
-            sleep(PAUSE).await;
+        while !write_entry(&gateway, &store).await {
+            sleep(RETRY_PAUSE).await;
         }
-        gateway.unregistered.notified().await;
+        gateway.entry_missing.notified().await;
     }
 }
 
 /// Writes the entry once; false if that failed.
-async fn write(gateway: &Gateway, store: &Store) -> bool {
+async fn write_entry(gateway: &Gateway, store: &Store) -> bool {
     let settings = gateway.settings();
     let entry = RouterEntry {
         name: settings.name.as_str().into(),
         revision: 0,
-        address: gateway.peers,
+        address: gateway.peer_address,
     };
     let Ok(body) = store::router(&entry) else {
         return false;
     };
     let path = store::list(Kind::Routers, None);
-    let made = store.post(&path, body.clone()).await;
-    gateway.metrics.called("register", made.ended.code());
-    let written = match made.ended {
-        Ended::Conflict => {
+    let created = store.post(&path, body.clone()).await;
+    gateway
+        .metrics
+        .count_store_call("register", created.result.code());
+    let written = match created.result {
+        CallResult::Conflict => {
             let path = store::entry(Kind::Routers, &entry.name);
-            store.put(&path, body).await.ended
+            store.put(&path, body).await.result
         }
         other => other,
     };
-    matches!(written, Ended::Done(_))
+    matches!(written, CallResult::Done(_))
 }
 
 /// `leave` removes the router's entry; if that fails, others find it silent and remove it.
-pub async fn leave(gateway: &Gateway, store: &Store) {
+pub async fn deregister(gateway: &Gateway, store: &Store) {
     let name = gateway.settings().name.clone();
     let path = store::entry(Kind::Routers, &name);
-    let left = timeout(LEAVE, store.delete(&path)).await;
-    let code = left.map_or("late", |left| left.ended.code());
-    gateway.metrics.called("leave", code);
+    let result = timeout(DEREGISTER_TIMEOUT, store.delete(&path)).await;
+    let code = result.map_or("late", |left| left.result.code());
+    gateway.metrics.count_store_call("leave", code);
 }
 
 /// `prune` removes the entries of routers that are gone for good, for ever; the routers that ask the
 /// store do it.
-pub async fn prune(gateway: Arc<Gateway>, store: Store, confirmer: Confirmer) {
+pub async fn prune_routers(gateway: Arc<Gateway>, store: Store, confirmer: Confirmer) {
     loop {
-        sleep(LOOK).await;
+        sleep(PRUNE_INTERVAL).await;
         let era = gateway.state().eras.newest();
-        let gone = gone(&gateway, GONE);
+        let gone = silent_routers(&gateway, GONE_AFTER);
         if !confirmer.asks_store() {
             continue;
         }
@@ -96,9 +98,9 @@
                 break;
             }
             let path = store::entry_at(Kind::Routers, &name, registered.revision);
-            let removed = store.delete(&path).await.ended;
-            gateway.metrics.called("prune", removed.code());
-            let silent = gateway.now().since(registered.heard);
+            let removed = store.delete(&path).await.result;
+            gateway.metrics.count_store_call("prune", removed.code());
+            let silent = gateway.now().since(registered.last_heard);
             let fields = [
                 ("router", Field::Text(&name)),
                 ("silent_ms", Field::Millis(silent)),
@@ -112,20 +114,20 @@
 /// `gone` are the routers that were not heard of for so long, and for the time of two rounds of a
 /// large fleet; none while the store does not answer.
 #[must_use]
-pub fn gone(gateway: &Gateway, silence: Duration) -> Vec<(Arc<str>, Registered)> {
+pub fn silent_routers(gateway: &Gateway, silence: Duration) -> Vec<(Arc<str>, RegisteredRouter)> {
     let now = gateway.now();
     let mut state = gateway.state();
     let State { routers, peers, .. } = &mut *state;
-    let rounds = silent(routers.len()) * 2;
+    let gossip_rounds = silent(routers.len()) * 2;
     for registered in routers.values_mut() {
         if peers.hears(now, registered.address) {
-            registered.heard = now;
+            registered.last_heard = now;
         }
     }
-    if state.away.is_some() {
+    if state.store_away_since.is_some() {
         return Vec::new();
     }
     let routers = state.routers.iter();
-    let gone = routers.filter(|(_, r)| now.since(r.heard) > silence + rounds);
+    let gone = routers.filter(|(_, r)| now.since(r.last_heard) > silence + gossip_rounds);
     gone.map(|(name, r)| (Arc::clone(name), *r)).collect()
 }
--- a/crates/peppercrank-gateway/src/relay.rs
+++ b/crates/peppercrank-gateway/src/relay.rs
@@ -23,140 +23,149 @@
 use peppercrank_wire::body::Feed;
 use peppercrank_wire::client::AnswerBody;
 
-use crate::attempt::FAILURE;
-use crate::attempt::Loss;
+use crate::attempt::CrashEvidence;
+use crate::attempt::TARGET_FAILURE;
 use crate::attempt::TargetAnswer;
-use crate::attempt::next;
+use crate::attempt::next_part;
 use crate::attempt::send;
-use crate::choose::begin;
+use crate::choose::reserve_target;
 use crate::crashes;
 use crate::flight::Flight;
 use crate::gateway::Gateway;
-use crate::serve::Run;
+use crate::serve::ActiveRequest;
 
 /// Parts that may wait for a caller that reads slowly.
-const DEPTH: usize = 8;
+const BUFFERED_PARTS: usize = 8;
 
 /// `Relay` is one stream on its way.
 struct Relay {
-    run: Run,
+    request: ActiveRequest,
     flight: Flight,
     /// What follows; none once it was given up for another run.
-    rest: Option<AnswerBody>,
-    feed: Feed,
+    upstream: Option<AnswerBody>,
+    downstream: Feed,
     /// When the first part came, since the request did.
-    began: Duration,
+    first_part_after: Duration,
     /// Whole events only, of streams that may be resumed.
     events: Option<Events>,
-    silence: Silence,
+    stall_timer: Silence,
 }
 
 /// `Step` is what happened to a stream.
-enum Step {
+enum StreamEvent {
     Part(Bytes),
     End,
-    Cut,
-    Ended,
-    Silent,
+    Truncated,
+    TargetRestarted,
+    Stalled,
     CallerGone,
-    Late,
+    DeadlinePassed,
 }
 
 /// `start` passes a stream on from a task of its own.
 #[must_use]
-pub fn start(run: &Run, flight: Flight, first: Bytes, rest: AnswerBody) -> Body {
-    let (feed, body) = body::channel(DEPTH);
-    let resumable = matches!(run.job.kind, RouteKind::Stream { resumable: true });
+pub fn start(request: &ActiveRequest, flight: Flight, first: Bytes, rest: AnswerBody) -> Body {
+    let (downstream, body) = body::channel(BUFFERED_PARTS);
+    let resumable = matches!(request.job.kind, RouteKind::Stream { resumable: true });
     let relay = Relay {
-        run: run.clone(),
+        request: request.clone(),
         flight,
-        rest: Some(rest),
-        feed,
-        began: run.held(),
+        upstream: Some(rest),
+        downstream,
+        first_part_after: request.elapsed(),
         events: resumable.then(Events::default),
-        silence: Silence::new(run.gateway.now(), run.job.pause),
+        stall_timer: Silence::new(request.gateway.now(), request.job.max_gap),
     };
-    tokio::spawn(relay.go(first));
+    tokio::spawn(relay.run(first));
     body
 }
 
 impl Relay {
-    async fn go(mut self, first: Bytes) {
-        let gateway = Arc::clone(&self.run.gateway);
-        let end = self.run.job.deadline;
-        let mut late = pin!(gateway.until(end));
-        let mut step = Step::Part(first);
+    async fn run(mut self, first: Bytes) {
+        let gateway = Arc::clone(&self.request.gateway);
+        let deadline = self.request.job.deadline;
+        let mut deadline_timer = pin!(gateway.sleep_until(deadline));
+        let mut event = StreamEvent::Part(first);
         loop {
-            match step {
-                Step::Part(part) => {
+            match event {
+                StreamEvent::Part(part) => {
                     // A caller that reads slowly must not hold its target past the deadline.
-                    match gateway.in_time(end, self.pass(part)).await {
-                        Some(Ok(())) => self.passed(),
-                        Some(Err(_)) => return self.over("caller gone"),
-                        None => return self.over("deadline passed"),
+                    match gateway.timeout_at(deadline, self.forward(part)).await {
+                        Some(Ok(())) => self.record_forwarded(),
+                        Some(Err(_)) => return self.abort("caller gone"),
+                        None => return self.abort("deadline passed"),
                     }
                 }
-                Step::End if self.is_whole() => return self.finish(),
-                Step::End | Step::Cut => {
-                    if !self.go_on("stream cut", Loss::BrokenOff).await {
-                        return self.over("stream cut");
+                StreamEvent::End if self.is_at_event_boundary() => return self.finish(),
+                StreamEvent::End | StreamEvent::Truncated => {
+                    if !self
+                        .fail_over("stream cut", CrashEvidence::ConnectionLost)
+                        .await
+                    {
+                        return self.abort("stream cut");
                     }
                 }
-                Step::Ended => {
-                    if !self.go_on("target started again", Loss::StartedAgain).await {
-                        return self.over("target started again");
+                StreamEvent::TargetRestarted => {
+                    if !self
+                        .fail_over("target started again", CrashEvidence::TargetRestarted)
+                        .await
+                    {
+                        return self.abort("target started again");
                     }
                 }
                 // It may speak again, so it is waited for unless another run may go on.
-                Step::Silent if !self.run.could_go_on() => {
-                    self.silence.heard(self.run.gateway.now());
+                StreamEvent::Stalled if !self.request.can_fail_over() => {
+                    self.stall_timer.heard(self.request.gateway.now());
                 }
-                Step::Silent => {
-                    if !self.go_on("stream silent", Loss::Other).await {
-                        return self.over("stream silent");
+                StreamEvent::Stalled => {
+                    if !self.fail_over("stream silent", CrashEvidence::None).await {
+                        return self.abort("stream silent");
                     }
                 }
-                Step::CallerGone => return self.over("caller gone"),
-                Step::Late => return self.over("deadline passed"),
+                StreamEvent::CallerGone => return self.abort("caller gone"),
+                StreamEvent::DeadlinePassed => return self.abort("deadline passed"),
             }
-            step = self.step(late.as_mut()).await;
+            event = self.next_event(deadline_timer.as_mut()).await;
         }
     }
 
     /// Waits for what happens next.
-    async fn step(&mut self, late: Pin<&mut impl Future<Output = ()>>) -> Step {
-        let Some(rest) = &mut self.rest else {
-            return Step::Cut;
+    async fn next_event(
+        &mut self,
+        deadline_timer: Pin<&mut impl Future<Output = ()>>,
+    ) -> StreamEvent {
+        let Some(rest) = &mut self.upstream else {
+            return StreamEvent::Truncated;
         };
-        let gateway = &self.run.gateway;
-        let watched = self.events.is_some();
+        let gateway = &self.request.gateway;
+        let resumable = self.events.is_some();
         let termination = &mut self.flight.termination;
         tokio::select! {
             biased;
-            part = next(rest) => match part {
-                Ok(Some(part)) => Step::Part(part),
-                Ok(None) => Step::End,
-                Err(()) => Step::Cut,
+            part = next_part(rest) => match part {
+                Ok(Some(part)) => StreamEvent::Part(part),
+                Ok(None) => StreamEvent::End,
+                Err(()) => StreamEvent::Truncated,
             },
-            () = self.feed.closed() => Step::CallerGone,
-            () = late => Step::Late,
-            () = termination.wait() => Step::Ended,
-            () = quiet(gateway, self.silence), if watched => Step::Silent,
+            () = self.downstream.closed() => StreamEvent::CallerGone,
+            () = deadline_timer => StreamEvent::DeadlinePassed,
+            () = termination.wait() => StreamEvent::TargetRestarted,
+            () = wait_for_stall(gateway, self.stall_timer), if resumable => StreamEvent::Stalled,
         }
     }
 
     /// Gives the run up and goes on with another.
-    async fn go_on(&mut self, what: &'static str, loss: Loss) -> bool {
+    async fn fail_over(&mut self, cause: &'static str, crash_evidence: CrashEvidence) -> bool {
         // Closing the connection ends the run, which must not go on beside the next one.
-        self.rest = None;
-        self.flight.failed();
-        self.run.note(&self.flight, what);
-        self.run.lost(&self.flight, loss).await;
-        self.resume().await
+        self.upstream = None;
+        self.flight.record_failure();
+        self.request.log_failed_attempt(&self.flight, cause);
+        self.request.record_loss(&self.flight, crash_evidence).await;
+        self.try_resume().await
     }
 
     /// Passes a part on; of a stream that may be resumed, the events that it completes.
-    async fn pass(&mut self, part: Bytes) -> Result<(), peppercrank_wire::Error> {
+    async fn forward(&mut self, part: Bytes) -> Result<(), peppercrank_wire::Error> {
         let part = match &mut self.events {
             Some(events) => Bytes::from(events.push(&part)),
             None => part,
@@ -164,49 +173,56 @@
         if part.is_empty() {
             return Ok(());
         }
-        self.feed.send(part).await
+        self.downstream.send(part).await
     }
 
     /// Notes that a part was passed on.
-    fn passed(&mut self) {
-        let gateway = &self.run.gateway;
+    fn record_forwarded(&mut self) {
+        let gateway = &self.request.gateway;
         let now = gateway.now();
-        let quiet = self.silence.quiet(now);
-        gateway.metrics.paused(self.run.job.kind, quiet);
-        self.silence.heard(now);
+        let gap = self.stall_timer.quiet(now);
+        gateway.metrics.observe_gap(self.request.job.kind, gap);
+        self.stall_timer.heard(now);
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_at_event_boundary(&self) -> bool {
         self.events.as_ref().is_none_or(Events::is_between)
     }
 
     /// Goes on at another target after the last whole event.
-    async fn resume(&mut self) -> bool {
+    async fn try_resume(&mut self) -> bool {
         while self.events.is_some() {
-            let after = self.run.plan.after(ExecutionState::Unknown);
-            if after != After::AgainIfAllowed || !self.run.may_repeat() {
+            let after = self.request.plan.after(ExecutionState::Unknown);
+            if after != After::AgainIfAllowed || !self.request.spend_retry() {
                 return false;
             }
-            if self.resume_once().await {
+            if self.resume_at_next_target().await {
                 return true;
             }
         }
         false
     }
 
-    async fn resume_once(&mut self) -> bool {
-        let run = &mut self.run;
-        if crashes::refuses(&run.gateway, &run.job).is_some() {
+    async fn resume_at_next_target(&mut self) -> bool {
+        let run = &mut self.request;
+        if crashes::quarantine_delay(&run.gateway, &run.job).is_some() {
             return false;
         }
-        let Ok(mut flight) = begin(&run.gateway, &run.job, &run.tried) else {
+        let Ok(mut flight) = reserve_target(&run.gateway, &run.job, &run.tried) else {
             return false;
         };
-        run.tried.push(flight.counted.choice.key);
+        run.tried.push(flight.in_flight.choice.key);
         let last = self.events.as_ref().and_then(Events::last);
         let last = last.map(str::to_owned);
-        let until = run.patience(&flight);
-        let sent = send(&run.gateway, &run.job, &mut flight, until, last.as_deref()).await;
+        let first_part_deadline = run.first_part_deadline(&flight);
+        let sent = send(
+            &run.gateway,
+            &run.job,
+            &mut flight,
+            first_part_deadline,
+            last.as_deref(),
+        )
+        .await;
         match sent {
             Ok(TargetAnswer::Stream { first, rest, .. }) => {
                 if let Some(events) = &mut self.events {
@@ -219,23 +235,23 @@
                 ];
                 run.gateway.log.write(Event::Resumed, &fields);
                 self.flight = flight;
-                self.rest = Some(rest);
-                self.silence.heard(self.run.gateway.now());
-                self.pass(first).await.is_ok()
+                self.upstream = Some(rest);
+                self.stall_timer.heard(self.request.gateway.now());
+                self.forward(first).await.is_ok()
             }
             Ok(TargetAnswer::Failure(_)) => {
                 // The target before it had served a part, so that the request is not to blame.
-                flight.failed();
-                run.note(&flight, FAILURE);
+                flight.record_failure();
+                run.log_failed_attempt(&flight, TARGET_FAILURE);
                 false
             }
             Ok(TargetAnswer::Whole(_)) => {
-                run.note(&flight, "no stream");
+                run.log_failed_attempt(&flight, "no stream");
                 false
             }
             Err(error) => {
-                run.note(&flight, error.what);
-                run.lost(&flight, error.loss).await;
+                run.log_failed_attempt(&flight, error.cause);
+                run.record_loss(&flight, error.crash_evidence).await;
                 false
             }
         }
@@ -243,33 +259,34 @@
 
     /// Ends a stream properly.
     fn finish(self) {
-        self.run.cleared();
-        self.run.done(&self.flight, StatusCode::OK, self.began);
-        self.feed.finish();
+        self.request.record_served();
+        self.request
+            .log_answered(&self.flight, StatusCode::OK, self.first_part_after);
+        self.downstream.finish();
     }
 
     /// Ends a stream before its end: the feed is dropped unfinished, so that the caller's
     /// connection breaks off.
-    fn over(self, what: &'static str) {
-        let quiet = self.silence.quiet(self.run.gateway.now());
-        let content = self.run.job.fingerprint().to_string();
+    fn abort(self, cause: &'static str) {
+        let gap = self.stall_timer.quiet(self.request.gateway.now());
+        let content = self.request.job.fingerprint().to_string();
         let fields = [
-            ("request", Field::Text(&self.run.job.id)),
+            ("request", Field::Text(&self.request.job.id)),
             ("content", Field::Text(&content)),
             ("target", Field::Text(&self.flight.instance)),
-            ("what", Field::Text(what)),
-            ("first_ms", Field::Millis(self.began)),
-            ("quiet_ms", Field::Millis(quiet)),
-            ("held_ms", Field::Millis(self.run.held())),
+            ("what", Field::Text(cause)),
+            ("first_ms", Field::Millis(self.first_part_after)),
+            ("quiet_ms", Field::Millis(gap)),
+            ("held_ms", Field::Millis(self.request.elapsed())),
         ];
-        self.run.gateway.metrics.missed(what);
-        self.run.gateway.log.write(Event::StreamCut, &fields);
+        self.request.gateway.metrics.count_failed_attempt(cause);
+        self.request.gateway.log.write(Event::StreamCut, &fields);
     }
 }
 
 /// Returns once a stream is silent.
-async fn quiet(gateway: &Gateway, silence: Silence) {
+async fn wait_for_stall(gateway: &Gateway, silence: Silence) {
     while let Heard::Until(at) = silence.at(gateway.now()) {
-        gateway.until(at).await;
+        gateway.sleep_until(at).await;
     }
 }
--- a/crates/peppercrank-gateway/src/reload.rs
+++ b/crates/peppercrank-gateway/src/reload.rs
@@ -17,46 +17,46 @@
 use tokio::time::sleep;
 
 use crate::gateway::Gateway;
-use crate::state::terms;
+use crate::state::retry_terms;
 
 /// Pause between looks at the file.
-const EVERY: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// `reload` keeps the settings up to date; an invalid file leaves the last good one in force.
-pub async fn reload(
+pub async fn keep_settings_current(
     gateway: Arc<Gateway>,
     path: PathBuf,
     settings: watch::Sender<Arc<GatewaySettings>>,
     mut hangup: Signal,
 ) {
     // The file may have changed since the settings in force were read, so the first look counts.
-    let mut seen = String::new();
+    let mut last_text = String::new();
     loop {
         tokio::select! {
             _ = hangup.recv() => {}
-            () = sleep(EVERY) => {}
+            () = sleep(CHECK_INTERVAL) => {}
         }
-        read(&gateway, &path, &settings, &mut seen);
+        reload_if_changed(&gateway, &path, &settings, &mut last_text);
     }
 }
 
-fn read(
+fn reload_if_changed(
     gateway: &Gateway,
     path: &Path,
     settings: &watch::Sender<Arc<GatewaySettings>>,
-    seen: &mut String,
+    last_text: &mut String,
 ) {
     // A file that cannot be read now may be about to be replaced; the next look tells.
     let Ok(text) = file::read(path) else {
         return;
     };
-    if text == *seen {
+    if text == *last_text {
         return;
     }
     match GatewaySettings::parse(&text) {
         Ok(new) if new == *settings.borrow().as_ref() => {}
         Ok(new) => {
-            gateway.state().budget.set(terms(&new));
+            gateway.state().retry_budget.set(retry_terms(&new));
             settings.send_replace(Arc::new(new));
             gateway.log.write(Event::SettingsRead, &[]);
         }
@@ -66,5 +66,5 @@
             gateway.log.write(Event::SettingsInvalid, &fields);
         }
     }
-    *seen = text;
+    *last_text = text;
 }
--- a/crates/peppercrank-gateway/src/role.rs
+++ b/crates/peppercrank-gateway/src/role.rs
@@ -31,17 +31,17 @@
 const EVACUATIONS_WAIT: Duration = Duration::from_millis(2_500);
 
 /// The same at a router that is told by others when it knows something else than they do; below the history that the store keeps.
-const EVACUATIONS_WAIT_TOLD: Duration = Duration::from_secs(18);
+const EVACUATIONS_WAIT_CONFIRMED: Duration = Duration::from_secs(18);
 
 /// Pause between calls for targets: each change ends a watch, and many come at once when a pool is
 /// replaced. A leaving target gets work for this much longer, a fifth of the usual bound.
 const TARGETS_PACE: Duration = Duration::from_millis(400);
 
 /// The same for each router of a large fleet, as all of them call after each change.
-const TARGETS_PACE_EACH: Duration = Duration::from_millis(25);
+const TARGETS_PACE_PER_ROUTER: Duration = Duration::from_millis(25);
 
 /// The longest pause between calls for targets: below half of the usual bound for a leaving target.
-const TARGETS_PACE_MOST: Duration = Duration::from_millis(900);
+const MAX_TARGETS_PACE: Duration = Duration::from_millis(900);
 
 /// Pause between confirmations of what is known of keys: below half of the usual bounds for a change to come
 /// in force, and a fifth of the usual bound on keys.
@@ -59,7 +59,7 @@
 
 /// `Role` is what a follower is for.
 #[derive(Debug, Clone)]
-pub enum Role {
+pub enum FollowerRole {
     /// Takes changes of the targets in as soon as they come.
     Targets,
     /// Takes changes of the routers in as soon as they come.
@@ -67,13 +67,13 @@
     /// Takes changes of the evacuated zones in as soon as they come.
     Evacuations(Confirmer),
     /// Takes changes of the configuration in as soon as they come, where others confirm it.
-    Watches(Confirmer),
+    WatchConfiguration(Confirmer),
     /// Confirms again and again that the configuration is the newest, and finds out when the store is
     /// back after an outage.
-    Confirms(Confirmer),
+    ConfirmConfiguration(Confirmer),
 }
 
-impl Role {
+impl FollowerRole {
     /// `kind` is the kind of entries that it follows.
     #[must_use]
     pub const fn kind(&self) -> Kind {
@@ -81,7 +81,7 @@
             Self::Targets => Kind::Targets,
             Self::Routers => Kind::Routers,
             Self::Evacuations(_) => Kind::Evacuations,
-            Self::Watches(_) | Self::Confirms(_) => Kind::Configuration,
+            Self::WatchConfiguration(_) | Self::ConfirmConfiguration(_) => Kind::Configuration,
         }
     }
 
@@ -92,9 +92,9 @@
             Self::Targets => TARGETS_WAIT,
             Self::Routers => ROUTERS_WAIT,
             Self::Evacuations(confirmer) if confirmer.asks_store() => EVACUATIONS_WAIT,
-            Self::Evacuations(_) => EVACUATIONS_WAIT_TOLD,
-            Self::Watches(_) => CONFIG_WAIT,
-            Self::Confirms(_) => CONFIRM_WAIT,
+            Self::Evacuations(_) => EVACUATIONS_WAIT_CONFIRMED,
+            Self::WatchConfiguration(_) => CONFIG_WAIT,
+            Self::ConfirmConfiguration(_) => CONFIRM_WAIT,
         }
     }
 
@@ -105,14 +105,14 @@
             Self::Targets => targets_pace(routers),
             Self::Routers => ROUTERS_PACE,
             Self::Evacuations(_) => EVACUATIONS_PACE,
-            Self::Watches(_) => CONFIG_PACE,
-            Self::Confirms(_) => CONFIRM_PACE,
+            Self::WatchConfiguration(_) => CONFIG_PACE,
+            Self::ConfirmConfiguration(_) => CONFIRM_PACE,
         }
     }
 }
 
 fn targets_pace(routers: usize) -> Duration {
     let routers = u32::try_from(routers).unwrap_or(u32::MAX);
-    let all = TARGETS_PACE_EACH.saturating_mul(routers);
-    all.clamp(TARGETS_PACE, TARGETS_PACE_MOST)
+    let all = TARGETS_PACE_PER_ROUTER.saturating_mul(routers);
+    all.clamp(TARGETS_PACE, MAX_TARGETS_PACE)
 }
--- a/crates/peppercrank-gateway/src/run.rs
+++ b/crates/peppercrank-gateway/src/run.rs
@@ -36,20 +36,20 @@
 use crate::crashes;
 use crate::follow::Follower;
 use crate::gateway::Gateway;
-use crate::gateway::SPARE;
+use crate::gateway::MAX_IDLE_PER_TARGET;
 use crate::gossip;
 use crate::outage::Outage;
 use crate::progress;
 use crate::register;
 use crate::reload;
-use crate::role::Role;
+use crate::role::FollowerRole;
 use crate::serve;
 use crate::store::Store;
 use crate::suspension;
 use crate::targets;
 
 /// Pause between looks at how many connections are kept.
-const SPARE_EVERY: Duration = Duration::from_millis(200);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// `run` serves until SIGTERM, then ends what is in progress.
 ///
@@ -66,36 +66,36 @@
 
 async fn serve(path: &Path, settings: GatewaySettings, log: Log) -> Result<()> {
     let mut terminate = signal(SignalKind::terminate()).map_err(Error::Start)?;
-    let running = Running::start(path, settings, log).await?;
-    let _given = terminate.recv().await;
-    running.finish().await
+    let running = RunningGateway::start(path, settings, log).await?;
+    let _signal = terminate.recv().await;
+    running.shutdown().await
 }
 
 /// `Running` is a gateway that serves.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningGateway {
     /// Where it takes callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where it answers the balancer.
-    pub ready: SocketAddr,
+    pub ready_address: SocketAddr,
     /// What its tasks share.
     pub gateway: Arc<Gateway>,
     store: Store,
-    stopper: Stopper,
+    serve_stopper: Stopper,
     /// The balancer and the metrics are answered until the process ends.
-    ending: Stopper,
-    serving: JoinHandle<Finished>,
+    admin_stopper: Stopper,
+    serve_task: JoinHandle<Finished>,
     tasks: JoinSet<()>,
 }
 
-impl Running {
+impl RunningGateway {
     /// `start` binds the sockets and starts all tasks; `path` is where the settings are read anew.
     ///
     /// # Errors
     ///
     /// Returns an error when a socket cannot be bound.
     pub async fn start(path: &Path, settings: GatewaySettings, log: Log) -> Result<Self> {
-        Self::start_by(Clock::start(), path, settings, log).await
+        Self::start_with_clock(Clock::start(), path, settings, log).await
     }
 
     /// `start_by` does the same by this clock.
@@ -103,14 +103,14 @@
     /// # Errors
     ///
     /// As for [`Self::start`].
-    pub async fn start_by(
+    pub async fn start_with_clock(
         clock: Clock,
         path: &Path,
         settings: GatewaySettings,
         log: Log,
     ) -> Result<Self> {
-        let (stopper, told) = stop();
-        let (ending, end) = stop();
+        let (serve_stopper, serve_stop) = stop();
+        let (admin_stopper, admin_stop) = stop();
         let edge = Edge::bind(settings.listen).await.map_err(Error::Bind)?;
         let ready = Edge::bind(settings.ready).await.map_err(Error::Bind)?;
         let socket = UdpSocket::bind(settings.peers)
@@ -119,30 +119,40 @@
         let peers = socket.local_addr().map_err(Error::Start)?;
         let hangup = signal(SignalKind::hangup()).map_err(Error::Start)?;
         let (dial, settings) = watch::channel(Arc::new(settings));
-        let gateway = Arc::new(Gateway::new(clock, settings, log, told.clone(), peers));
-        let (callers, asked) = (edge.local_addr(), ready.local_addr());
-        let address = callers.to_string();
+        let gateway = Arc::new(Gateway::new(
+            clock,
+            settings,
+            log,
+            serve_stop.clone(),
+            peers,
+        ));
+        let (caller_address, asked) = (edge.local_addr(), ready.local_addr());
+        let address = caller_address.to_string();
         let fields = [("listen", Field::Text(&address))];
         gateway.log.write(Event::Started, &fields);
 
-        let store = Store::new(gateway.settings().store, gateway.metrics.store_bytes());
+        let store = Store::new(
+            gateway.settings().store,
+            gateway.metrics.store_byte_counter(),
+        );
         let mut tasks = JoinSet::new();
         start_tasks(&mut tasks, &gateway, &store, Arc::new(socket));
-        let reading = reload::reload(Arc::clone(&gateway), path.to_owned(), dial, hangup);
+        let reading =
+            reload::keep_settings_current(Arc::clone(&gateway), path.to_owned(), dial, hangup);
         tasks.spawn(reading);
-        serve_admin(&gateway, ready, &end).await?;
-        tasks.spawn(follow_spare(Arc::clone(&gateway)));
+        serve_admin(&gateway, ready, &admin_stop).await?;
+        tasks.spawn(adjust_idle_connections(Arc::clone(&gateway)));
         let limits = gateway.limits.subscribe();
         let shared = Arc::clone(&gateway);
-        let answer = move |call| serve::answer(Arc::clone(&shared), call);
+        let answer = move |call| serve::answer_call(Arc::clone(&shared), call);
         Ok(Self {
-            callers,
-            ready: asked,
+            caller_address,
+            ready_address: asked,
             gateway,
             store,
-            stopper,
-            ending,
-            serving: tokio::spawn(edge.serve_within(limits, told, answer)),
+            serve_stopper,
+            admin_stopper,
+            serve_task: tokio::spawn(edge.serve_within(limits, serve_stop, answer)),
             tasks,
         })
     }
@@ -152,13 +162,13 @@
     /// # Errors
     ///
     /// Returns an error when the task that serves failed.
-    pub async fn finish(mut self) -> Result<()> {
+    pub async fn shutdown(mut self) -> Result<()> {
         self.gateway.log.write(Event::Stopping, &[]);
-        self.stopper.stop();
-        let finished = self.serving.await.map_err(|e| Error::Start(e.into()))?;
+        self.serve_stopper.stop();
+        let finished = self.serve_task.await.map_err(|e| Error::Start(e.into()))?;
         self.tasks.shutdown().await;
-        register::leave(&self.gateway, &self.store).await;
-        self.ending.stop();
+        register::deregister(&self.gateway, &self.store).await;
+        self.admin_stopper.stop();
         let fields = [("cut", Field::Number(finished.cut))];
         self.gateway.log.write(Event::Stopped, &fields);
         Ok(())
@@ -174,28 +184,37 @@
 ) {
     let outage = Outage::default();
     let confirmer = Confirmer::new(gateway, &socket);
-    let pruning = register::prune(Arc::clone(gateway), store.clone(), confirmer.clone());
+    let pruning = register::prune_routers(Arc::clone(gateway), store.clone(), confirmer.clone());
     tasks.spawn(pruning);
     for role in [
-        Role::Confirms(confirmer.clone()),
-        Role::Evacuations(confirmer.clone()),
-        Role::Watches(confirmer),
-        Role::Targets,
-        Role::Routers,
+        FollowerRole::ConfirmConfiguration(confirmer.clone()),
+        FollowerRole::Evacuations(confirmer.clone()),
+        FollowerRole::WatchConfiguration(confirmer),
+        FollowerRole::Targets,
+        FollowerRole::Routers,
     ] {
         tasks.spawn(Follower::new(gateway, store, role, &outage).run());
     }
-    tasks.spawn(suspension::watch(
+    tasks.spawn(suspension::watch_suspensions(
         Arc::clone(gateway),
         store.clone(),
         outage,
     ));
-    tasks.spawn(targets::expire(Arc::clone(gateway)));
-    tasks.spawn(progress::tell(Arc::clone(gateway)));
-    tasks.spawn(register::register(Arc::clone(gateway), store.clone()));
-    tasks.spawn(gossip::tell(Arc::clone(gateway), Arc::clone(&socket)));
-    tasks.spawn(crashes::tell(Arc::clone(gateway), Arc::clone(&socket)));
-    tasks.spawn(gossip::hear(Arc::clone(gateway), socket));
+    tasks.spawn(targets::expire_targets(Arc::clone(gateway)));
+    tasks.spawn(progress::log_in_progress(Arc::clone(gateway)));
+    tasks.spawn(register::keep_registered(
+        Arc::clone(gateway),
+        store.clone(),
+    ));
+    tasks.spawn(gossip::send_summaries(
+        Arc::clone(gateway),
+        Arc::clone(&socket),
+    ));
+    tasks.spawn(crashes::send_crash_reports(
+        Arc::clone(gateway),
+        Arc::clone(&socket),
+    ));
+    tasks.spawn(gossip::receive(Arc::clone(gateway), socket));
 }
 
 /// Serves the balancer and the metrics until the process ends.
@@ -220,14 +239,14 @@
 }
 
 /// Keeps as many connections to targets as their number of connections and that of the routers allow.
-async fn follow_spare(gateway: Arc<Gateway>) {
+async fn adjust_idle_connections(gateway: Arc<Gateway>) {
     loop {
-        sleep(SPARE_EVERY).await;
+        sleep(IDLE_CHECK_INTERVAL).await;
         let Some(index) = gateway.state().config.index().cloned() else {
             continue;
         };
-        let routers = gateway.state().sharers(gateway.now());
-        let spare = desired::spare(&index.desired().pools, routers, SPARE);
+        let routers = gateway.state().router_count(gateway.now());
+        let spare = desired::spare(&index.desired().pools, routers, MAX_IDLE_PER_TARGET);
         gateway.client.set_spare(spare);
     }
 }
--- a/crates/peppercrank-gateway/src/serve.rs
+++ b/crates/peppercrank-gateway/src/serve.rs
@@ -27,13 +27,13 @@
 use peppercrank_wire::edge::refuse_body;
 
 use crate::attempt::AttemptError;
-use crate::attempt::FAILURE;
-use crate::attempt::Loss;
+use crate::attempt::CrashEvidence;
+use crate::attempt::TARGET_FAILURE;
 use crate::attempt::TargetAnswer;
 use crate::attempt::WholeAnswer;
 use crate::attempt::send;
-use crate::choose::begin;
-use crate::choose::could_begin;
+use crate::choose::can_reserve_target;
+use crate::choose::reserve_target;
 use crate::crashes;
 use crate::flight::Flight;
 use crate::gateway::Gateway;
@@ -41,31 +41,31 @@
 use crate::refuse::Reason;
 use crate::refuse::refuse;
 use crate::relay;
-use crate::state::OpenKey;
+use crate::state::InProgressKey;
 
 /// Part of the wanted time after which a repeatable request is tried elsewhere.
-const PATIENCE: f64 = 0.5;
+const RETRY_AFTER_SHARE: f64 = 0.5;
 
 /// Multiple of the predicted time that a repeatable request waits at least.
-const SLACK: f64 = 4.0;
+const PREDICTION_FACTOR: f64 = 4.0;
 
 /// `answer` answers one call.
-pub async fn answer(gateway: Arc<Gateway>, call: Call) -> Reply {
-    let begun = gateway.now();
+pub async fn answer_call(gateway: Arc<Gateway>, call: Call) -> Reply {
+    let received_at = gateway.now();
     let body = match call.body.read().await {
         Ok(body) => body,
         Err(e) => return refuse_body(e),
     };
     let id = call::id(&call.head.headers).to_owned();
-    match Job::judge(&gateway, begun, call.head, body) {
-        Ok(job) => carry(&gateway, Arc::new(job)).await,
+    match Job::from_request(&gateway, received_at, call.head, body) {
+        Ok(job) => process(&gateway, Arc::new(job)).await,
         Err(reason) => {
-            gateway.metrics.refused(reason);
+            gateway.metrics.count_refusal(reason);
             let fields = [
                 ("request", Field::Text(&id)),
                 ("reason", Field::Text(reason.code())),
             ];
-            let fields = [&fields[..], &gateway.beliefs().fields()[..]].concat();
+            let fields = [&fields[..], &gateway.state_summary().log_fields()[..]].concat();
             gateway.log.write(Event::Refused, &fields);
             refuse(reason, SOONEST)
         }
@@ -73,44 +73,44 @@
 }
 
 /// Carries a judged request to its answer.
-async fn carry(gateway: &Arc<Gateway>, job: Arc<Job>) -> Reply {
+async fn process(gateway: &Arc<Gateway>, job: Arc<Job>) -> Reply {
     let now = gateway.now();
-    gateway.state().budget.request(now, &job.pool);
-    let mut run = Run {
-        open: Arc::new(Open::new(gateway, &job)),
+    gateway.state().retry_budget.request(now, &job.pool);
+    let mut request = ActiveRequest {
+        in_progress: Arc::new(InProgressGuard::new(gateway, &job)),
         gateway: Arc::clone(gateway),
-        plan: Plan::new(job.kind.repeats(), job.attempts),
+        plan: Plan::new(job.kind.repeats(), job.max_attempts),
         tried: Vec::new(),
-        after: SOONEST,
+        retry_after: SOONEST,
         attribution: Attribution::default(),
         failure: None,
         job,
     };
     loop {
-        if let Next::Answer(reply) = run.attempt().await {
+        if let NextStep::Answer(reply) = request.attempt().await {
             return reply;
         }
     }
 }
 
 /// `Next` is what follows an attempt.
-enum Next {
+enum NextStep {
     /// The answer.
     Answer(Reply),
     /// Another attempt.
-    Again,
+    Retry,
 }
 
 /// `Open` counts a request as in progress until it is dropped.
 #[derive(Debug)]
-pub struct Open {
+pub struct InProgressGuard {
     gateway: Arc<Gateway>,
-    key: OpenKey,
+    key: InProgressKey,
 }
 
-impl Open {
+impl InProgressGuard {
     fn new(gateway: &Arc<Gateway>, job: &Job) -> Self {
-        let key = gateway.state().open.insert(job.id.clone());
+        let key = gateway.state().in_progress.insert(job.id.clone());
         Self {
             gateway: Arc::clone(gateway),
             key,
@@ -118,17 +118,17 @@
     }
 }
 
-impl Drop for Open {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
-        self.gateway.state().open.remove(self.key);
+        self.gateway.state().in_progress.remove(self.key);
     }
 }
 
 /// `Run` is one request over its attempts.
 #[derive(Debug, Clone)]
-pub struct Run {
+pub struct ActiveRequest {
     /// That it is in progress.
-    pub open: Arc<Open>,
+    pub in_progress: Arc<InProgressGuard>,
     /// What all tasks share.
     pub gateway: Arc<Gateway>,
     /// The request.
@@ -138,54 +138,65 @@
     /// The targets that it was sent to.
     pub tried: Vec<TargetKey>,
     /// When its caller may fare better, if it is refused.
-    pub after: Duration,
+    pub retry_after: Duration,
     /// The targets that answered it with a failure.
     attribution: Attribution,
     /// A target's failure, to pass on if nothing better comes.
     failure: Option<WholeAnswer>,
 }
 
-impl Run {
-    async fn attempt(&mut self) -> Next {
+impl ActiveRequest {
+    async fn attempt(&mut self) -> NextStep {
         if self.gateway.now() >= self.job.deadline {
-            return Next::Answer(self.give_up(Reason::Late));
+            return NextStep::Answer(self.give_up(Reason::Late));
         }
-        if let Some(next) = self.refuse_quarantined() {
+        if let Some(next) = self.refuse_if_quarantined() {
             return next;
         }
-        let mut flight = match begin(&self.gateway, &self.job, &self.tried) {
+        let mut flight = match reserve_target(&self.gateway, &self.job, &self.tried) {
             Ok(flight) => flight,
             Err(rejection) => {
-                self.after = rejection.after;
-                return Next::Answer(self.give_up(rejection.reason));
+                self.retry_after = rejection.retry_after;
+                return NextStep::Answer(self.give_up(rejection.reason));
             }
         };
-        self.tried.push(flight.counted.choice.key);
-        let until = self.patience(&flight);
-        let sent = send(&self.gateway, &self.job, &mut flight, until, None).await;
+        self.tried.push(flight.in_flight.choice.key);
+        let first_part_deadline = self.first_part_deadline(&flight);
+        let sent = send(
+            &self.gateway,
+            &self.job,
+            &mut flight,
+            first_part_deadline,
+            None,
+        )
+        .await;
         match sent {
-            Ok(answer) => self.take(flight, answer),
-            Err(error) => self.miss(&flight, error).await,
+            Ok(answer) => self.handle_answer(flight, answer),
+            Err(error) => self.handle_error(&flight, error).await,
         }
     }
 
     /// Refuses the request where it is kept from targets.
-    fn refuse_quarantined(&mut self) -> Option<Next> {
-        self.after = crashes::refuses(&self.gateway, &self.job)?;
-        Some(Next::Answer(self.give_up(Reason::CrashesTargets)))
+    fn refuse_if_quarantined(&mut self) -> Option<NextStep> {
+        self.retry_after = crashes::quarantine_delay(&self.gateway, &self.job)?;
+        Some(NextStep::Answer(self.give_up(Reason::CrashesTargets)))
     }
 
     /// `lost` notes how an attempt was lost, where its target may have ended under the request.
-    pub async fn lost(&self, flight: &Flight, loss: Loss) {
-        match loss {
-            Loss::Other => {}
-            Loss::BrokenOff => crashes::broke_off(&self.gateway, &self.job, flight).await,
-            Loss::StartedAgain => crashes::started_again(&self.gateway, &self.job, flight),
+    pub async fn record_loss(&self, flight: &Flight, crash_evidence: CrashEvidence) {
+        match crash_evidence {
+            CrashEvidence::None => {}
+            CrashEvidence::ConnectionLost => {
+                crashes::check_for_crash(&self.gateway, &self.job, flight).await;
+            }
+            CrashEvidence::TargetRestarted => {
+                crashes::record_restart(&self.gateway, &self.job, flight);
+            }
         }
     }
 
     /// `cleared` notes that a target served the request whole.
-    pub fn cleared(&self) {
+    pub fn record_served(&self) {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
         if !state.quarantine.is_empty() {
@@ -195,34 +206,37 @@
 
     /// `patience` is how long this attempt may take to its answer's first part.
     #[must_use]
-    pub fn patience(&self, flight: &Flight) -> Moment {
-        let more = self.job.kind.repeats() && self.plan.sends() + 1 < self.job.attempts;
+    pub fn first_part_deadline(&self, flight: &Flight) -> Moment {
+        let may_retry = self.job.kind.repeats() && self.plan.sends() + 1 < self.job.max_attempts;
         // An attempt that nothing may follow is waited for: its answer may still come.
-        if !more || !self.could_repeat() {
+        if !may_retry || !self.can_retry() {
             return self.job.deadline;
         }
-        let wanted = self.job.goal.mul_f64(PATIENCE);
-        let predicted =
-            Duration::from_secs_f64(flight.counted.choice.first.max(0.0) * SLACK / 1_000.0);
-        (flight.counted.sent + wanted.max(predicted)).min(self.job.deadline)
+        let wanted = self.job.goal.mul_f64(RETRY_AFTER_SHARE);
+        let predicted = Duration::from_secs_f64(
+            flight.in_flight.choice.first.max(0.0) * PREDICTION_FACTOR / 1_000.0,
+        );
+        (flight.in_flight.sent + wanted.max(predicted)).min(self.job.deadline)
     }
 
     /// Takes a target's answer: passes it on, or tries elsewhere after a failure.
-    fn take(&mut self, flight: Flight, answer: TargetAnswer) -> Next {
+    fn handle_answer(&mut self, flight: Flight, answer: TargetAnswer) -> NextStep {
         match answer {
             TargetAnswer::Whole(whole) => {
-                self.settle(End::Served);
-                self.cleared();
-                self.gateway.metrics.answered(self.job.kind, self.held());
-                self.done(&flight, whole.status, self.held());
-                Next::Answer(whole_reply(whole))
+                self.settle_failures(End::Served);
+                self.record_served();
+                self.gateway
+                    .metrics
+                    .observe_answer(self.job.kind, self.elapsed());
+                self.log_answered(&flight, whole.status, self.elapsed());
+                NextStep::Answer(whole_reply(whole))
             }
             TargetAnswer::Failure(whole) => {
                 self.attribution.suspect(flight.suspect());
-                self.note(&flight, FAILURE);
+                self.log_failed_attempt(&flight, TARGET_FAILURE);
                 let after = self.plan.after(ExecutionState::Failed);
                 self.failure = Some(whole);
-                self.follow(after, Reason::Failed)
+                self.retry_or_give_up(after, Reason::Failed)
             }
             TargetAnswer::Stream {
                 status,
@@ -230,84 +244,86 @@
                 first,
                 rest,
             } => {
-                self.settle(End::Served);
-                self.gateway.metrics.answered(self.job.kind, self.held());
+                self.settle_failures(End::Served);
+                self.gateway
+                    .metrics
+                    .observe_answer(self.job.kind, self.elapsed());
                 let body = relay::start(self, flight, first, rest);
-                Next::Answer(reply(status, headers, body))
+                NextStep::Answer(reply(status, headers, body))
             }
         }
     }
 
     /// Counts the failures that targets answered at those against which they speak.
-    fn settle(&mut self, end: End) {
+    fn settle_failures(&mut self, end: End) {
         for suspect in self.attribution.settle(end) {
             self.gateway.count_failure(&suspect);
         }
     }
 
     /// Follows up an attempt that gave no answer.
-    async fn miss(&mut self, flight: &Flight, error: AttemptError) -> Next {
-        self.note(flight, error.what);
-        self.lost(flight, error.loss).await;
+    async fn handle_error(&mut self, flight: &Flight, error: AttemptError) -> NextStep {
+        self.log_failed_attempt(flight, error.cause);
+        self.record_loss(flight, error.crash_evidence).await;
         let after = self.plan.after(error.execution);
         // Before it takes a repeat from the fleet's budget.
-        if let Some(next) = self.refuse_quarantined() {
+        if let Some(next) = self.refuse_if_quarantined() {
             return next;
         }
         let reason = match error.execution {
             ExecutionState::NotSent | ExecutionState::NotRun => Reason::Refused,
             ExecutionState::Unknown | ExecutionState::Failed => Reason::Failed,
         };
-        self.follow(after, reason)
+        self.retry_or_give_up(after, reason)
     }
 
-    fn follow(&mut self, after: After, reason: Reason) -> Next {
+    fn retry_or_give_up(&mut self, after: After, reason: Reason) -> NextStep {
         match after {
-            After::Again => Next::Again,
-            After::AgainIfAllowed if self.may_repeat() => Next::Again,
+            After::Again => NextStep::Retry,
+            After::AgainIfAllowed if self.spend_retry() => NextStep::Retry,
             After::AgainIfAllowed | After::Refuse | After::Fail => {
-                Next::Answer(self.give_up(reason))
+                NextStep::Answer(self.give_up(reason))
             }
         }
     }
 
     /// Whether a repeat is worth while and the fleet's budget has one: where all targets of the pool are
     /// slow by their load, another one would be no faster.
-    fn could_repeat(&self) -> bool {
+    fn can_retry(&self) -> bool {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
         let admission = state.admission.get(&self.job.pool);
         if admission.is_some_and(Admission::is_overloaded) {
             return false;
         }
-        let routers = state.sharers(now);
-        state.budget.can_spend(now, &self.job.pool, routers)
+        let routers = state.router_count(now);
+        state.retry_budget.can_spend(now, &self.job.pool, routers)
     }
 
     /// `could_go_on` tells whether another run may go on where this one is given up.
     #[must_use]
-    pub fn could_go_on(&self) -> bool {
+    pub fn can_fail_over(&self) -> bool {
         let mut plan = self.plan;
         let may = plan.after(ExecutionState::Unknown) == After::AgainIfAllowed;
-        may && self.could_repeat() && could_begin(&self.gateway, &self.job, &self.tried)
+        may && self.can_retry() && can_reserve_target(&self.gateway, &self.job, &self.tried)
     }
 
     /// `may_repeat` takes a repeat from the fleet's budget, if it has one.
-    pub fn may_repeat(&self) -> bool {
+    pub fn spend_retry(&self) -> bool {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
-        let routers = state.sharers(now);
-        let may = state.budget.spend(now, &self.job.pool, routers);
+        let routers = state.router_count(now);
+        let allowed = state.retry_budget.spend(now, &self.job.pool, routers);
         drop(state);
-        self.gateway.metrics.repeated(may);
-        may
+        self.gateway.metrics.count_retry(allowed);
+        allowed
     }
 
     /// Ends the request with the best answer that there is.
     fn give_up(&mut self, reason: Reason) -> Reply {
-        self.settle(End::Failed);
+        self.settle_failures(End::Failed);
         if let Some(whole) = self.failure.take() {
-            self.passed_on(whole.status);
+            self.log_forwarded_failure(whole.status);
             return whole_reply(whole);
         }
         let late = self.gateway.now() >= self.job.deadline;
@@ -317,16 +333,16 @@
             (false, true) => Reason::Late,
             (false, false) => reason,
         };
-        self.gateway.metrics.refused(reason);
+        self.gateway.metrics.count_refusal(reason);
         let fields = [
             ("request", Field::Text(&self.job.id)),
             ("route", Field::Text(&self.job.route)),
             ("reason", Field::Text(reason.code())),
             ("attempts", Field::Number(u64::from(self.plan.sends()))),
-            ("judged_by", Field::Number(self.job.version)),
-            ("held_ms", Field::Millis(self.held())),
+            ("judged_by", Field::Number(self.job.config_version)),
+            ("held_ms", Field::Millis(self.elapsed())),
         ];
-        let mut fields = [&fields[..], &self.gateway.beliefs().fields()[..]].concat();
+        let mut fields = [&fields[..], &self.gateway.state_summary().log_fields()[..]].concat();
         // Made for these alone: a flood is refused by the thousand.
         let quarantined = reason == Reason::CrashesTargets;
         let content = quarantined.then(|| self.job.fingerprint().to_string());
@@ -334,38 +350,38 @@
             fields.push(("content", Field::Text(content)));
         }
         self.gateway.log.write(Event::Refused, &fields);
-        refuse(reason, self.after)
+        refuse(reason, self.retry_after)
     }
 
     /// Notes a target's failure that is passed on.
-    fn passed_on(&self, status: StatusCode) {
+    fn log_forwarded_failure(&self, status: StatusCode) {
         let fields = [
             ("request", Field::Text(&self.job.id)),
             ("route", Field::Text(&self.job.route)),
             ("status", Field::Number(u64::from(status.as_u16()))),
             ("attempts", Field::Number(u64::from(self.plan.sends()))),
-            ("version", Field::Number(self.job.version)),
-            ("held_ms", Field::Millis(self.held())),
+            ("version", Field::Number(self.job.config_version)),
+            ("held_ms", Field::Millis(self.elapsed())),
         ];
         self.gateway.log.write(Event::Answered, &fields);
     }
 
     /// `held` is how long the request has been here.
     #[must_use]
-    pub fn held(&self) -> Duration {
-        self.gateway.now().since(self.job.begun)
+    pub fn elapsed(&self) -> Duration {
+        self.gateway.now().since(self.job.received_at)
     }
 
     /// Notes an attempt that gave nothing.
-    pub fn note(&self, flight: &Flight, what: &'static str) {
-        self.gateway.metrics.missed(what);
+    pub fn log_failed_attempt(&self, flight: &Flight, cause: &'static str) {
+        self.gateway.metrics.count_failed_attempt(cause);
         let content = self.job.fingerprint().to_string();
         let fields = [
             ("request", Field::Text(&self.job.id)),
             ("content", Field::Text(&content)),
             ("attempt", Field::Number(u64::from(self.plan.sends()))),
             ("target", Field::Text(&flight.instance)),
-            ("what", Field::Text(what)),
+            ("what", Field::Text(cause)),
             ("leaving", Field::Number(u64::from(flight.notice.leaving))),
             (
                 "pause_ms",
@@ -373,39 +389,42 @@
             ),
             (
                 "predicted_ms",
-                Field::Number(whole(flight.counted.choice.first)),
+                Field::Number(whole_millis(flight.in_flight.choice.first)),
             ),
-            ("held_ms", Field::Millis(self.held())),
+            ("held_ms", Field::Millis(self.elapsed())),
         ];
         self.gateway.log.write(Event::AttemptFailed, &fields);
     }
 
     /// `done` notes an answer that was passed on to its end, and when its first part came.
-    pub fn done(&self, flight: &Flight, status: StatusCode, first: Duration) {
+    pub fn log_answered(&self, flight: &Flight, status: StatusCode, first_part_after: Duration) {
         let fields = [
             ("request", Field::Text(&self.job.id)),
             ("route", Field::Text(&self.job.route)),
             ("target", Field::Text(&flight.instance)),
             ("status", Field::Number(u64::from(status.as_u16()))),
             ("attempts", Field::Number(u64::from(self.plan.sends()) + 1)),
-            ("version", Field::Number(self.job.version)),
-            ("reading", Field::Number(flight.counted.choice.reading)),
+            ("version", Field::Number(self.job.config_version)),
+            ("reading", Field::Number(flight.in_flight.choice.reading)),
             (
                 "copy",
-                Field::Number(flight.counted.choice.copy.map_or(0, |(_, tokens)| tokens)),
+                Field::Number(flight.in_flight.choice.copy.map_or(0, |(_, tokens)| tokens)),
             ),
             (
                 "unknown",
-                Field::Number(u64::from(flight.counted.choice.unknown)),
+                Field::Number(u64::from(flight.in_flight.choice.unknown)),
+            ),
+            (
+                "home",
+                Field::Number(u64::from(flight.in_flight.choice.home)),
             ),
-            ("home", Field::Number(u64::from(flight.counted.choice.home))),
             (
                 "predicted_ms",
-                Field::Number(whole(flight.counted.choice.first)),
+                Field::Number(whole_millis(flight.in_flight.choice.first)),
             ),
             ("leaving", Field::Number(u64::from(flight.notice.leaving))),
-            ("first_ms", Field::Millis(first)),
-            ("held_ms", Field::Millis(self.held())),
+            ("first_ms", Field::Millis(first_part_after)),
+            ("held_ms", Field::Millis(self.elapsed())),
         ];
         self.gateway.log.write(Event::Answered, &fields);
     }
@@ -417,7 +436,7 @@
     clippy::cast_sign_loss,
     reason = "a prediction is not negative, and a log line needs no more"
 )]
-fn whole(millis: f64) -> u64 {
+fn whole_millis(millis: f64) -> u64 {
     millis as u64
 }
 
--- a/crates/peppercrank-gateway/src/state.rs
+++ b/crates/peppercrank-gateway/src/state.rs
@@ -48,7 +48,7 @@
     /// How old the knowledge of keys is.
     pub freshness: Freshness,
     /// The question to another router that is on its way.
-    pub asked: Option<Asked>,
+    pub pending_question: Option<Asked>,
     /// How far the configuration was read.
     pub catch_up: CatchUp,
     /// The store's eras.
@@ -56,15 +56,15 @@
     /// The targets there are.
     pub directory: Directory,
     /// Since when the store does not answer this router.
-    pub away: Option<Moment>,
+    pub store_away_since: Option<Moment>,
     /// When peers' work was heard of last.
-    pub heard: Moment,
+    pub peers_heard_at: Moment,
     /// What is known of each target.
     pub board: Board,
     /// Targets by their names on datagrams.
-    pub names: HashMap<TargetId, TargetKey>,
+    pub keys_by_id: HashMap<TargetId, TargetKey>,
     /// What lines say of the targets, also of those just gone.
-    pub labels: SecondaryMap<TargetKey, Label>,
+    pub target_info: SecondaryMap<TargetKey, TargetInfo>,
     /// Tells attempts that their target's start has ended.
     pub terminations: Terminations,
     /// Who holds which part of a prompt.
@@ -74,24 +74,24 @@
     /// Who is admitted to each pool.
     pub admission: HashMap<Arc<str>, Admission>,
     /// The fleet's retry budget.
-    pub budget: RetryBudget,
+    pub retry_budget: RetryBudget,
     /// Requests under which targets ended.
     pub quarantine: Quarantine,
     /// Keeps requests from cold targets.
-    pub gate: Gate,
+    pub warm_up_gate: Gate,
     /// What other routers told.
     pub peers: Peers,
     /// Where the other registered routers take datagrams.
-    pub routers: HashMap<Arc<str>, Registered>,
+    pub routers: HashMap<Arc<str>, RegisteredRouter>,
     /// The ids of the requests in progress.
-    pub open: SlotMap<OpenKey, String>,
+    pub in_progress: SlotMap<InProgressKey, String>,
     /// News of who holds what, for the peers.
     pub outbox: Outbox,
 }
 
 /// `Label` is what lines say of a target's start.
 #[derive(Debug, Clone, Default)]
-pub struct Label {
+pub struct TargetInfo {
     /// The target's name.
     pub instance: Arc<str>,
     /// Which of its starts it is.
@@ -100,10 +100,10 @@
     pub address: Option<SocketAddr>,
 }
 
-impl Label {
+impl TargetInfo {
     /// `of` is the label of a registered start.
     #[must_use]
-    pub fn of(registration: &Registration) -> Self {
+    pub fn from_registration(registration: &Registration) -> Self {
         Self {
             instance: Arc::clone(&registration.instance),
             start: registration.start,
@@ -114,23 +114,23 @@
 
 /// `Registered` is another router's entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Registered {
+pub struct RegisteredRouter {
     /// Where it takes datagrams.
     pub address: SocketAddr,
     /// The revision of its entry.
     pub revision: u64,
     /// When it was heard of last, or its entry was read.
-    pub heard: Moment,
+    pub last_heard: Moment,
 }
 
 new_key_type! {
     /// `OpenKey` names one request in progress.
-    pub struct OpenKey;
+    pub struct InProgressKey;
 }
 
 /// `terms` are the bounds on repeats that the settings give.
 #[must_use]
-pub fn terms(settings: &GatewaySettings) -> Terms {
+pub fn retry_terms(settings: &GatewaySettings) -> Terms {
     Terms {
         share: settings.retry.share,
         extra: f64::from(settings.retry.extra),
@@ -145,25 +145,25 @@
         Self {
             config: InForce::default(),
             freshness: Freshness::new(settings.keys.map(|k| k.revoke)),
-            asked: None,
+            pending_question: None,
             catch_up: CatchUp::default(),
             eras: Eras::default(),
             directory: Directory::default(),
-            away: None,
-            heard: now,
+            store_away_since: None,
+            peers_heard_at: now,
             board: Board::default(),
-            names: HashMap::new(),
-            labels: SecondaryMap::new(),
+            keys_by_id: HashMap::new(),
+            target_info: SecondaryMap::new(),
             terminations: Terminations::default(),
             prefixes: Prefixes::default(),
             rates: HashMap::new(),
             admission: HashMap::new(),
-            budget: RetryBudget::new(now, terms(settings)),
+            retry_budget: RetryBudget::new(now, retry_terms(settings)),
             quarantine: Quarantine::default(),
-            gate: Gate::default(),
+            warm_up_gate: Gate::default(),
             peers: Peers::default(),
             routers: HashMap::new(),
-            open: SlotMap::with_key(),
+            in_progress: SlotMap::with_key(),
             outbox: Outbox::default(),
         }
     }
@@ -174,7 +174,7 @@
         self.catch_up.forget();
         for router in self.routers.values_mut() {
             // Its entry's revision names another state of it; until it is read anew none is removed by it.
-            router.heard = now;
+            router.last_heard = now;
         }
     }
 
@@ -182,14 +182,20 @@
     pub fn forget(&mut self, key: TargetKey) {
         self.board.forget(key);
         self.prefixes.forget(key);
-        self.names.retain(|_, k| *k != key);
+        self.keys_by_id.retain(|_, k| *k != key);
         self.terminations.forget(key);
-        self.gate.forget(key);
-        self.labels.remove(key);
+        self.warm_up_gate.forget(key);
+        self.target_info.remove(key);
     }
 
     /// `sent` notes that a target was sent these parts, and tells the peers what is news.
-    pub fn sent(&mut self, now: Moment, choice: &Choice, target: TargetId, parts: &[Part]) {
+    pub fn record_sent_parts(
+        &mut self,
+        now: Moment,
+        choice: &Choice,
+        target: TargetId,
+        parts: &[Part],
+    ) {
         for part in parts {
             if self.prefixes.note(now, choice.key, part.chain) {
                 let chain = part.chain;
@@ -202,21 +208,21 @@
     /// `routers_changed` notes that other routers registered or went.
     pub fn routers_changed(&mut self, own: &str) {
         let others = self.routers.keys().map(|name| &**name);
-        self.gate.members.set(own, others);
+        self.warm_up_gate.members.set(own, others);
     }
 
     /// `cold_until` is until when a target counts as cold, in a pool whose targets warm up for so long.
     #[must_use]
     pub fn cold_until(&self, key: TargetKey, lasts: Duration) -> Moment {
-        let told = self.directory.cold_until(key, lasts);
-        let unreachable = self.gate.was_unreachable(key);
-        unreachable.map_or(told, |at| told.max(at + lasts + MARGIN))
+        let from_entry = self.directory.cold_until(key, lasts);
+        let unreachable = self.warm_up_gate.was_unreachable(key);
+        unreachable.map_or(from_entry, |at| from_entry.max(at + lasts + MARGIN))
     }
 
     /// `sharers` is how many routers share the retry budget: those registered, those heard of,
     /// and this one.
     #[must_use]
-    pub fn sharers(&self, now: Moment) -> usize {
+    pub fn router_count(&self, now: Moment) -> usize {
         self.routers.len().max(self.peers.alive(now)) + 1
     }
 }
