--- a/crates/peppercrank-gateway/src/store.rs
+++ b/crates/peppercrank-gateway/src/store.rs
@@ -26,24 +26,24 @@
 use tokio::time::timeout;
 
 /// Time for a connection to the store.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time for which a connection to the store is kept; it serves a call each second or so.
-const KEEP: Duration = Duration::from_secs(30);
+const KEEP_ALIVE: Duration = Duration::from_secs(30);
 
 /// Connections kept: one for each kind of entries that is followed, and one for writes.
-const SPARE: usize = 5;
+const MAX_IDLE_CONNECTIONS: usize = 5;
 
 /// Time between two parts of an answer. A link that is shared with streams may be slow, but one that brings
 /// nothing for so long is cut: a round trip, and a packet that was lost and sent again.
-const PART: Duration = Duration::from_millis(1_200);
+const PART_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Time for a whole answer from its head on: a mebibyte, near which the store ends its answers, over a tenth
 /// of the slowest link. It bounds a store that never ends one.
-const WHOLE: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time for the answer to a write.
-const WRITE: Duration = Duration::from_millis(1_500);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// `Store` calls the platform's store.
 #[derive(Debug, Clone)]
@@ -51,12 +51,12 @@
     client: Client,
     address: SocketAddr,
     /// Counts the bytes of answers, also of those that were given up.
-    bytes: Counter,
+    bytes_read: Counter,
 }
 
 /// `Ended` is how a call ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ended {
+pub enum CallResult {
     /// With this answer.
     Done(Bytes),
     /// The history asked for is gone.
@@ -66,34 +66,34 @@
     /// There is no such entry.
     Missing,
     /// Refused, with nothing done.
-    Refused(StatusCode),
+    Rejected(StatusCode),
     /// Without an answer: it may have been done.
-    Lost,
+    NoAnswer,
     /// The answer began and broke off.
-    Cut,
+    Truncated,
 }
 
 /// `Outcome` is how a call ended, and of which era of the store its answer tells.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Outcome {
+pub struct CallOutcome {
     /// How it ended.
-    pub ended: Ended,
+    pub result: CallResult,
     /// The era; none without an answer, or of a store that tells none.
     pub era: Option<Era>,
 }
 
-impl Outcome {
+impl CallOutcome {
     /// `lost` is that of a call without an answer.
     #[must_use]
-    pub const fn lost() -> Self {
+    pub const fn no_answer() -> Self {
         Self {
-            ended: Ended::Lost,
+            result: CallResult::NoAnswer,
             era: None,
         }
     }
 }
 
-impl Ended {
+impl CallResult {
     /// `code` is the outcome's stable name in metrics.
     #[must_use]
     pub const fn code(&self) -> &'static str {
@@ -102,9 +102,9 @@
             Self::HistoryGone => "history_gone",
             Self::Conflict => "conflict",
             Self::Missing => "missing",
-            Self::Refused(_) => "refused",
-            Self::Lost => "lost",
-            Self::Cut => "cut",
+            Self::Rejected(_) => "refused",
+            Self::NoAnswer => "lost",
+            Self::Truncated => "cut",
         }
     }
 }
@@ -112,19 +112,19 @@
 impl Store {
     /// `new` makes a client of the store at this address, which counts the bytes that it reads.
     #[must_use]
-    pub fn new(address: SocketAddr, bytes: Counter) -> Self {
+    pub fn new(address: SocketAddr, bytes_read: Counter) -> Self {
         let times = Times {
-            connect: CONNECT,
+            connect: CONNECT_TIMEOUT,
             first_byte: Duration::from_secs(60),
-            idle: PART,
-            keep: KEEP,
-            spare: SPARE,
+            idle: PART_TIMEOUT,
+            keep: KEEP_ALIVE,
+            spare: MAX_IDLE_CONNECTIONS,
         };
         let client = Client::new(times);
         Self {
             client,
             address,
-            bytes,
+            bytes_read,
         }
     }
 
@@ -138,44 +138,44 @@
     /// # Errors
     ///
     /// Returns the outcome of a call without an answer.
-    pub async fn ask(&self, path: &str, within: Duration) -> Result<Answer, Outcome> {
-        self.open(Method::GET, path, Bytes::new(), within).await
+    pub async fn get(&self, path: &str, within: Duration) -> Result<Answer, CallOutcome> {
+        self.send(Method::GET, path, Bytes::new(), within).await
     }
 
     /// `post` creates an entry.
-    pub async fn post(&self, path: &str, body: Bytes) -> Outcome {
+    pub async fn post(&self, path: &str, body: Bytes) -> CallOutcome {
         self.call(Method::POST, path, body).await
     }
 
     /// `put` replaces an entry.
-    pub async fn put(&self, path: &str, body: Bytes) -> Outcome {
+    pub async fn put(&self, path: &str, body: Bytes) -> CallOutcome {
         self.call(Method::PUT, path, body).await
     }
 
     /// `delete` removes an entry.
-    pub async fn delete(&self, path: &str) -> Outcome {
+    pub async fn delete(&self, path: &str) -> CallOutcome {
         self.call(Method::DELETE, path, Bytes::new()).await
     }
 
-    async fn call(&self, method: Method, path: &str, body: Bytes) -> Outcome {
-        match self.open(method, path, body, WRITE).await {
-            Ok(answer) => self.finish(answer).await,
+    async fn call(&self, method: Method, path: &str, body: Bytes) -> CallOutcome {
+        match self.send(method, path, body, WRITE_TIMEOUT).await {
+            Ok(answer) => self.read_answer(answer).await,
             Err(outcome) => outcome,
         }
     }
 
-    async fn open(
+    async fn send(
         &self,
         method: Method,
         path: &str,
         body: Bytes,
         within: Duration,
-    ) -> Result<Answer, Outcome> {
+    ) -> Result<Answer, CallOutcome> {
         let mut request = Request::new(body::full(body));
         *request.method_mut() = method;
         let Ok(uri) = path.parse() else {
             // Names of entries come from the store itself, which spells them as paths.
-            return Err(Outcome::lost());
+            return Err(CallOutcome::no_answer());
         };
         *request.uri_mut() = uri;
         let json = HeaderValue::from_static("application/json");
@@ -183,7 +183,7 @@
         let sent = self.client.send(self.address, request, Reuse::Allowed);
         match timeout(within, sent).await {
             Ok(Ok(answer)) => Ok(answer),
-            Ok(Err(_)) | Err(_) => Err(Outcome::lost()),
+            Ok(Err(_)) | Err(_) => Err(CallOutcome::no_answer()),
         }
     }
 
@@ -191,25 +191,25 @@
     ///
     /// A bound on the time of the whole call made routers on slow links give up answers half read, and
     /// begin again at the first byte, for 8 s.
-    pub async fn finish(&self, answer: Answer) -> Outcome {
+    pub async fn read_answer(&self, answer: Answer) -> CallOutcome {
         let (head, body) = answer.into_parts();
         let era = store::era(&head.headers);
-        let whole = timeout(WHOLE, self.whole(body)).await;
-        let ended = match whole.unwrap_or(None) {
-            None => Ended::Cut,
-            Some(whole) => ended(head.status, whole),
+        let whole = timeout(BODY_TIMEOUT, self.read_body(body)).await;
+        let result = match whole.unwrap_or(None) {
+            None => CallResult::Truncated,
+            Some(whole) => classify(head.status, whole),
         };
-        Outcome { ended, era }
+        CallOutcome { result, era }
     }
 
     /// The whole body of an answer; none where it broke off.
-    async fn whole(&self, mut body: AnswerBody) -> Option<Bytes> {
+    async fn read_body(&self, mut body: AnswerBody) -> Option<Bytes> {
         let mut whole = BytesMut::new();
         while let Some(frame) = body.frame().await {
             let Ok(part) = frame.ok()?.into_data() else {
                 continue;
             };
-            self.bytes.inc_by(part.len() as u64);
+            self.bytes_read.inc_by(part.len() as u64);
             whole.extend_from_slice(&part);
         }
         Some(whole.freeze())
@@ -217,12 +217,12 @@
 }
 
 /// What an answer of this status and body is.
-fn ended(status: StatusCode, whole: Bytes) -> Ended {
+fn classify(status: StatusCode, whole: Bytes) -> CallResult {
     match status {
-        status if status.is_success() => Ended::Done(whole),
-        StatusCode::GONE => Ended::HistoryGone,
-        StatusCode::CONFLICT => Ended::Conflict,
-        StatusCode::NOT_FOUND => Ended::Missing,
-        status => Ended::Refused(status),
+        status if status.is_success() => CallResult::Done(whole),
+        StatusCode::GONE => CallResult::HistoryGone,
+        StatusCode::CONFLICT => CallResult::Conflict,
+        StatusCode::NOT_FOUND => CallResult::Missing,
+        status => CallResult::Rejected(status),
     }
 }
--- a/crates/peppercrank-gateway/src/suspension.rs
+++ b/crates/peppercrank-gateway/src/suspension.rs
@@ -19,20 +19,20 @@
 use crate::store::Store;
 
 /// Pause between looks: the longest time after a suspension in which an attempt is waited for past its deadline.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// `watch` notices suspensions, for ever.
-pub async fn watch(gateway: Arc<Gateway>, store: Store, outage: Outage) {
+pub async fn watch_suspensions(gateway: Arc<Gateway>, store: Store, outage: Outage) {
     let mut suspension = Suspension::default();
     loop {
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
         if let Some(time) = suspension.observe(gateway.clock.suspended()) {
-            resume(&gateway, &store, &outage, time);
+            handle_resume(&gateway, &store, &outage, time);
         }
     }
 }
 
-fn resume(gateway: &Gateway, store: &Store, outage: &Outage, time: Duration) {
+fn handle_resume(gateway: &Gateway, store: &Store, outage: &Outage, duration: Duration) {
     // What was kept may have been closed meanwhile, and the first request on it would be lost.
     gateway.client.close_all();
     store.close();
@@ -40,11 +40,11 @@
     let mut state = gateway.state();
     // Until the store answers again, what is known of targets is as old as the suspension.
     state.directory.store_lost();
-    state.away.get_or_insert(now);
+    state.store_away_since.get_or_insert(now);
     drop(state);
     // Calls that wait are given up once the store answers, as after an outage.
-    let _news = outage.set(true);
-    gateway.resumed.notify_waiters();
-    let fields = [("suspended_ms", Field::Millis(time))];
+    let _changed = outage.set_away(true);
+    gateway.machine_resumed.notify_waiters();
+    let fields = [("suspended_ms", Field::Millis(duration))];
     gateway.log.write(Event::Suspended, &fields);
 }
--- a/crates/peppercrank-gateway/src/targets.rs
+++ b/crates/peppercrank-gateway/src/targets.rs
@@ -13,66 +13,66 @@
 use tokio::time::sleep;
 
 use crate::gateway::Gateway;
-use crate::state::Label;
+use crate::state::TargetInfo;
 
 /// `note` notes what changes of the targets meant, as told by a revision of the store.
-pub fn note(gateway: &Gateway, noted: Vec<Noted>, revision: Option<u64>) {
-    let told = |event, key| tell(gateway, event, &label(gateway, key), revision);
-    for noted in noted {
-        match noted {
+pub fn apply_changes(gateway: &Gateway, changes: Vec<Noted>, revision: Option<u64>) {
+    let log_change = |event, key| log_event(gateway, event, &target_info(gateway, key), revision);
+    for change in changes {
+        match change {
             Noted::Joined(key) => {
-                joined(gateway, key);
-                told(LogEvent::TargetJoined, key);
+                record_joined(gateway, key);
+                log_change(LogEvent::TargetJoined, key);
             }
             Noted::Gone(key) => {
-                let label = label(gateway, key);
-                gone(gateway, key, &label);
-                tell(gateway, LogEvent::TargetGone, &label, revision);
+                let info = target_info(gateway, key);
+                forget_target(gateway, key, &info);
+                log_event(gateway, LogEvent::TargetGone, &info, revision);
             }
             Noted::Restarted { old, new } => {
                 gateway.state().terminations.terminate(old);
-                let label = label(gateway, old);
-                gone(gateway, old, &label);
+                let info = target_info(gateway, old);
+                forget_target(gateway, old, &info);
                 // Connections that were kept lead to a process that has ended.
-                if let Some(address) = label.address {
+                if let Some(address) = info.address {
                     gateway.client.close(address);
                 }
-                joined(gateway, new);
-                told(LogEvent::TargetRestarted, new);
+                record_joined(gateway, new);
+                log_change(LogEvent::TargetRestarted, new);
             }
             Noted::Left(key) => {
-                let label = label(gateway, key);
-                tell(gateway, LogEvent::Leaving, &label, revision);
+                let info = target_info(gateway, key);
+                log_event(gateway, LogEvent::Leaving, &info, revision);
                 // Its end is told by the same name, also of one that was leaving when it came.
-                gateway.state().labels.insert(key, label);
+                gateway.state().target_info.insert(key, info);
             }
-            Noted::Paused(key) => paused(gateway, key),
-            Noted::Missing(key) => told(LogEvent::TargetMissing, key),
-            Noted::InDoubt(key) => told(LogEvent::TargetInDoubt, key),
-            Noted::Unreadable(key) => told(LogEvent::TargetUnreadable, key),
+            Noted::Paused(key) => log_paused(gateway, key),
+            Noted::Missing(key) => log_change(LogEvent::TargetMissing, key),
+            Noted::InDoubt(key) => log_change(LogEvent::TargetInDoubt, key),
+            Noted::Unreadable(key) => log_change(LogEvent::TargetUnreadable, key),
             Noted::Nothing => {}
         }
     }
 }
 
 /// Notes that a target's start takes part.
-fn joined(gateway: &Gateway, key: TargetKey) {
+fn record_joined(gateway: &Gateway, key: TargetKey) {
     let mut state = gateway.state();
     let Some(target) = state.directory.get(key) else {
         return;
     };
-    let label = Label::of(&target.registration);
+    let label = TargetInfo::from_registration(&target.registration);
     let target = target.registration.id();
-    state.names.insert(target, key);
+    state.keys_by_id.insert(target, key);
     // Peers may have known of it sooner.
     let sum = state.peers.sum(target);
     state.board.hear(key, sum);
-    state.labels.insert(key, label);
+    state.target_info.insert(key, label);
     state.terminations.track(key);
 }
 
 /// Tells that a target wants no requests for a while.
-fn paused(gateway: &Gateway, key: TargetKey) {
+fn log_paused(gateway: &Gateway, key: TargetKey) {
     let now = gateway.now();
     let until = gateway
         .state()
@@ -80,35 +80,34 @@
         .get(key)
         .and_then(|t| t.pause(now));
     let pause = until.map(|until| until.since(now)).unwrap_or_default();
-    let label = label(gateway, key);
+    let info = target_info(gateway, key);
     let fields = [
-        ("target", Field::Text(&label.instance)),
-        ("born", Field::Number(label.start.millis())),
+        ("target", Field::Text(&info.instance)),
+        ("born", Field::Number(info.start.millis())),
         ("pause_ms", Field::Millis(pause)),
     ];
     gateway.log.write(LogEvent::TargetPaused, &fields);
 }
 
 /// Drops all that is known of a start that takes no part any more.
-fn gone(gateway: &Gateway, key: TargetKey, label: &Label) {
+fn forget_target(gateway: &Gateway, key: TargetKey, info: &TargetInfo) {
     gateway.state().forget(key);
-    gateway.metrics.target_gone(&label.instance);
+    gateway.metrics.remove_target(&info.instance);
 }
 
 /// What lines say of a target, also of one just gone.
-fn label(gateway: &Gateway, key: TargetKey) -> Label {
+fn target_info(gateway: &Gateway, key: TargetKey) -> TargetInfo {
     let state = gateway.state();
-    let target = state.directory.get(key);
-    let known = target.map(|t| Label::of(&t.registration));
-    known
-        .or_else(|| state.labels.get(key).cloned())
+    let registered = state.directory.get(key);
+    let info = registered.map(|t| TargetInfo::from_registration(&t.registration));
+    info.or_else(|| state.target_info.get(key).cloned())
         .unwrap_or_default()
 }
 
-fn tell(gateway: &Gateway, event: LogEvent, label: &Label, revision: Option<u64>) {
+fn log_event(gateway: &Gateway, event: LogEvent, info: &TargetInfo, revision: Option<u64>) {
     let fields = [
-        ("target", Field::Text(&label.instance)),
-        ("born", Field::Number(label.start.millis())),
+        ("target", Field::Text(&info.instance)),
+        ("born", Field::Number(info.start.millis())),
         ("revision", Field::Number(revision.unwrap_or(0))),
     ];
     gateway.log.write(event, &fields);
@@ -116,13 +115,13 @@
 
 /// `expire` drops, for ever, the targets that did not return after an outage in time, and lets what the store tells of
 /// other starts stand.
-pub async fn expire(gateway: Arc<Gateway>) {
+pub async fn expire_targets(gateway: Arc<Gateway>) {
     /// How often it looks; the grace period ends a little late at most.
-    const EVERY: Duration = Duration::from_millis(250);
+    const CHECK_INTERVAL: Duration = Duration::from_millis(250);
     loop {
-        sleep(EVERY).await;
+        sleep(CHECK_INTERVAL).await;
         let now = gateway.now();
-        let noted = gateway.state().directory.expire(now);
-        note(&gateway, noted, None);
+        let changes = gateway.state().directory.expire(now);
+        apply_changes(&gateway, changes, None);
     }
 }
--- a/crates/peppercrank-gateway/src/termination.rs
+++ b/crates/peppercrank-gateway/src/termination.rs
@@ -15,36 +15,36 @@
 
 /// Time for answers that the old start sent before its end: a hundred round trips between availability
 /// zones.
-const ON_ITS_WAY: Duration = Duration::from_millis(300);
+const TRANSIT_TIME: Duration = Duration::from_millis(300);
 
 /// `Terminations` holds the starts of targets that take part.
 #[derive(Debug, Default)]
 pub struct Terminations {
-    starts: SecondaryMap<TargetKey, watch::Sender<bool>>,
+    senders: SecondaryMap<TargetKey, watch::Sender<bool>>,
 }
 
 impl Terminations {
     /// `track` notes a start that takes part.
     pub fn track(&mut self, key: TargetKey) {
-        self.starts.insert(key, watch::Sender::new(false));
+        self.senders.insert(key, watch::Sender::new(false));
     }
 
     /// `terminate` tells all attempts at a start that it has ended.
     pub fn terminate(&mut self, key: TargetKey) {
-        if let Some(start) = self.starts.get(key) {
-            start.send_replace(true);
+        if let Some(sender) = self.senders.get(key) {
+            sender.send_replace(true);
         }
     }
 
     /// `forget` drops a start that takes no part any more; it may still answer what it has.
     pub fn forget(&mut self, key: TargetKey) {
-        self.starts.remove(key);
+        self.senders.remove(key);
     }
 
     /// `subscribe` is what an attempt at a start watches.
     #[must_use]
     pub fn subscribe(&self, key: TargetKey) -> Termination {
-        Termination(self.starts.get(key).map(watch::Sender::subscribe))
+        Termination(self.senders.get(key).map(watch::Sender::subscribe))
     }
 }
 
@@ -55,13 +55,13 @@
 impl Termination {
     /// `wait` returns once the start has ended and what it sent before has come in.
     pub async fn wait(&mut self) {
-        let Some(start) = &mut self.0 else {
+        let Some(receiver) = &mut self.0 else {
             return std::future::pending().await;
         };
         // A sender that goes without a word is that of a target which leaves and may still answer.
-        if start.wait_for(|ended| *ended).await.is_err() {
+        if receiver.wait_for(|ended| *ended).await.is_err() {
             return std::future::pending().await;
         }
-        sleep(ON_ITS_WAY).await;
+        sleep(TRANSIT_TIME).await;
     }
 }
--- a/crates/peppercrank-gateway/tests/verify_role.rs
+++ b/crates/peppercrank-gateway/tests/verify_role.rs
@@ -5,11 +5,11 @@
 
 use std::time::Duration;
 
-use peppercrank_gateway::role::Role;
+use peppercrank_gateway::role::FollowerRole;
 
 #[test]
 fn verify_a_large_fleet_calls_for_targets_less_often_and_still_in_time() {
-    let pace = |routers| Role::Targets.pace(routers);
+    let pace = |routers| FollowerRole::Targets.pace(routers);
     assert_eq!(pace(1), pace(5));
     assert!(pace(31) > pace(5));
     let calls_a_second = 370.0 / pace(370).as_secs_f64();
