--- a/crates/peppercrank-gateway/src/attempt.rs
+++ b/crates/peppercrank-gateway/src/attempt.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One attempt: send to a target and judge its answer.
+//! A single attempt: sends the request to a target and classifies its answer.
 
 use std::time::Duration;
 
@@ -30,71 +30,71 @@
 use crate::gateway::Gateway;
 use crate::job::Job;
 
-/// A failure that a target answers, in the words of the log.
+/// Log text and metrics label of a failure answered by a target.
 pub const TARGET_FAILURE: &str = "failure of the target";
 
-/// `WholeAnswer` is an answer that was read to its end.
+/// An answer that was read completely.
 #[derive(Debug, Clone)]
 pub struct WholeAnswer {
-    /// Its status.
+    /// Its HTTP status code.
     pub status: StatusCode,
-    /// Its headers.
+    /// Its headers, without hop-by-hop ones.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Its complete body.
     pub body: Bytes,
 }
 
-/// `TargetAnswer` is an answer of a target.
+/// A target's answer.
 #[derive(Debug)]
 pub enum TargetAnswer {
-    /// A success, or what is wrong with the request.
+    /// A success, or an error caused by the request.
     Whole(WholeAnswer),
-    /// A failure, of the target or of the request itself.
+    /// A server error, which either the target or the request may have caused.
     Failure(WholeAnswer),
-    /// A stream that has begun.
+    /// A stream whose first part has arrived.
     Stream {
-        /// Its status.
+        /// The HTTP status code.
         status: StatusCode,
-        /// Its headers.
+        /// The headers, without hop-by-hop ones.
         headers: HeaderMap,
-        /// What came of it.
+        /// The first part.
         first: Bytes,
-        /// What follows.
+        /// The remaining body.
         rest: AnswerBody,
     },
 }
 
-/// `AttemptError` is why an attempt gave no answer to pass on.
+/// Why an attempt produced no answer to forward.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptError {
     /// Whether the target may have run the request.
     pub execution: ExecutionState,
-    /// What happened, in the words of the log.
+    /// What happened, as written to the log and used as a metrics label.
     pub cause: &'static str,
-    /// Whether it speaks against the target.
+    /// Whether it counts as a failure of the target.
     counts_against_target: bool,
-    /// Whether the target may have ended under the request.
+    /// Whether it suggests that the request crashed the target.
     pub crash_evidence: CrashEvidence,
 }
 
-/// `Loss` is whether a target may have ended under a request that was lost there.
+/// Whether a lost attempt suggests that its request crashed the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashEvidence {
-    /// It tells nothing of that.
+    /// No indication of a crash.
     None,
-    /// Its answer broke off, as it does where the target ends.
+    /// The connection or answer broke off, as it does when the target crashes.
     ConnectionLost,
-    /// The target has started again.
+    /// The target has restarted.
     TargetRestarted,
 }
 
 impl AttemptError {
-    /// The target may have run the request and its answer is of no use.
+    /// The target may have run the request, but there is no usable answer.
     const fn unknown_outcome(what: &'static str) -> Self {
         Self::new(ExecutionState::Unknown, what, true)
     }
 
-    /// The target's answer broke off, as it does where the target ends.
+    /// The connection to the target broke off, as it does when the target crashes.
     const fn connection_lost(what: &'static str) -> Self {
         Self {
             crash_evidence: CrashEvidence::ConnectionLost,
@@ -116,12 +116,12 @@
     }
 }
 
-/// `send` sends a request to its target and waits until `until` for its answer, or for a stream's
-/// first part. An error that speaks against the target is counted at it.
+/// Sends a request to its target and waits until `until` for the answer, or for a stream's first
+/// part. Errors attributed to the target are counted against it.
 ///
 /// # Errors
 ///
-/// Returns why there is no answer to pass on.
+/// Returns why there is no answer to forward.
 pub async fn send(
     gateway: &Gateway,
     job: &Job,
@@ -150,7 +150,7 @@
             crash_evidence: CrashEvidence::TargetRestarted,
             ..AttemptError::new(ExecutionState::Unknown, "target started again", false)
         }),
-        // It waits its turn at a target, which would end under it.
+        // Still queued at a target, the request would crash it when its turn came.
         () = crashes::wait_until_quarantined(gateway, job) => Err(AttemptError::new(
             ExecutionState::Unknown,
             "quarantined",
@@ -158,7 +158,8 @@
         )),
     };
     if let Err(error) = &outcome {
-        // Where this router's own link is full, nothing is known of the target.
+        // When this router's own link is congested, a failed connection says nothing about the
+        // target.
         if error.execution == ExecutionState::NotSent && !is_congested(&link_state(gateway)) {
             flight.record_unreachable();
         }
@@ -169,7 +170,7 @@
     outcome
 }
 
-/// Takes in what came of sending a request.
+/// Turns the result of sending a request into an answer or an attempt error.
 async fn read_answer(
     gateway: &Gateway,
     job: &Job,
@@ -194,7 +195,7 @@
     }
 }
 
-/// The request as the target gets it.
+/// Builds the request as it is forwarded to the target.
 fn build_request(
     gateway: &Gateway,
     job: &Job,
@@ -218,7 +219,7 @@
     request
 }
 
-/// Judges an answer's head and reads what is needed of its body.
+/// Classifies an answer by its head and reads as much of its body as needed.
 async fn classify_answer(
     job: &Job,
     flight: &mut Flight,
@@ -286,15 +287,15 @@
     Ok(TargetAnswer::Whole(whole))
 }
 
-/// Reads a refusal's body, so that its connection is kept.
+/// Reads a refusal's body so that its connection can be reused.
 async fn drain(body: AnswerBody) {
-    /// Time for a refusal's body, which comes with its head.
+    /// Time limit for a refusal's body, which normally arrives together with its head.
     const DRAIN_TIMEOUT: Duration = Duration::from_millis(20);
-    // A body that fails or does not come only costs its connection.
+    // If the body fails or does not arrive in time, only the connection is lost.
     let _result = tokio::time::timeout(DRAIN_TIMEOUT, body.collect()).await;
 }
 
-/// `next` is the next part of a body; none at its end.
+/// Returns the next non-empty part of a body, or `None` at its end.
 ///
 /// # Errors
 ///
--- a/crates/peppercrank-gateway/src/choose.rs
+++ b/crates/peppercrank-gateway/src/choose.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Chooses the target of an attempt from what this router believes.
+//! Chooses the target of an attempt from this router's current view of the fleet.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,24 +32,25 @@
 use crate::refuse::Reason;
 use crate::state::State;
 
-/// Time for which a target that came counts as fresh: prompts that are asked for less often than
-/// that are worth little in memory.
+/// Time after joining during which a target counts as new. Cached prompts that are requested less
+/// often than this are worth little.
 const RECENT_JOIN_WINDOW: Duration = Duration::from_secs(30);
 
-/// Time after the first list of targets in which more of the same start of a fleet may come.
+/// Time after the first list of targets within which further targets count as part of the same
+/// fleet start.
 const FLEET_START_WINDOW: Duration = Duration::from_secs(10);
 
-/// Whether a target came lately to a fleet that was there before.
+/// Whether a target recently joined a fleet that was already running.
 fn joined_recently(state: &State, now: Moment, joined_at: Moment) -> bool {
     let first_listed = state.directory.listed().unwrap_or(now);
     joined_at > first_listed + FLEET_START_WINDOW && now.since(joined_at) < RECENT_JOIN_WINDOW
 }
 
-/// `begin` chooses a target and counts the request there.
+/// Chooses a target and counts the request toward its load.
 ///
 /// # Errors
 ///
-/// Returns the reason for which the request goes nowhere.
+/// Returns the reason and the retry delay when no target can be used.
 pub fn reserve_target(
     gateway: &Arc<Gateway>,
     job: &Job,
@@ -61,13 +62,12 @@
     flight.ok_or(Rejection::with_default_delay(Reason::NoTarget))
 }
 
-/// `could_begin` tells whether some target would be sent a further attempt of a request now.
+/// Returns whether some target would currently get a further attempt of a request.
 #[must_use]
 pub fn can_reserve_target(gateway: &Gateway, job: &Job, tried: &[TargetKey]) -> bool {
     choose(gateway, &mut gateway.state(), job, tried).is_ok()
 }
 
-/// Chooses the target of an attempt.
 fn choose(
     gateway: &Gateway,
     state: &mut State,
@@ -76,7 +76,7 @@
 ) -> Result<Choice, Rejection> {
     let now = gateway.now();
     let settings = gateway.settings();
-    // The process may have stood still since the request was judged.
+    // The process may have been suspended since the request was authorised.
     if job.organisation.is_some() && !state.freshness.is_fresh(now) {
         return Err(Rejection::with_default_delay(Reason::StaleKeys));
     }
@@ -133,7 +133,7 @@
     })
 }
 
-/// `link_state` is how connections to targets fare on this router's link.
+/// Returns the state of the connections to targets being opened over this router's link.
 #[must_use]
 pub fn link_state(gateway: &Gateway) -> LinkState {
     let openings = gateway.client.openings();
@@ -144,7 +144,6 @@
     }
 }
 
-/// How the settings want targets chosen.
 const fn policy(placement: Placement) -> Policy {
     match placement {
         Placement::Cost => Policy::Cost,
@@ -154,7 +153,7 @@
     }
 }
 
-/// Counts the request at its target; none if that is gone.
+/// Counts the request toward its target's load. Returns `None` if the target no longer exists.
 fn reserve(
     gateway: &Arc<Gateway>,
     state: &mut State,
@@ -173,7 +172,7 @@
     state.record_sent_parts(now, choice, target, job.shared_parts());
     state.warm_up_gate.sent(now, key);
     if let Some(last_part) = job.prompt_parts.last() {
-        // Peers gain nothing from the last part, which is the request's own.
+        // The last part belongs to this request alone, so peers have no use for it.
         state.prefixes.note(now, key, last_part.chain);
     }
     Some(Flight {
@@ -189,20 +188,20 @@
     })
 }
 
-/// `Survey` is how one request sees the targets of its pool.
+/// The targets of a pool as one request sees them.
 struct PoolView<'a> {
     state: &'a State,
     now: Moment,
     job: &'a Job,
     settings: &'a GatewaySettings,
-    /// How long ago peers told of their work.
+    /// Time since peers last reported their load.
     peer_lag: Duration,
-    /// What is learnt of the time that a request holds a place.
+    /// Learnt time for which a request occupies a slot, in milliseconds.
     slot_hold_ms: f64,
 }
 
 impl PoolView<'_> {
-    /// The targets that may get the request: of those that take work the ones that were not tried, unless all were.
+    /// The targets that may get the request: those not tried yet, or all if each was tried.
     fn candidates(&self, usable: &[TargetKey], tried: &[TargetKey]) -> Vec<Candidate> {
         let untried = usable.iter().filter(|k| !tried.contains(k)).copied();
         let untried = untried.collect::<Vec<_>>();
@@ -229,7 +228,8 @@
         })
     }
 
-    /// The targets that do not get the request and may hold its prompt, or count in the pool's mean load.
+    /// The targets that cannot get the request but may have its prompt cached or count in the
+    /// pool's mean load.
     fn holders(&self, eligible: &Eligible) -> Vec<Holder> {
         let finishing = self.state.directory.finishing(self.now, &self.job.pool);
         let finishing = finishing.map(|(key, reason)| (key, reason.serves_on()));
@@ -238,7 +238,7 @@
             .collect()
     }
 
-    /// A target that does not get the request; none where it matters for nothing.
+    /// A target that cannot get the request. `None` if placement does not depend on it.
     fn holder(&self, key: TargetKey, counts_in_load: bool) -> Option<Holder> {
         let Self {
             state, now, job, ..
--- a/crates/peppercrank-gateway/src/eligible.rs
+++ b/crates/peppercrank-gateway/src/eligible.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Which targets a request may be sent to at all, before their costs are weighed.
+//! Selects the targets that a request may be sent to at all, before their costs are compared.
 
 use std::time::Duration;
 
@@ -18,17 +18,17 @@
 use crate::refuse::Reason;
 use crate::state::State;
 
-/// `Rejection` is why a request is sent to no target, and when its caller should return.
+/// Why a request is sent to no target, and when its caller should retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rejection {
-    /// The reason for which it is refused.
+    /// The reason for the refusal.
     pub reason: Reason,
-    /// Time after which it may fare better.
+    /// Time after which a retry may succeed.
     pub retry_after: Duration,
 }
 
 impl Rejection {
-    /// `now` is a refusal of which no more is known.
+    /// Creates a rejection with the shortest retry delay, for lack of a better estimate.
     pub(crate) const fn with_default_delay(reason: Reason) -> Self {
         let retry_after = SOONEST;
         Self {
@@ -38,20 +38,21 @@
     }
 }
 
-/// `Eligible` are the targets of a pool that take new work, as one request sees them.
+/// The targets of a pool that accept new work, as one request sees them.
 #[derive(Debug, Default)]
 pub struct Eligible {
-    /// It may be sent to these.
+    /// Targets that the request may be sent to.
     pub candidates: Vec<TargetKey>,
-    /// It may not: they are in a region in which it must not run, or are cold and get what they bear.
+    /// Targets that it may not be sent to: they are in a region in which it must not run, or are
+    /// cold and already get as many requests as they can take.
     pub withheld: Vec<TargetKey>,
 }
 
-/// `find` finds the targets that a request may be sent to.
+/// Returns the targets that a request may be sent to.
 ///
 /// # Errors
 ///
-/// Returns the reason for which there are none.
+/// Returns the reason and the retry delay when there are none.
 pub fn find(
     state: &mut State,
     now: Moment,
@@ -78,8 +79,9 @@
     Ok(eligible)
 }
 
-/// Why no target of the pool may be sent a request, though there are some; `others` tells whether some take work in regions in which it
-/// must not run.
+/// Returns why the pool has no target that the request may be sent to; `None` if none of its
+/// targets is paused, evacuated or excluded by region. `excluded_by_region` tells whether some
+/// targets accept work in regions in which the request must not run.
 fn no_candidate_reason(
     state: &State,
     now: Moment,
@@ -110,7 +112,7 @@
     evacuated.then(|| Rejection::with_default_delay(Reason::Evacuated))
 }
 
-/// `is_allowed` tells whether a request may run in a target's region.
+/// Returns whether a request may run in a target's region.
 #[must_use]
 pub fn is_allowed(state: &State, job: &Job, settings: &GatewaySettings, key: TargetKey) -> bool {
     let target = state.directory.get(key);
@@ -119,7 +121,7 @@
     job.regions.allows(region.map(String::as_str))
 }
 
-/// Keeps a request from cold targets that get what they bear.
+/// Excludes cold targets that already get as many requests as they can take.
 fn apply_warm_up(
     state: &mut State,
     now: Moment,
--- a/crates/peppercrank-gateway/src/flight.rs
+++ b/crates/peppercrank-gateway/src/flight.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A request on its way to a target, counted as the target's work.
+//! A request in flight to a target, counted toward the target's load.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,30 +17,30 @@
 use crate::targets;
 use crate::termination::Termination;
 
-/// `Flight` counts a request as a target's work until it is dropped.
+/// A request in flight. It counts toward its target's load until it is dropped.
 #[derive(Debug)]
 pub struct Flight {
     pub(crate) gateway: Arc<Gateway>,
-    /// What it counts for at its target.
+    /// How it is counted at its target.
     pub in_flight: InFlight,
-    /// Tells when the target's start has ended.
+    /// Signals that the target's process has been replaced by a new incarnation.
     pub termination: Termination,
-    /// The pool that it serves.
+    /// The pool that the target belongs to.
     pub pool: Arc<str>,
     /// The target's name.
     pub instance: Arc<str>,
-    /// The short name of its start.
+    /// The compact id of the target's incarnation, as used in datagrams between routers.
     pub target: TargetId,
-    /// Where it listens.
+    /// The address at which the target listens.
     pub address: SocketAddr,
-    /// The target that it should copy from.
+    /// The target to copy the cached prompt from, if any.
     pub copy_from: Option<SocketAddr>,
-    /// What its answer said of new work for the target.
+    /// The answer's notice about new work, such as that the target is leaving.
     pub notice: Notice,
 }
 
 impl Flight {
-    /// `first` notes the answer's first part: the prompt is read.
+    /// Records the answer's first part, which shows that the target has processed the prompt.
     pub fn record_first_part(&mut self) {
         let now = self.gateway.now();
         let took = now.since(self.in_flight.sent);
@@ -53,7 +53,7 @@
         self.in_flight.first(now, board, rates);
     }
 
-    /// `told` notes what the target tells of its load.
+    /// Records the load that the target reports.
     pub fn record_load(&self, load: Load) {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
@@ -62,7 +62,7 @@
         }
     }
 
-    /// `noticed` notes what the answer says of new work for its target.
+    /// Applies the answer's notice about new work to its target.
     pub fn apply_notice(&mut self, notice: Notice) {
         self.notice = notice;
         let now = self.gateway.now();
@@ -71,7 +71,7 @@
         targets::apply_changes(&self.gateway, vec![change], None);
     }
 
-    /// `lost` notes that another instance answers at the target's address.
+    /// Records that another instance answers at the target's address.
     pub fn record_other_instance(&self) {
         let now = self.gateway.now();
         let key = self.in_flight.choice.key;
@@ -79,12 +79,13 @@
         targets::apply_changes(&self.gateway, vec![change], None);
     }
 
-    /// `failed` notes a failure that speaks against the target.
+    /// Counts a failure attributed to the target.
     pub fn record_failure(&self) {
         self.gateway.count_failure(&self.suspect());
     }
 
-    /// `unreachable` notes that no connection to the target could be made, so that it may have become cold when it is back.
+    /// Records that no connection to the target could be made. It may have restarted meanwhile and
+    /// be cold once it is reachable again.
     pub fn record_unreachable(&self) {
         let now = self.gateway.now();
         let key = self.in_flight.choice.key;
@@ -93,7 +94,8 @@
         }
     }
 
-    /// `suspect` is its target, where it is not yet known what a failure speaks against.
+    /// Returns the target as a suspect, for a failure that may turn out to be caused by the request
+    /// itself.
     #[must_use]
     pub fn suspect(&self) -> Suspect {
         Suspect {
--- a/crates/peppercrank-gateway/src/job.rs
+++ b/crates/peppercrank-gateway/src/job.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One request with all that its attempts need.
+//! A request with everything that its attempts need.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -27,67 +27,69 @@
 use crate::gateway::Gateway;
 use crate::refuse::Reason;
 
-/// Seed of the home of a request without a prompt.
+/// Hash seed for request ids, which determine the home of a request without a prompt.
 const ID_HASH_SEED: u64 = 0x6964;
 
-/// Tokens of a request's size that one token of its answer weighs, by the users' figure: tokens
-/// are written one by one and read by the thousand.
+/// Weight of an answer token in a request's size, as specified by the users: tokens are generated
+/// one by one but read by the thousand.
 const OUTPUT_WEIGHT: u64 = 10;
 
-/// The size of a request without a prompt, in tokens; only its ratios to itself matter.
+/// The size of a request without a prompt, in tokens. Only ratios between parts of its cost matter.
 const DEFAULT_SIZE_TOKENS: u64 = 1_000;
 
-/// `Job` is one request with all that its attempts need.
+/// A request with its route, limits and prompt, as needed by each of its attempts.
 #[derive(Debug)]
 pub struct Job {
     /// The request's id.
     pub id: String,
-    /// Its method, path and headers, without those of its connection.
+    /// Its method, path and headers, without hop-by-hop headers.
     pub head: Parts,
-    /// Its whole body.
+    /// Its complete body.
     pub body: Bytes,
-    /// The pool that it goes to.
+    /// The pool that serves it.
     pub pool: Arc<str>,
-    /// What its route allows.
+    /// The kind of its route, which determines whether it may be repeated or resumed.
     pub kind: RouteKind,
     /// Its route's name.
     pub route: Arc<str>,
-    /// Targets that it may run on.
+    /// The maximum number of targets that may run it.
     pub max_attempts: u32,
-    /// The time within which an answer is wanted.
+    /// The time within which its answer should arrive.
     pub goal: Duration,
-    /// The longest pause of its answer that is on time, where that is named.
+    /// The longest acceptable gap between two parts of its answer, if the route specifies one.
     pub max_gap: Option<Duration>,
-    /// The organisation that its caller belongs to.
+    /// The organisation of its caller; `None` on a route that needs no key.
     pub organisation: Option<Arc<str>>,
-    /// How urgent it is among the requests for its pool.
+    /// Its priority rank among the requests for its pool.
     pub rank: Rank,
-    /// The shortest time within which a request for its pool wants its answer.
+    /// The shortest goal of all requests for its pool.
     pub pool_goal: Duration,
-    /// Tokens of its prompt.
+    /// Tokens in its prompt; 0 without a prompt.
     pub prompt_tokens: u64,
-    /// The most tokens of its answer.
+    /// The maximum number of tokens in its answer.
     pub max_output_tokens: u64,
-    /// How fast its pool's engines copy from each other, in tokens a millisecond.
+    /// The rate at which its pool's engines copy cached prompts from each other, in tokens per
+    /// millisecond; `None` if they cannot.
     pub copy_rate: Option<f64>,
-    /// How its pool's targets warm up, where they do.
+    /// How cold targets of its pool warm up; `None` if they need no warm-up.
     pub warm_up: Option<WarmUp>,
     /// The regions in which it may run.
     pub regions: Regions,
-    /// Parts of its prompt.
+    /// The parts of its prompt, for matching cached prefixes.
     pub prompt_parts: Vec<Part>,
-    /// When it came.
+    /// When it was received.
     pub received_at: Moment,
-    /// When it must have its final answer.
+    /// When its answer must be complete.
     pub deadline: Moment,
-    /// The configuration that it was judged by.
+    /// The configuration version that it was routed and authorised by.
     pub config_version: u64,
-    /// What stands for its content, once that was asked for.
+    /// The fingerprint of its content, computed on first use.
     fingerprint: OnceLock<Fingerprint>,
 }
 
 impl Job {
-    /// `home` is the hash that the request's home is drawn by.
+    /// Returns the hash that determines the request's home target: that of the shared part of its
+    /// prompt, or of its id without one.
     #[must_use]
     pub fn home_hash(&self) -> u64 {
         match self.shared_parts().last() {
@@ -96,16 +98,17 @@
         }
     }
 
-    /// `own` is a hash of the request's id.
+    /// Returns a hash of the request's id.
     #[must_use]
     pub fn id_hash(&self) -> u64 {
         hash64(ID_HASH_SEED, self.id.as_bytes())
     }
 
-    /// `fingerprint` stands for its content, which is the same when it comes again under another id.
+    /// Returns a fingerprint of the content, which stays the same when the request is repeated
+    /// under another id.
     #[must_use]
     pub fn fingerprint(&self) -> Fingerprint {
-        // Made when it is first asked for: most requests need none.
+        // Computed lazily, since most requests need none.
         *self.fingerprint.get_or_init(|| {
             let host = self.head.headers.get(http::header::HOST);
             let path = self.head.uri.path_and_query();
@@ -119,14 +122,14 @@
         })
     }
 
-    /// `shared` are the parts of its prompt that other requests share: all but its own last one.
+    /// Returns the parts of the prompt that other requests may share: all but the last one.
     #[must_use]
     pub fn shared_parts(&self) -> &[Part] {
         let most = self.prompt_parts.len().saturating_sub(1);
         &self.prompt_parts[..most]
     }
 
-    /// `size` is its size in tokens.
+    /// Returns the request's size in prompt tokens, with answer tokens weighted by their cost.
     #[must_use]
     pub fn size_tokens(&self) -> u64 {
         if self.prompt_tokens == 0 {
@@ -135,7 +138,7 @@
         self.prompt_tokens + self.max_output_tokens * OUTPUT_WEIGHT
     }
 
-    /// `judge` finds the route of a request and whether it may run.
+    /// Finds the route of a request and checks that its caller may use it.
     ///
     /// # Errors
     ///
@@ -210,7 +213,7 @@
     }
 }
 
-/// The route of a request.
+/// Returns the route that matches a request's host and path.
 fn route<'a>(index: &'a Index, head: &Parts) -> Option<&'a Route> {
     let host = head.headers.get(http::header::HOST)?.to_str().ok()?;
     index.route(host, head.uri.path())
--- a/crates/peppercrank-gateway/src/relay.rs
+++ b/crates/peppercrank-gateway/src/relay.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Passes a stream on, event by event, and resumes it at another target where that is allowed.
+//! Forwards a stream event by event, and resumes it at another target where the route allows that.
 
 use std::pin::Pin;
 use std::pin::pin;
@@ -34,24 +34,24 @@
 use crate::gateway::Gateway;
 use crate::serve::ActiveRequest;
 
-/// Parts that may wait for a caller that reads slowly.
+/// Maximum number of parts buffered for a caller that reads slowly.
 const BUFFERED_PARTS: usize = 8;
 
-/// `Relay` is one stream on its way.
+/// A stream being forwarded to its caller.
 struct Relay {
     request: ActiveRequest,
     flight: Flight,
-    /// What follows; none once it was given up for another run.
+    /// The remaining answer; `None` once this attempt was abandoned.
     upstream: Option<AnswerBody>,
     downstream: Feed,
-    /// When the first part came, since the request did.
+    /// Time from the request's arrival to the first part.
     first_part_after: Duration,
-    /// Whole events only, of streams that may be resumed.
+    /// Splits the stream into complete events; only for streams that may be resumed.
     events: Option<Events>,
     stall_timer: Silence,
 }
 
-/// `Step` is what happened to a stream.
+/// What happened next on a stream.
 enum StreamEvent {
     Part(Bytes),
     End,
@@ -62,7 +62,7 @@
     DeadlinePassed,
 }
 
-/// `start` passes a stream on from a task of its own.
+/// Starts a task that forwards a stream, and returns the body for the caller.
 #[must_use]
 pub fn start(request: &ActiveRequest, flight: Flight, first: Bytes, rest: AnswerBody) -> Body {
     let (downstream, body) = body::channel(BUFFERED_PARTS);
@@ -89,7 +89,7 @@
         loop {
             match event {
                 StreamEvent::Part(part) => {
-                    // A caller that reads slowly must not hold its target past the deadline.
+                    // A slow reader must not occupy the target past the deadline.
                     match gateway.timeout_at(deadline, self.forward(part)).await {
                         Some(Ok(())) => self.record_forwarded(),
                         Some(Err(_)) => return self.abort("caller gone"),
@@ -113,7 +113,7 @@
                         return self.abort("target started again");
                     }
                 }
-                // It may speak again, so it is waited for unless another run may go on.
+                // Keep waiting, as the stream may continue and no other target can take over.
                 StreamEvent::Stalled if !self.request.can_fail_over() => {
                     self.stall_timer.heard(self.request.gateway.now());
                 }
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Waits for what happens next.
+    /// Waits for the next event.
     async fn next_event(
         &mut self,
         deadline_timer: Pin<&mut impl Future<Output = ()>>,
@@ -154,9 +154,10 @@
         }
     }
 
-    /// Gives the run up and goes on with another.
+    /// Abandons the current attempt and tries to resume the stream at another target.
     async fn fail_over(&mut self, cause: &'static str, crash_evidence: CrashEvidence) -> bool {
-        // Closing the connection ends the run, which must not go on beside the next one.
+        // Closing the connection cancels the attempt, which must not run concurrently with the next
+        // one.
         self.upstream = None;
         self.flight.record_failure();
         self.request.log_failed_attempt(&self.flight, cause);
@@ -164,7 +165,8 @@
         self.try_resume().await
     }
 
-    /// Passes a part on; of a stream that may be resumed, the events that it completes.
+    /// Forwards a part. For a stream that may be resumed, forwards the events that the part
+    /// completes.
     async fn forward(&mut self, part: Bytes) -> Result<(), peppercrank_wire::Error> {
         let part = match &mut self.events {
             Some(events) => Bytes::from(events.push(&part)),
@@ -176,7 +178,7 @@
         self.downstream.send(part).await
     }
 
-    /// Notes that a part was passed on.
+    /// Records that a part was forwarded.
     fn record_forwarded(&mut self) {
         let gateway = &self.request.gateway;
         let now = gateway.now();
@@ -189,7 +191,7 @@
         self.events.as_ref().is_none_or(Events::is_between)
     }
 
-    /// Goes on at another target after the last whole event.
+    /// Resumes at another target after the last complete event. Returns whether that succeeded.
     async fn try_resume(&mut self) -> bool {
         while self.events.is_some() {
             let after = self.request.plan.after(ExecutionState::Unknown);
@@ -240,7 +242,7 @@
                 self.forward(first).await.is_ok()
             }
             Ok(TargetAnswer::Failure(_)) => {
-                // The target before it had served a part, so that the request is not to blame.
+                // The previous target served part of the stream, so the request is not at fault.
                 flight.record_failure();
                 run.log_failed_attempt(&flight, TARGET_FAILURE);
                 false
@@ -257,7 +259,7 @@
         }
     }
 
-    /// Ends a stream properly.
+    /// Ends a complete stream.
     fn finish(self) {
         self.request.record_served();
         self.request
@@ -265,8 +267,8 @@
         self.downstream.finish();
     }
 
-    /// Ends a stream before its end: the feed is dropped unfinished, so that the caller's
-    /// connection breaks off.
+    /// Ends an incomplete stream. The body is dropped unfinished, which breaks the caller's
+    /// connection and so signals that the stream is truncated.
     fn abort(self, cause: &'static str) {
         let gap = self.stall_timer.quiet(self.request.gateway.now());
         let content = self.request.job.fingerprint().to_string();
@@ -284,7 +286,7 @@
     }
 }
 
-/// Returns once a stream is silent.
+/// Returns once a stream has been silent for too long.
 async fn wait_for_stall(gateway: &Gateway, silence: Silence) {
     while let Heard::Until(at) = silence.at(gateway.now()) {
         gateway.sleep_until(at).await;
--- a/crates/peppercrank-gateway/src/state.rs
+++ b/crates/peppercrank-gateway/src/state.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The blackboard that the gateway's tasks read and write.
+//! The state shared by the gateway's tasks.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -40,68 +40,68 @@
 
 use crate::termination::Terminations;
 
-/// `State` is what the process believes.
+/// Everything that the process currently knows about the fleet and its requests.
 #[derive(Debug)]
 pub struct State {
     /// The configuration in force.
     pub config: InForce,
-    /// How old the knowledge of keys is.
+    /// The age of what is known about API keys.
     pub freshness: Freshness,
-    /// The question to another router that is on its way.
+    /// The pending question to another router, if any.
     pub pending_question: Option<Asked>,
-    /// How far the configuration was read.
+    /// Up to which revision the configuration was read.
     pub catch_up: CatchUp,
-    /// The store's eras.
+    /// The eras of the store, which change when it is restored from an older copy.
     pub eras: Eras,
-    /// The targets there are.
+    /// The registered targets.
     pub directory: Directory,
-    /// Since when the store does not answer this router.
+    /// Since when the store has not answered this router; `None` while it does.
     pub store_away_since: Option<Moment>,
-    /// When peers' work was heard of last.
+    /// When a peer last reported its load.
     pub peers_heard_at: Moment,
-    /// What is known of each target.
+    /// Load and health statistics of each target.
     pub board: Board,
-    /// Targets by their names on datagrams.
+    /// Targets by the compact ids used in datagrams.
     pub keys_by_id: HashMap<TargetId, TargetKey>,
-    /// What lines say of the targets, also of those just gone.
+    /// Target details for log lines, also of targets that were just removed.
     pub target_info: SecondaryMap<TargetKey, TargetInfo>,
-    /// Tells attempts that their target's start has ended.
+    /// Notifies attempts when the incarnation of their target has ended.
     pub terminations: Terminations,
-    /// Who holds which part of a prompt.
+    /// Which targets have which parts of a prompt cached.
     pub prefixes: Prefixes,
-    /// What is learnt of each pool's speed.
+    /// Learnt processing rates by pool.
     pub rates: HashMap<Arc<str>, Rates>,
-    /// Who is admitted to each pool.
+    /// Admission control by pool.
     pub admission: HashMap<Arc<str>, Admission>,
-    /// The fleet's retry budget.
+    /// This router's view of the fleet's retry budget.
     pub retry_budget: RetryBudget,
-    /// Requests under which targets ended.
+    /// Requests suspected of crashing targets.
     pub quarantine: Quarantine,
-    /// Keeps requests from cold targets.
+    /// Limits requests to cold targets.
     pub warm_up_gate: Gate,
-    /// What other routers told.
+    /// The load reported by other routers.
     pub peers: Peers,
-    /// Where the other registered routers take datagrams.
+    /// The other registered routers by name.
     pub routers: HashMap<Arc<str>, RegisteredRouter>,
     /// The ids of the requests in progress.
     pub in_progress: SlotMap<InProgressKey, String>,
-    /// News of who holds what, for the peers.
+    /// Cache hints to be sent to other routers.
     pub outbox: Outbox,
 }
 
-/// `Label` is what lines say of a target's start.
+/// Details of a target's incarnation for log lines.
 #[derive(Debug, Clone, Default)]
 pub struct TargetInfo {
     /// The target's name.
     pub instance: Arc<str>,
-    /// Which of its starts it is.
+    /// The start time that identifies the incarnation.
     pub start: Start,
-    /// Where it listens.
+    /// The address at which it listens, if known.
     pub address: Option<SocketAddr>,
 }
 
 impl TargetInfo {
-    /// `of` is the label of a registered start.
+    /// Returns the details of a registered incarnation.
     #[must_use]
     pub fn from_registration(registration: &Registration) -> Self {
         Self {
@@ -112,23 +112,23 @@
     }
 }
 
-/// `Registered` is another router's entry.
+/// The registration of another router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RegisteredRouter {
-    /// Where it takes datagrams.
+    /// The address at which it receives datagrams.
     pub address: SocketAddr,
-    /// The revision of its entry.
+    /// The store revision of its entry.
     pub revision: u64,
-    /// When it was heard of last, or its entry was read.
+    /// When it was last heard from, or its entry was read.
     pub last_heard: Moment,
 }
 
 new_key_type! {
-    /// `OpenKey` names one request in progress.
+    /// Identifies a request in progress.
     pub struct InProgressKey;
 }
 
-/// `terms` are the bounds on repeats that the settings give.
+/// Returns the retry limits from the settings.
 #[must_use]
 pub fn retry_terms(settings: &GatewaySettings) -> Terms {
     Terms {
@@ -139,7 +139,7 @@
 }
 
 impl State {
-    /// `new` is the state of a process that knows nothing yet.
+    /// Creates the initial state, in which nothing is known yet.
     #[must_use]
     pub fn new(now: Moment, settings: &GatewaySettings) -> Self {
         Self {
@@ -168,17 +168,19 @@
         }
     }
 
-    /// `store_restored` notes that the store has come back from an older copy, so that no revision counts any more.
+    /// Records that the store was restored from an older copy, which invalidates all known
+    /// revisions.
     pub fn store_restored(&mut self, now: Moment) {
         self.directory.store_restored(now);
         self.catch_up.forget();
         for router in self.routers.values_mut() {
-            // Its entry's revision names another state of it; until it is read anew none is removed by it.
+            // Its known revision no longer identifies its entry, so treat it as alive until the
+            // entry is read again.
             router.last_heard = now;
         }
     }
 
-    /// `forget` drops all that is known of a target's start that is gone.
+    /// Drops everything known about an incarnation of a target that is gone.
     pub fn forget(&mut self, key: TargetKey) {
         self.board.forget(key);
         self.prefixes.forget(key);
@@ -188,7 +190,8 @@
         self.target_info.remove(key);
     }
 
-    /// `sent` notes that a target was sent these parts, and tells the peers what is news.
+    /// Records that a target was sent these prompt parts, and queues hints to peers about the new
+    /// ones.
     pub fn record_sent_parts(
         &mut self,
         now: Moment,
@@ -205,13 +208,14 @@
         }
     }
 
-    /// `routers_changed` notes that other routers registered or went.
+    /// Updates the warm-up shares after other routers registered or left.
     pub fn routers_changed(&mut self, own: &str) {
         let others = self.routers.keys().map(|name| &**name);
         self.warm_up_gate.members.set(own, others);
     }
 
-    /// `cold_until` is until when a target counts as cold, in a pool whose targets warm up for so long.
+    /// Returns until when a target counts as cold, given how long targets of its pool take to warm
+    /// up.
     #[must_use]
     pub fn cold_until(&self, key: TargetKey, lasts: Duration) -> Moment {
         let from_entry = self.directory.cold_until(key, lasts);
@@ -219,8 +223,8 @@
         unreachable.map_or(from_entry, |at| from_entry.max(at + lasts + MARGIN))
     }
 
-    /// `sharers` is how many routers share the retry budget: those registered, those heard of,
-    /// and this one.
+    /// Returns the number of routers that share the fleet's budgets: all that are registered or
+    /// were heard from, and this one.
     #[must_use]
     pub fn router_count(&self, now: Moment) -> usize {
         self.routers.len().max(self.peers.alive(now)) + 1
