--- a/crates/peppercrank-gateway/src/confirm.rs
+++ b/crates/peppercrank-gateway/src/confirm.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Has what is known of keys confirmed by another router instead of the store.
+//! Confirms what is known about API keys with another router instead of the store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,21 +22,21 @@
 use crate::gateway::Gateway;
 use crate::gossip;
 
-/// Time for another router's answer: some round trips between availability zones, and a router that is
-/// busy. The store is asked after it.
+/// Time for another router's answer: a few round trips between availability zones, plus the delay
+/// of a busy router. The store is asked after that.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// `Confirmer` asks other routers.
+/// Confirms the configuration and keys with other routers.
 #[derive(Debug, Clone)]
 pub struct Confirmer {
     gateway: Arc<Gateway>,
     socket: Arc<UdpSocket>,
-    /// Whether the last answer told of a newer version.
+    /// Whether the last answer reported a newer configuration version.
     heard_of_newer_version: bool,
 }
 
 impl Confirmer {
-    /// `new` asks over this socket.
+    /// Creates a confirmer that sends its questions over this socket.
     #[must_use]
     pub fn new(gateway: &Arc<Gateway>, socket: &Arc<UdpSocket>) -> Self {
         Self {
@@ -46,17 +46,17 @@
         }
     }
 
-    /// `asks_store` tells whether this router is one of those that ask the store.
+    /// Returns whether this router is one of those that confirm with the store.
     #[must_use]
     pub fn asks_store(&self) -> bool {
         self.choose_router().is_none()
     }
 
-    /// `by_router` has what is known confirmed by a router that asks the store; false where the store
-    /// has to be asked.
+    /// Asks a router that confirms with the store. Returns false if the store must be asked
+    /// instead.
     ///
-    /// A first word of a newer version leaves it to the watch: over the slow link of a small VM a
-    /// large configuration may be on its way, and a second copy of it would hold up all streams.
+    /// The first report of a newer version is left to the watch: over the slow link of a small VM a
+    /// large configuration may already be in transfer, and a second copy would delay all streams.
     pub async fn confirm_by_router(&mut self) -> bool {
         let Some(to) = self.choose_router() else {
             return false;
@@ -75,7 +75,8 @@
         confirmed || (outdated && !already_outdated)
     }
 
-    /// One of the routers that ask the store; none if this one is of them.
+    /// Chooses one of the routers that confirm with the store; `None` if this router is one of
+    /// them.
     fn choose_router(&self) -> Option<SocketAddr> {
         let now = self.gateway.now();
         let own = self.gateway.settings().name.clone();
@@ -92,7 +93,7 @@
     }
 }
 
-/// `answer` answers another router's question; none where nothing is known.
+/// Answers another router's question; `None` if no configuration is known.
 #[must_use]
 pub fn answer_question(gateway: &Gateway, question: Question) -> Option<Confirmation> {
     let now = gateway.now();
@@ -105,7 +106,7 @@
     Confirmation::new(question, known)
 }
 
-/// `take` takes an answer in, if it is one to the question on its way.
+/// Applies an answer if it belongs to the pending question.
 pub fn apply_confirmation(gateway: &Gateway, confirmation: Confirmation) {
     let mut state = gateway.state();
     let version = state.config.index().map(|i| i.desired().version);
@@ -117,7 +118,7 @@
             state.freshness.confirm(at, Source::Router);
             state.pending_question = None;
         }
-        // The question stays, which tells that its answer confirmed nothing.
+        // The question stays pending, which shows that its answer confirmed nothing.
         Some(Verdict::Outdated) => {}
         Some(Verdict::Nothing) | None => return,
     }
--- a/crates/peppercrank-gateway/src/crashes.rs
+++ b/crates/peppercrank-gateway/src/crashes.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Finds out under which requests targets ended, and tells other routers.
+//! Detects requests that crash targets and shares this knowledge with other routers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -33,7 +33,8 @@
 use crate::gossip::send;
 use crate::job::Job;
 
-/// `tell` tells other routers at once under which requests targets ended, and reminds them of what is quarantined.
+/// Sends reports of new crashes to other routers at once, and periodic reminders of quarantined
+/// requests.
 pub async fn send_crash_reports(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     let mut spread = Spread::new(gateway.now());
     request_reports(&gateway, &socket).await;
@@ -44,7 +45,7 @@
     }
 }
 
-/// Asks others what is quarantined, once this router has read who they are.
+/// Requests the quarantined requests from other routers once their list was read.
 async fn request_reports(gateway: &Gateway, socket: &UdpSocket) {
     gateway.routers_listed.notified().await;
     let peers = random_peers(&gateway.state(), ASKED);
@@ -53,13 +54,13 @@
     }
 }
 
-/// Waits for news, or for the time to tell what is known again.
+/// Waits for news, or until known crashes are due to be reported again.
 async fn wait_for_news(gateway: &Gateway) {
     let news = gateway.crash_news.notified();
     if gateway.state().quarantine.is_empty() {
         return news.await;
     }
-    // Over at the time or before it: either way there is something to tell.
+    // Either outcome means that there are reports to send.
     let _result = timeout(AGAIN, news).await;
 }
 
@@ -74,7 +75,7 @@
     }
 }
 
-/// What is told now, and to whom.
+/// Returns the next reports and their recipients.
 fn next_reports(
     gateway: &Gateway,
     spread: &mut Spread,
@@ -85,7 +86,7 @@
     Some((reports, random_peers(&state, peers)))
 }
 
-/// `broke_off` finds out whether a target has ended whose answer to a request broke off.
+/// Checks whether a target crashed after its answer to a request broke off.
 pub async fn check_for_crash(gateway: &Arc<Gateway>, job: &Job, flight: &Flight) {
     let content = job.fingerprint();
     let target = flight.target;
@@ -93,18 +94,18 @@
     if action == Broken::Asked {
         return;
     }
-    // From a task of its own, as a caller who leaves must not take the answer from the others that wait for it.
+    // Probed in its own task: if this caller disconnects, other requests still need the result.
     let probe = tokio::spawn(probe_target(Arc::clone(gateway), target, flight.address));
     if action == Broken::AskFirst {
-        // It ends early only with the process.
+        // The task fails only when the process ends.
         let _result = probe.await;
     }
 }
 
-/// Finds out whether a target has ended: then nobody listens there.
+/// Probes a target with a connection, which is refused if the target has crashed.
 async fn probe_target(gateway: Arc<Gateway>, target: TargetId, address: SocketAddr) {
     let connected = gateway.client.connect(address).await.is_ok();
-    // Where this router's own link is at fault, nothing is known of the target.
+    // When this router's own link is congested, a failed connection says nothing about the target.
     if connected || is_congested(&link_state(&gateway)) {
         gateway.state().quarantine.lives(target);
         return;
@@ -115,7 +116,7 @@
     }
 }
 
-/// `started_again` notes that a target has started again with a request at work.
+/// Records that a target restarted while it was processing a request.
 pub fn record_restart(gateway: &Gateway, job: &Job, flight: &Flight) {
     let content = job.fingerprint();
     let now = gateway.now();
@@ -125,7 +126,7 @@
     report_change(gateway, content, change);
 }
 
-/// `quarantined` returns once a request in progress is quarantined.
+/// Returns once the request is quarantined.
 pub async fn wait_until_quarantined(gateway: &Gateway, job: &Job) {
     loop {
         let news = gateway.quarantine_changed.notified();
@@ -136,8 +137,7 @@
     }
 }
 
-/// `refuses` tells whether a request is kept from targets, as too many have ended under it, and when its caller should
-/// return.
+/// Returns when the caller of a quarantined request should retry; `None` if it is not quarantined.
 #[must_use]
 pub fn quarantine_delay(gateway: &Gateway, job: &Job) -> Option<Duration> {
     let now = gateway.now();
@@ -148,7 +148,7 @@
     state.quarantine.refuses(now, job.fingerprint())
 }
 
-/// Tells the log and other routers what this one has learnt.
+/// Logs a change and schedules reports to other routers.
 fn report_change(gateway: &Gateway, content: Fingerprint, change: Change) {
     match change {
         Change::Known => return,
@@ -158,7 +158,7 @@
     gateway.crash_news.notify_one();
 }
 
-/// `hear` takes in what another router told, and tells it what it does not know.
+/// Applies another router's crash reports and replies with those that it lacks.
 pub async fn receive_reports(
     gateway: &Gateway,
     socket: &UdpSocket,
@@ -171,7 +171,7 @@
     }
 }
 
-/// Takes in reports, and returns what their sender does not know.
+/// Applies crash reports, and returns the reports that their sender lacks.
 fn apply_reports(gateway: &Gateway, reports: &[CrashReport]) -> Vec<CrashReport> {
     let now = gateway.now();
     let mut state = gateway.state();
--- a/crates/peppercrank-gateway/src/evacuations.rs
+++ b/crates/peppercrank-gateway/src/evacuations.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What the evacuation and the restoring of availability zones mean, and how routers find out that they know of different ones.
+//! Logs evacuated and restored availability zones, and detects that routers disagree about them.
 
 use peppercrank_core::events::Event;
 use peppercrank_direct::evacuations::Change;
@@ -9,7 +9,7 @@
 
 use crate::gateway::Gateway;
 
-/// `note` notes what changed.
+/// Logs evacuated and restored zones.
 pub fn log_changes(gateway: &Gateway, changes: impl IntoIterator<Item = Change>) {
     for change in changes {
         let (event, zone) = match change {
@@ -20,7 +20,7 @@
     }
 }
 
-/// `compare` has the evacuations read anew where another router, which asks the store, knows of others.
+/// Has the evacuations read again if another router, which asks the store, knows of different ones.
 pub fn compare_digest(gateway: &Gateway, digest: u64) {
     if gateway.state().directory.evacuations.digest() != digest {
         gateway.evacuations_outdated.notify_one();
--- a/crates/peppercrank-gateway/src/follow.rs
+++ b/crates/peppercrank-gateway/src/follow.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Follows the kinds of entries in the store: lists them once, then waits for changes.
+//! Keeps one kind of store entries up to date: lists them once, then watches for changes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,26 +35,28 @@
 use crate::store::CallResult;
 use crate::store::Store;
 
-/// Pause after a first failed call; it doubles with each further one.
+/// Pause after the first failed call. It doubles with each further failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// The longest pause: what a store's return may cost in time.
+/// Maximum pause between failed calls. It bounds how late the store's recovery is noticed.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(400);
 
-/// Time after which a follower that leaves it to another one looks for itself.
+/// During an outage, time after which a follower that waits for another one to detect the store's
+/// recovery checks by itself.
 const OUTAGE_CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Time for an answer of the store to begin, beyond what it was asked to wait. Its usual answers take
-/// milliseconds; a store that is slow takes some hundreds.
+/// Time for the store's answer to begin, in addition to the wait that was asked for. Answers
+/// normally take milliseconds, and some hundreds from a slow store.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The same after a failed call: a question that was lost with the outage must not hide its end.
+/// The same after a failed call. It is shorter so that a request lost in the outage does not hide
+/// its end.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Bytes below which an answer holds no configuration, whose bounds on callers alone take more.
+/// Answers below this size hold no configuration, whose caller limits alone are larger.
 const MIN_CONFIGURATION_BYTES: usize = 128;
 
-/// `Follower` follows one kind.
+/// Follows one kind of store entries.
 #[derive(Debug)]
 pub struct Follower {
     gateway: Arc<Gateway>,
@@ -62,20 +64,20 @@
     role: FollowerRole,
     kind: Kind,
     outage: Outage,
-    /// Tells when the store is away or back.
+    /// Signals when the store becomes unavailable or recovers.
     outage_listener: OutageListener,
     intake: Intake,
-    /// The store's era in which the revision counts up to which the kind is known.
+    /// The store era to which the known revision belongs.
     era: Option<Era>,
-    /// Failures in a row.
+    /// Consecutive failed calls.
     failures: u32,
-    /// Answers in a row that did not prove what is known to be the newest.
+    /// Consecutive answers that did not prove the known configuration to be the newest.
     unproven_answers: u32,
-    /// Which answers may have been cut.
+    /// Detects answers that the store may have truncated.
     truncation: Truncation,
 }
 
-/// `Turn` is how one call of a follower went.
+/// The outcome of one poll, which determines when the next one follows.
 enum PollOutcome {
     Done,
     PollAgain,
@@ -85,7 +87,7 @@
 }
 
 impl Follower {
-    /// `new` follows the kind of its role.
+    /// Creates a follower for the entries of its role.
     #[must_use]
     pub fn new(gateway: &Arc<Gateway>, store: &Store, role: FollowerRole, outage: &Outage) -> Self {
         let kind = role.kind();
@@ -104,7 +106,7 @@
         }
     }
 
-    /// `run` follows the kind for ever.
+    /// Follows the entries until the task is dropped.
     pub async fn run(mut self) {
         loop {
             self.defer_to_confirmer().await;
@@ -113,8 +115,8 @@
         }
     }
 
-    /// Leaves it to the follower that confirms to find out when the store is back, as each call has
-    /// its price, and looks for itself now and then.
+    /// During an outage, leaves it to the follower that confirms the configuration to detect the
+    /// store's recovery, as each call has a cost. Checks by itself every [`OUTAGE_CHECK_INTERVAL`].
     async fn defer_to_confirmer(&mut self) {
         let away = self.outage_listener.is_away();
         if away && !matches!(self.role, FollowerRole::ConfirmConfiguration(_)) {
@@ -132,12 +134,12 @@
             FollowerRole::ConfirmConfiguration(confirmer) if known_revision.is_some() => {
                 let by_router = confirmer.confirm_by_router().await;
                 self.gateway.metrics.count_confirmation(by_router);
-                // Only the store itself tells that it is back.
+                // Only a call to the store itself can detect its recovery.
                 if by_router && !self.outage.is_away() {
                     return PollOutcome::Done;
                 }
             }
-            // One that asks the store anyway hears of changes by that.
+            // A router that confirms with the store anyway learns of changes that way.
             FollowerRole::WatchConfiguration(confirmer) if confirmer.asks_store() => {
                 return PollOutcome::Done;
             }
@@ -153,20 +155,21 @@
         }
     }
 
-    /// What to ask the store for.
+    /// Decides what to ask the store for.
     fn next_reading(&self) -> Reading {
         if self.kind == Kind::Configuration {
             let now = self.gateway.now();
             let state = self.gateway.state();
             return state.catch_up.reading(state.freshness.age(now));
         }
-        // Another follower may have been the first to hear of a new era.
+        // Another follower may have noticed a new era first.
         let same_era = self.gateway.state().eras.newest() == self.era;
         let revision = self.intake.revision.filter(|_| same_era);
         revision.map_or(Reading::Snapshot, Reading::Changes)
     }
 
-    /// The revision up to which the kind is known; of the configuration, to either of its followers.
+    /// The revision up to which the entries are known. The configuration's is shared by both of its
+    /// followers.
     fn known_revision(&self) -> Option<u64> {
         match self.kind {
             Kind::Configuration => self.gateway.state().catch_up.known(),
@@ -192,7 +195,7 @@
             }
             PollOutcome::Failed(cause) => {
                 self.record_store_lost(cause);
-                // What answers next may be another start of the store, with other limits.
+                // The next answer may come from a restarted store with other limits.
                 self.truncation = Truncation::default();
                 let pause = RETRY_PAUSE * 2_u32.saturating_pow(self.failures.min(4));
                 self.failures += 1;
@@ -201,9 +204,10 @@
         }
     }
 
-    /// Lets changes gather, since each call has its price.
+    /// Waits between calls so that several changes are read by one of them, as each has a cost.
     async fn pace(&self) {
-        // Before the first list there is nothing to gather, unless others are to be waited for.
+        // Do not wait before the first list, except for the watcher, which leaves it to the other
+        // follower.
         if self.known_revision().is_none()
             && !matches!(self.role, FollowerRole::WatchConfiguration(_))
         {
@@ -230,12 +234,13 @@
             };
             self.truncation.listed(body.len());
             entries.extend(page.entries);
-            // Changes since the first page may have missed the later ones.
+            // Later pages may lack changes made since the first one, so watch from the first page's
+            // revision.
             let revision = *first.get_or_insert(page.revision);
             after = page.next;
             let era = self.gateway.state().eras.newest();
             if start_era.is_some() && era != start_era {
-                // Pages of two eras are no list.
+                // Pages from two eras do not form a consistent list.
                 return PollOutcome::Relist;
             }
             if after.is_none() {
@@ -245,7 +250,7 @@
         }
     }
 
-    /// Takes in the whole list, which shows at least this revision.
+    /// Applies the complete list, which reflects at least this revision.
     fn apply_list(&mut self, asked_at: Moment, revision: u64, entries: Vec<Entry>) -> PollOutcome {
         self.record_store_back();
         if self.kind == Kind::Configuration {
@@ -290,10 +295,11 @@
         }
     }
 
-    /// What follows an answer that holds the configuration, or tells that it has not changed.
+    /// Decides how to continue after an answer about the configuration.
     ///
-    /// The one that confirms asks once more at once after a change, which costs a call and no bytes; where
-    /// changes go on, the state is read after a pause.
+    /// After a change, the follower that confirms polls again at once, which costs a call but
+    /// transfers no configuration. While changes continue, it reads the state after the usual
+    /// pause.
     fn follow_up(&mut self, proof: Proof) -> PollOutcome {
         match proof {
             Proof::Newest => self.unproven_answers = 0,
@@ -317,7 +323,8 @@
         let asked_era = self.gateway.state().eras.newest();
         let answer = tokio::select! {
             answer = self.store.get(path, wait + answer_timeout) => answer,
-            // Only a store that is back makes a call worth dropping that waits, and none that is being answered.
+            // A waiting call is abandoned only when the store has recovered, and never while its
+            // answer is being read.
             () = self.outage_listener.wait_for_return() => return Err(PollOutcome::PollAgain),
             () = evacuations_reread_requested(&self.gateway, self.kind) => return Err(PollOutcome::Relist),
         };
@@ -331,7 +338,7 @@
         self.log_configuration_call(wait, asked_at, &result);
         match self.gateway.observe_era(era, asked_era) {
             Told::Same => {}
-            // What it tells, it tells of revisions that mean something else now.
+            // The answer refers to revisions of another era.
             Told::Newer => return Err(PollOutcome::Relist),
             Told::Older => return Err(PollOutcome::Done),
         }
@@ -350,7 +357,7 @@
         }
     }
 
-    /// Notes an answer that holds a configuration, and a call for it that failed.
+    /// Logs calls for the configuration that returned one or failed.
     fn log_configuration_call(&self, wait: Duration, asked_at: Moment, result: &CallResult) {
         let bytes = match result {
             CallResult::Done(body) => body.len(),
@@ -370,7 +377,7 @@
         self.gateway.log.write(LogEvent::ChangesRead, &fields);
     }
 
-    /// Notes that the store does not answer.
+    /// Records that the store does not answer.
     fn record_store_lost(&self, cause: &'static str) {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
@@ -383,7 +390,7 @@
         }
     }
 
-    /// Notes that the store answers.
+    /// Records that the store answers.
     fn record_store_back(&self) {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
@@ -396,7 +403,7 @@
     }
 }
 
-/// Returns when another router knows of other evacuations than this one.
+/// Returns when another router knows of different evacuations. Waits forever for other kinds.
 async fn evacuations_reread_requested(gateway: &Gateway, kind: Kind) {
     match kind {
         Kind::Evacuations => gateway.evacuations_outdated.notified().await,
@@ -404,7 +411,7 @@
     }
 }
 
-/// A pause of most to the whole of `most`, so that routers do not call in step.
+/// Returns a random pause of 80% to 100% of `max`, so that routers do not call in lockstep.
 fn jittered(max: Duration) -> Duration {
     max.mul_f64(rand::random_range(0.8..1.0))
 }
--- a/crates/peppercrank-gateway/src/gossip.rs
+++ b/crates/peppercrank-gateway/src/gossip.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Datagrams between routers: each tells the others its own work and the parts it sent.
+//! Datagrams between routers, which share their load and the prompt parts that they sent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,37 +26,37 @@
 use crate::gateway::Gateway;
 use crate::state::State;
 
-/// Pause between summaries, which is the lag of peers' loads in a small fleet; in a larger one the
-/// allowance of bytes spreads them out.
+/// Interval between summaries, which is the lag of peer loads in a small fleet. In a larger fleet
+/// the byte allowance spreads the summaries out.
 const SUMMARY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Bytes of datagrams that a router sends in a second, headers included; the users allow a daemon
-/// four kilobytes a second for control.
+/// Datagram bytes that a router may send per second, headers included. The users allow each daemon
+/// 4 KB/s of control traffic.
 const BYTES_PER_SECOND: usize = 4_096;
 
-/// `HEADERS` is the bytes of the headers of a datagram, IPv4 and UDP.
+/// Bytes of a datagram's IPv4 and UDP headers.
 pub const DATAGRAM_HEADER_BYTES: usize = 28;
 
-/// Room for a datagram, beyond the longest that is sent.
+/// Size of the receive buffer, which exceeds the longest datagram sent.
 const RECEIVE_BUFFER_BYTES: usize = 2_048;
 
-/// `Round` sends summaries round the peers, as many as the allowance of bytes allows.
+/// Schedules summaries to all peers in turn within the byte allowance.
 #[derive(Debug)]
 struct SummarySchedule {
     incarnation: u64,
     sequence: u64,
-    /// Bytes that may be sent now.
+    /// Summary bytes that may be sent now.
     summary_allowance: usize,
-    /// The peer that is next, in the order of names.
+    /// The index of the next peer in name order.
     next_peer: usize,
-    /// The length of the summary before, in bytes.
+    /// The size of the previous summary in bytes, headers included.
     last_summary_bytes: usize,
-    /// Bytes of load reports that may be sent now.
+    /// Load report bytes that may be sent now.
     report_allowance: usize,
 }
 
 impl SummarySchedule {
-    /// Adds what one turn allows.
+    /// Adds the allowance of one interval.
     fn add_allowance(&mut self, peers: usize) {
         let bytes_per_interval =
             BYTES_PER_SECOND / usize::try_from(1_000 / SUMMARY_INTERVAL.as_millis()).unwrap_or(1);
@@ -66,13 +66,13 @@
             self.last_summary_bytes,
             BYTES_PER_SECOND,
         );
-        // What a pause saved does not add up to a burst.
+        // Capped so that an idle period does not lead to a burst.
         self.summary_allowance = (self.summary_allowance + bytes_per_interval - reports)
             .min(2 * bytes_per_interval.max(self.last_summary_bytes));
         self.report_allowance = (self.report_allowance + reports).min(2 * bytes_per_interval);
     }
 
-    /// The next summary and who gets it.
+    /// Returns the next summary and its recipients.
     fn next_summary(&mut self, state: &mut State) -> (Summary, Vec<SocketAddr>) {
         let peers = state.routers.iter().map(|(name, r)| (name, r.address));
         let mut peers = peers.collect::<Vec<_>>();
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Notes what was sent.
+    /// Deducts the sent datagrams from the allowance.
     fn record_sent(&mut self, bytes: usize, datagrams: usize) {
         self.last_summary_bytes = bytes + DATAGRAM_HEADER_BYTES;
         let spent = self.last_summary_bytes * datagrams;
@@ -113,7 +113,8 @@
     }
 }
 
-/// `tell` sends summaries to other routers, several times a second.
+/// Sends summaries to other routers once per `SUMMARY_INTERVAL`, as far as the byte allowance
+/// permits.
 pub async fn send_summaries(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     let mut schedule = SummarySchedule {
         incarnation: unix_millis(),
@@ -140,7 +141,7 @@
     }
 }
 
-/// Passes load reports on to one peer, drawn anew each time, as far as the allowance goes.
+/// Relays load reports to one random peer if the allowance permits.
 async fn relay_reports(gateway: &Gateway, socket: &UdpSocket, schedule: &mut SummarySchedule) {
     if schedule.report_allowance < reports::MOST_BYTES + DATAGRAM_HEADER_BYTES {
         return;
@@ -154,7 +155,7 @@
         .saturating_sub(bytes + DATAGRAM_HEADER_BYTES);
 }
 
-/// The newest load reports, and a peer; none where there are none.
+/// Returns the load reports to relay and a random peer; `None` if there are no reports or peers.
 fn reports_to_relay(now: Moment, state: &State) -> Option<(Vec<LoadReport>, SocketAddr)> {
     let report =
         |(name, key): (&TargetId, &TargetKey)| LoadReport::of(*name, &state.board.get(*key), now);
@@ -171,7 +172,7 @@
     Some((reports, to))
 }
 
-/// `draw` is so many other routers, drawn anew each time.
+/// Returns the addresses of up to `count` other routers, starting at a random one.
 #[must_use]
 pub fn random_peers(state: &State, count: usize) -> Vec<SocketAddr> {
     let peers = state.routers.values().map(|r| r.address);
@@ -184,7 +185,7 @@
     rotated.take(count.min(peers.len())).copied().collect()
 }
 
-/// Takes in load reports that another router passed on.
+/// Applies load reports relayed by another router.
 fn apply_reports(gateway: &Gateway, reports: &[LoadReport]) {
     let now = gateway.now();
     let mut state = gateway.state();
@@ -198,13 +199,13 @@
     }
 }
 
-/// The Unix time in milliseconds, 0 for a clock that stands before its beginning.
+/// The Unix time in milliseconds; 0 if the clock is set before the epoch.
 fn unix_millis() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |s| u64::try_from(s.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// This router's own work on a target, if there is any.
+/// Returns this router's own load on a target; `None` if it has no requests there.
 fn own_work(state: &State, target: TargetId, key: TargetKey) -> Option<Work> {
     let target_stats = state.board.get(key);
     let busy = target_stats.running > 0;
@@ -215,9 +216,9 @@
     })
 }
 
-/// `hear` takes in the others' summaries.
+/// Receives and handles datagrams from other routers.
 pub async fn receive(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
-    /// Pause after a failed read, so that a broken socket is not polled in a tight loop.
+    /// Pause after a failed read, to avoid a tight loop on a broken socket.
     const READ_RETRY_PAUSE: Duration = Duration::from_millis(50);
     let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
     loop {
@@ -250,7 +251,7 @@
     }
 }
 
-/// `send` sends one datagram and tells how many bytes it has.
+/// Sends a datagram and returns its payload size in bytes; 0 if it cannot be encoded.
 pub async fn send(
     gateway: &Gateway,
     socket: &UdpSocket,
--- a/crates/peppercrank-gateway/src/lib.rs
+++ b/crates/peppercrank-gateway/src/lib.rs
@@ -1,24 +1,26 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The gateway daemon: a router on the users' platform that sends straight to targets.
+//! The gateway daemon: a router on the users' platform that forwards requests directly to targets.
 //!
-//! One thread runs everything. It reads the clock and moves bytes; `peppercrank-direct` decides
-//! and `peppercrank-platform` translates.
+//! One thread runs everything. This crate reads the clock and does the I/O; `peppercrank-direct`
+//! makes the decisions and `peppercrank-platform` translates to and from the platform's formats.
 //!
-//! - [`serve`] answers callers: route, key, placement, attempts, answer.
+//! - [`serve`] answers callers: it finds the route, checks the key, sends attempts and returns the
+//!   answer.
 //! - [`follow`] keeps the configuration and the targets up to date from the store.
-//! - [`confirm`] has other routers confirm what is known of keys, where they may.
-//! - [`intake`] takes in what the store tells, and [`targets`] what that means for each target.
-//! - [`eligible`] finds the targets that a request may be sent to, and [`choose`] one of them.
-//! - [`evacuations`] tells what the evacuation of an availability zone means.
-//! - [`outage`] tells the followers whether the store answers.
-//! - [`suspension`] notices that the machine was suspended.
-//! - [`termination`] tells attempts that their target has started again.
-//! - [`gossip`] exchanges loads and held prompts with other routers.
-//! - [`crashes`] tells other routers under which requests targets ended.
-//! - [`admin`] answers the balancer and serves the metrics.
-//! - [`run`] starts all of it and ends it on SIGTERM.
+//! - [`confirm`] lets other routers confirm what is known about keys, where possible.
+//! - [`intake`] applies entries read from the store, and [`targets`] changes of targets.
+//! - [`eligible`] selects the targets that a request may be sent to, and [`choose`] picks one of
+//!   them.
+//! - [`evacuations`] handles evacuations of availability zones.
+//! - [`outage`] shares whether the store answers among the followers.
+//! - [`suspension`] detects that the machine was suspended.
+//! - [`termination`] notifies attempts that their target has restarted.
+//! - [`gossip`] exchanges loads and cached prompts with other routers.
+//! - [`crashes`] shares with other routers which requests crash targets.
+//! - [`admin`] answers health checks and serves the metrics.
+//! - [`run`] starts all tasks and shuts them down on SIGTERM.
 
 pub mod admin;
 pub mod attempt;
--- a/crates/peppercrank-gateway/src/register.rs
+++ b/crates/peppercrank-gateway/src/register.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Registers this router in the store, so that the others find it, and removes those that are gone.
+//! Registers this router in the store so that others find it, and removes entries of dead routers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,22 +22,22 @@
 use crate::store::CallResult;
 use crate::store::Store;
 
-/// Pause after a failed call; routers serve well without knowing of each other for a while.
+/// Pause after a failed call. Routers can serve without knowing of each other for a while.
 const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
-/// Time without a word, beyond that of a large fleet's rounds, after which an entry is taken as that of
-/// a router that is gone for good. Nothing in the store expires by itself, and each entry costs
-/// datagrams and a part of the budget of repeats.
+/// Time without a message, in addition to the gossip rounds of a large fleet, after which a router
+/// is considered permanently gone. Entries in the store do not expire by themselves, and each one
+/// costs datagrams and a share of the retry budget.
 const GONE_AFTER: Duration = Duration::from_secs(60);
 
-/// Pause between looks at entries of routers that may be gone.
+/// Interval between checks for entries of dead routers.
 const PRUNE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time for the removal of this router's own entry at its end: a store that does not answer must not
-/// hold the process up past the time that it has.
+/// Time limit for removing this router's entry on shutdown, so that an unresponsive store does not
+/// delay the exit beyond the allowed time.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// `register` writes the router's entry, and again whenever it has gone.
+/// Writes this router's entry, and writes it again whenever it disappears.
 pub async fn keep_registered(gateway: Arc<Gateway>, store: Store) {
     loop {
         while !write_entry(&gateway, &store).await {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Writes the entry once; false if that failed.
+/// Writes the entry once and returns whether that succeeded.
 async fn write_entry(gateway: &Gateway, store: &Store) -> bool {
     let settings = gateway.settings();
     let entry = RouterEntry {
@@ -73,7 +73,7 @@
     matches!(written, CallResult::Done(_))
 }
 
-/// `leave` removes the router's entry; if that fails, others find it silent and remove it.
+/// Removes this router's entry. If that fails, other routers remove it once they find it silent.
 pub async fn deregister(gateway: &Gateway, store: &Store) {
     let name = gateway.settings().name.clone();
     let path = store::entry(Kind::Routers, &name);
@@ -82,8 +82,7 @@
     gateway.metrics.count_store_call("leave", code);
 }
 
-/// `prune` removes the entries of routers that are gone for good, for ever; the routers that ask the
-/// store do it.
+/// Periodically removes the entries of dead routers, on those routers that confirm with the store.
 pub async fn prune_routers(gateway: Arc<Gateway>, store: Store, confirmer: Confirmer) {
     loop {
         sleep(PRUNE_INTERVAL).await;
@@ -93,7 +92,7 @@
             continue;
         }
         for (name, registered) in gone {
-            // The revision names another entry in another era of the store.
+            // In another era of the store, the revision may identify a different entry.
             if gateway.state().eras.newest() != era {
                 break;
             }
@@ -111,8 +110,8 @@
     }
 }
 
-/// `gone` are the routers that were not heard of for so long, and for the time of two rounds of a
-/// large fleet; none while the store does not answer.
+/// Returns the routers that were silent for longer than `silence` plus two gossip rounds of a large
+/// fleet; none while the store does not answer.
 #[must_use]
 pub fn silent_routers(gateway: &Gateway, silence: Duration) -> Vec<(Arc<str>, RegisteredRouter)> {
     let now = gateway.now();
--- a/crates/peppercrank-gateway/src/store.rs
+++ b/crates/peppercrank-gateway/src/store.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Calls to the platform's store, over the one client of the wire.
+//! Client for the platform's object store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,65 +25,65 @@
 use prometheus_client::metrics::counter::Counter;
 use tokio::time::timeout;
 
-/// Time for a connection to the store.
+/// Time limit for connecting to the store.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time for which a connection to the store is kept; it serves a call each second or so.
+/// Time for which an idle connection is kept. It is used about once a second.
 const KEEP_ALIVE: Duration = Duration::from_secs(30);
 
-/// Connections kept: one for each kind of entries that is followed, and one for writes.
+/// Maximum idle connections: one for each kind of entries that is followed, and one for writes.
 const MAX_IDLE_CONNECTIONS: usize = 5;
 
-/// Time between two parts of an answer. A link that is shared with streams may be slow, but one that brings
-/// nothing for so long is cut: a round trip, and a packet that was lost and sent again.
+/// Time limit between two parts of an answer. A link that is shared with streams may be slow, but
+/// the limit only needs to cover a round trip and one retransmission.
 const PART_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Time for a whole answer from its head on: a mebibyte, near which the store ends its answers, over a tenth
-/// of the slowest link. It bounds a store that never ends one.
+/// Time limit for an answer's body, in case the store never ends it. The store's answers end near 1
+/// MiB, which takes this long over a tenth of the slowest link.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time for the answer to a write.
+/// Time limit for a write.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// `Store` calls the platform's store.
+/// A client of the platform's store.
 #[derive(Debug, Clone)]
 pub struct Store {
     client: Client,
     address: SocketAddr,
-    /// Counts the bytes of answers, also of those that were given up.
+    /// Counts the bytes of all answers, including abandoned ones.
     bytes_read: Counter,
 }
 
-/// `Ended` is how a call ended.
+/// The result of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallResult {
-    /// With this answer.
+    /// Success, with the answer's body.
     Done(Bytes),
-    /// The history asked for is gone.
+    /// The store no longer has the requested history.
     HistoryGone,
-    /// The entry is there already, or is another version.
+    /// The entry already exists, or has another revision.
     Conflict,
-    /// There is no such entry.
+    /// The entry does not exist.
     Missing,
-    /// Refused, with nothing done.
+    /// The store rejected the call without effect.
     Rejected(StatusCode),
-    /// Without an answer: it may have been done.
+    /// No answer arrived. The call may have taken effect.
     NoAnswer,
-    /// The answer began and broke off.
+    /// The answer broke off.
     Truncated,
 }
 
-/// `Outcome` is how a call ended, and of which era of the store its answer tells.
+/// The result of a call and the store era of its answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallOutcome {
-    /// How it ended.
+    /// The result.
     pub result: CallResult,
-    /// The era; none without an answer, or of a store that tells none.
+    /// The era; `None` without an answer, or if the store does not report it.
     pub era: Option<Era>,
 }
 
 impl CallOutcome {
-    /// `lost` is that of a call without an answer.
+    /// Returns the outcome of a call without an answer.
     #[must_use]
     pub const fn no_answer() -> Self {
         Self {
@@ -94,7 +94,7 @@
 }
 
 impl CallResult {
-    /// `code` is the outcome's stable name in metrics.
+    /// Returns the result's stable name in metrics and logs.
     #[must_use]
     pub const fn code(&self) -> &'static str {
         match self {
@@ -110,7 +110,7 @@
 }
 
 impl Store {
-    /// `new` makes a client of the store at this address, which counts the bytes that it reads.
+    /// Creates a client for the store at this address that adds the bytes it reads to a counter.
     #[must_use]
     pub fn new(address: SocketAddr, bytes_read: Counter) -> Self {
         let times = Times {
@@ -128,12 +128,12 @@
         }
     }
 
-    /// `close` closes the unused connections.
+    /// Closes idle connections.
     pub fn close(&self) {
         self.client.close_all();
     }
 
-    /// `ask` reads; its answer has to begin within a time.
+    /// Sends a GET request, whose answer must begin within the given time.
     ///
     /// # Errors
     ///
@@ -142,17 +142,17 @@
         self.send(Method::GET, path, Bytes::new(), within).await
     }
 
-    /// `post` creates an entry.
+    /// Creates an entry.
     pub async fn post(&self, path: &str, body: Bytes) -> CallOutcome {
         self.call(Method::POST, path, body).await
     }
 
-    /// `put` replaces an entry.
+    /// Replaces an entry.
     pub async fn put(&self, path: &str, body: Bytes) -> CallOutcome {
         self.call(Method::PUT, path, body).await
     }
 
-    /// `delete` removes an entry.
+    /// Deletes an entry.
     pub async fn delete(&self, path: &str) -> CallOutcome {
         self.call(Method::DELETE, path, Bytes::new()).await
     }
@@ -174,7 +174,7 @@
         let mut request = Request::new(body::full(body));
         *request.method_mut() = method;
         let Ok(uri) = path.parse() else {
-            // Names of entries come from the store itself, which spells them as paths.
+            // Entry names come from the store, which formats them as valid paths.
             return Err(CallOutcome::no_answer());
         };
         *request.uri_mut() = uri;
@@ -187,10 +187,10 @@
         }
     }
 
-    /// `finish` reads an answer to its end, however long that takes while it comes in.
+    /// Reads an answer to its end, which may take long as long as parts keep arriving.
     ///
-    /// A bound on the time of the whole call made routers on slow links give up answers half read, and
-    /// begin again at the first byte, for 8 s.
+    /// A time limit on the whole call made routers on slow links abandon half-read answers and
+    /// start over from the first byte for 8 s.
     pub async fn read_answer(&self, answer: Answer) -> CallOutcome {
         let (head, body) = answer.into_parts();
         let era = store::era(&head.headers);
@@ -202,7 +202,7 @@
         CallOutcome { result, era }
     }
 
-    /// The whole body of an answer; none where it broke off.
+    /// Reads the complete body of an answer; `None` if it broke off.
     async fn read_body(&self, mut body: AnswerBody) -> Option<Bytes> {
         let mut whole = BytesMut::new();
         while let Some(frame) = body.frame().await {
@@ -216,7 +216,7 @@
     }
 }
 
-/// What an answer of this status and body is.
+/// Maps the status of an answer to the result of its call.
 fn classify(status: StatusCode, whole: Bytes) -> CallResult {
     match status {
         status if status.is_success() => CallResult::Done(whole),
--- a/crates/peppercrank-gateway/src/targets.rs
+++ b/crates/peppercrank-gateway/src/targets.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What the coming, leaving, ending and starting again of targets means for all that is known of them.
+//! Applies changes of the targets to everything that is known about them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::gateway::Gateway;
 use crate::state::TargetInfo;
 
-/// `note` notes what changes of the targets meant, as told by a revision of the store.
+/// Applies changes of the targets, as reported by a revision of the store, and logs them.
 pub fn apply_changes(gateway: &Gateway, changes: Vec<Noted>, revision: Option<u64>) {
     let log_change = |event, key| log_event(gateway, event, &target_info(gateway, key), revision);
     for change in changes {
@@ -33,7 +33,7 @@
                 gateway.state().terminations.terminate(old);
                 let info = target_info(gateway, old);
                 forget_target(gateway, old, &info);
-                // Connections that were kept lead to a process that has ended.
+                // Idle connections lead to the process that has ended.
                 if let Some(address) = info.address {
                     gateway.client.close(address);
                 }
@@ -43,7 +43,8 @@
             Noted::Left(key) => {
                 let info = target_info(gateway, key);
                 log_event(gateway, LogEvent::Leaving, &info, revision);
-                // Its end is told by the same name, also of one that was leaving when it came.
+                // Keep the details for logging its removal, also for a target that was leaving when
+                // it joined.
                 gateway.state().target_info.insert(key, info);
             }
             Noted::Paused(key) => log_paused(gateway, key),
@@ -55,7 +56,7 @@
     }
 }
 
-/// Notes that a target's start takes part.
+/// Records that an incarnation of a target has joined.
 fn record_joined(gateway: &Gateway, key: TargetKey) {
     let mut state = gateway.state();
     let Some(target) = state.directory.get(key) else {
@@ -64,14 +65,14 @@
     let label = TargetInfo::from_registration(&target.registration);
     let target = target.registration.id();
     state.keys_by_id.insert(target, key);
-    // Peers may have known of it sooner.
+    // Peers may have learnt of it earlier and already have load there.
     let sum = state.peers.sum(target);
     state.board.hear(key, sum);
     state.target_info.insert(key, label);
     state.terminations.track(key);
 }
 
-/// Tells that a target wants no requests for a while.
+/// Logs that a target asked for a pause in requests.
 fn log_paused(gateway: &Gateway, key: TargetKey) {
     let now = gateway.now();
     let until = gateway
@@ -89,13 +90,13 @@
     gateway.log.write(LogEvent::TargetPaused, &fields);
 }
 
-/// Drops all that is known of a start that takes no part any more.
+/// Drops everything known about an incarnation that has left.
 fn forget_target(gateway: &Gateway, key: TargetKey, info: &TargetInfo) {
     gateway.state().forget(key);
     gateway.metrics.remove_target(&info.instance);
 }
 
-/// What lines say of a target, also of one just gone.
+/// Returns a target's details for log lines, also if it was just removed.
 fn target_info(gateway: &Gateway, key: TargetKey) -> TargetInfo {
     let state = gateway.state();
     let registered = state.directory.get(key);
@@ -113,10 +114,10 @@
     gateway.log.write(event, &fields);
 }
 
-/// `expire` drops, for ever, the targets that did not return after an outage in time, and lets what the store tells of
-/// other starts stand.
+/// Periodically drops targets that did not return in time after a store outage, and accepts pending
+/// reports of other incarnations once they are old enough.
 pub async fn expire_targets(gateway: Arc<Gateway>) {
-    /// How often it looks; the grace period ends a little late at most.
+    /// Interval between checks. The grace period may be exceeded by this much.
     const CHECK_INTERVAL: Duration = Duration::from_millis(250);
     loop {
         sleep(CHECK_INTERVAL).await;
