--- a/crates/peppercrank-gateway/src/admin.rs
+++ b/crates/peppercrank-gateway/src/admin.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Answers the balancer and serves the metrics.
+//! Answers the load balancer's health checks and serves the metrics.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -19,15 +19,15 @@
 
 use crate::gateway::Gateway;
 
-/// Part of the bound on keys after which a router asks for no more callers: others may still be
-/// in touch with the store.
+/// Share of the bound on key age after which a router reports itself not ready: other routers may
+/// still reach the store.
 const READY_SHARE: f64 = 0.5;
 
-/// Time without the store after which a router asks for no more callers although others confirm to it
-/// what it knows of keys: it does not hear of targets that come and leave.
+/// Maximum time without the store while ready. Even if other routers confirm what is known about
+/// keys, this router does not learn of targets that join and leave.
 const MAX_STORE_OUTAGE: Duration = Duration::from_millis(1_500);
 
-/// `is_ready` tells whether the router should get new callers.
+/// Returns whether the router should get new callers.
 #[must_use]
 pub fn is_ready(gateway: &Gateway) -> bool {
     let now = gateway.now();
@@ -46,7 +46,7 @@
     keys_fresh && in_touch && listed && !gateway.stop_signal.is_stopping()
 }
 
-/// `ready` answers the balancer.
+/// Answers a health check.
 #[must_use]
 pub fn ready(gateway: &Gateway, call: &Call) -> Reply {
     let mut reply = Reply::new(body::empty());
@@ -68,7 +68,7 @@
     reply
 }
 
-/// `metrics` serves the metrics as text.
+/// Answers a request for the metrics.
 #[must_use]
 pub fn metrics(gateway: &Arc<Gateway>, call: &Call) -> Reply {
     if call.head.uri.path() != "/metrics" {
--- a/crates/peppercrank-gateway/src/errors.rs
+++ b/crates/peppercrank-gateway/src/errors.rs
@@ -1,18 +1,18 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The crate's error type and result.
+//! The crate's error and result types.
 
 use std::fmt;
 
-/// `Result` is the result of every fallible function of this crate.
+/// The result of all fallible functions of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is why the daemon cannot run.
+/// Why the daemon cannot run.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum Error {
-    /// Its settings cannot be read.
+    /// The settings are unreadable or invalid.
     Settings(peppercrank_settings::Error),
     /// A socket cannot be bound.
     Bind(peppercrank_wire::Error),
--- a/crates/peppercrank-gateway/src/gateway.rs
+++ b/crates/peppercrank-gateway/src/gateway.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What all tasks of the gateway share.
+//! The state and resources shared by all tasks of the gateway.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -37,35 +37,35 @@
 use crate::metrics::Metrics;
 use crate::state::State;
 
-/// Time for a connection to a target: a hundred round trips between availability zones.
+/// Time limit for connecting to a target: a hundred round trips between availability zones.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time for which an unused connection is kept; below the usual idle times of servers.
+/// Time for which an idle connection is kept, below the usual idle timeouts of servers.
 const KEEP_ALIVE: Duration = Duration::from_secs(4);
 
-/// Unused connections kept for each target: the bursts of one router seen by one target.
+/// Maximum idle connections per target, sized for the bursts that one router sends to one target.
 pub const MAX_IDLE_PER_TARGET: usize = 8;
 
-/// Longest wait of the client itself; each request brings a shorter one of its own.
+/// Time limit of the client itself. Each request has a shorter one of its own.
 const MAX_WAIT: Duration = Duration::from_secs(60 * 60);
 
-/// `Beliefs` are what decisions rest on.
+/// What the router's decisions are based on, for log lines.
 #[derive(Debug, Clone, Copy)]
 pub struct StateSummary {
-    /// The version of the configuration in force, 0 before the first.
+    /// The version of the configuration in force; 0 before the first.
     pub config_version: u64,
-    /// The age of what is known of keys; none before the first answer of the store.
+    /// The age of what is known about keys; `None` before the store's first answer.
     pub keys_age: Option<Duration>,
-    /// Who confirmed what is known of keys last.
+    /// Who last confirmed what is known about keys.
     pub keys_source: Option<Source>,
-    /// Whether the store does not answer.
+    /// Whether the store is unavailable.
     pub store_away: bool,
-    /// Targets registered.
+    /// The number of registered targets.
     pub target_count: usize,
 }
 
 impl StateSummary {
-    /// `fields` are the beliefs as fields of a log line.
+    /// Returns the summary as fields of a log line.
     #[must_use]
     pub fn log_fields(&self) -> [(&'static str, Field<'static>); 5] {
         let age = self.keys_age.unwrap_or(Duration::MAX);
@@ -80,46 +80,47 @@
     }
 }
 
-/// `Gateway` is what all tasks share.
+/// The state and resources shared by all tasks.
 #[derive(Debug)]
 pub struct Gateway {
-    /// The process's clock.
+    /// The clock of the process.
     pub clock: Clock,
     /// The settings in force.
     pub settings: watch::Receiver<Arc<GatewaySettings>>,
-    /// The client towards targets.
+    /// The HTTP client for targets.
     pub client: Client,
-    /// The log.
+    /// The log of the process.
     pub log: Log,
-    /// Counters and histograms.
+    /// Counters, gauges and histograms.
     pub metrics: Metrics,
-    /// The signal that tells to stop.
+    /// Signals that the process should stop.
     pub stop_signal: Stop,
-    /// Wakes the one who asked another router when its answer has come.
+    /// Wakes the task that asked another router once its answer has arrived.
     pub confirmation_received: Notify,
-    /// Wakes the one who tells other routers under which requests targets ended.
+    /// Wakes the task that sends crash reports to other routers.
     pub crash_news: Notify,
-    /// Wakes the attempts in progress, as some request was quarantined.
+    /// Wakes attempts in progress when a request was quarantined.
     pub quarantine_changed: Notify,
-    /// Wakes what waits for a moment, as the machine was suspended and timers stood still.
+    /// Wakes tasks that wait for a point in time after the machine was suspended, as timers stood
+    /// still.
     pub machine_resumed: Notify,
-    /// Wakes the one who asks other routers, once they were listed first.
+    /// Wakes the task that requests crash reports once the routers were first listed.
     pub routers_listed: Notify,
-    /// Wakes the one who follows evacuations, as another router knows of others.
+    /// Wakes the follower of evacuations when another router knows of different ones.
     pub evacuations_outdated: Notify,
-    /// Wakes the one who registers this router when its entry has gone.
+    /// Wakes the task that registers this router when its entry has disappeared.
     pub entry_missing: Notify,
-    /// The edge's limits, which follow the configuration in force.
+    /// The limits for callers, which follow the configuration in force.
     pub limits: watch::Sender<Arc<Limits>>,
-    /// Where this router takes datagrams.
+    /// The address at which this router receives datagrams.
     pub peer_address: SocketAddr,
-    /// Whether the balancer was last told that the router is ready.
+    /// Whether the load balancer was last told that the router is ready.
     pub reported_ready: AtomicBool,
     state: Mutex<State>,
 }
 
 impl Gateway {
-    /// `new` makes what the tasks share, of a router that takes datagrams at `peers`.
+    /// Creates the shared state of a router that receives datagrams at `peer_address`.
     #[must_use]
     pub fn new(
         clock: Clock,
@@ -158,15 +159,15 @@
         }
     }
 
-    /// `state` is the blackboard; it is never held across an await.
+    /// Locks the shared state. The guard must not be held across an await.
     pub fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// `bring_in_force` brings a version in force unless it is older, with its bounds on callers.
+    /// Applies a configuration and its caller limits unless a newer version is in force.
     ///
-    /// Both come at once: while the bounds came up to 200 ms later, a router that was ready refused
-    /// long requests for good that the configuration in force allowed.
+    /// Both must be applied together: while the limits lagged by up to 200 ms, a router that was
+    /// already ready rejected long requests that its configuration allowed.
     pub fn apply_configuration(&self, desired: Desired) -> Applied {
         let bounds = desired.bounds;
         let applied = self.state().config.apply(self.now(), desired);
@@ -177,13 +178,13 @@
         applied
     }
 
-    /// `now` is the present moment.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Moment {
         self.clock.now()
     }
 
-    /// `until` returns at a moment, also where the machine was suspended before it.
+    /// Waits until a point in time, even if the machine is suspended in between.
     pub async fn sleep_until(&self, at: Moment) {
         loop {
             let resumed = self.machine_resumed.notified();
@@ -191,12 +192,12 @@
             if left.is_zero() {
                 return;
             }
-            // Over by the timer or by a suspension: the clock tells whether the moment has come.
+            // Woken by the timer or after a suspension: the clock tells which.
             let _result = timeout(left, resumed).await;
         }
     }
 
-    /// `in_time` is what a future gives by a moment; none where it takes longer.
+    /// Returns the output of a future, or `None` if it takes longer than until `at`.
     pub async fn timeout_at<F: Future>(&self, at: Moment, future: F) -> Option<F::Output> {
         tokio::select! {
             biased;
@@ -205,7 +206,7 @@
         }
     }
 
-    /// `count_failure` counts a failure that speaks against a target.
+    /// Counts a failure attributed to a target, and logs if that ejects it.
     pub fn count_failure(&self, target: &Suspect) {
         let now = self.now();
         self.metrics.count_target_failure(&target.instance);
@@ -218,7 +219,8 @@
         }
     }
 
-    /// `hear_era` takes in the era that an answer of the store tells, to a question that was `asked` in another one or the same.
+    /// Records the store era of an answer, and returns how it relates to the newest known one.
+    /// `asked_era` is the newest era known when the question was sent.
     #[must_use]
     pub fn observe_era(&self, era: Option<Era>, asked_era: Option<Era>) -> Told {
         let Some(era) = era else {
@@ -234,13 +236,14 @@
             self.log.write(Event::StoreRestored, &fields);
         }
         match relation {
-            // Another call was the first to hear of it.
+            // Another call noticed the new era first.
             Told::Same if asked_era.is_some_and(|asked| asked < era) => Told::Newer,
             told => told,
         }
     }
 
-    /// `note_quarantined` tells that a request is kept from targets from now on, as learnt `here` or from a `router`.
+    /// Wakes attempts and logs that a request is quarantined from now on. `learnt_from` is `here`
+    /// or `router`.
     pub fn record_quarantined(&self, content: Fingerprint, learnt_from: &'static str) {
         self.quarantine_changed.notify_waiters();
         let content = content.to_string();
@@ -251,7 +254,7 @@
         self.log.write(Event::Quarantined, &fields);
     }
 
-    /// `beliefs` are what decisions rest on, with their versions and ages.
+    /// Returns a summary of what decisions are currently based on.
     #[must_use]
     pub fn state_summary(&self) -> StateSummary {
         let now = self.now();
@@ -265,7 +268,7 @@
         }
     }
 
-    /// `settings` are the settings in force.
+    /// Returns the settings in force.
     #[must_use]
     pub fn settings(&self) -> Arc<GatewaySettings> {
         Arc::clone(&self.settings.borrow())
--- a/crates/peppercrank-gateway/src/intake.rs
+++ b/crates/peppercrank-gateway/src/intake.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Takes entries of the store in: configuration, targets and routers.
+//! Applies entries read from the store: configurations, targets, routers and evacuations.
 
 use std::sync::Arc;
 
@@ -26,25 +26,25 @@
 use crate::state::RegisteredRouter;
 use crate::targets;
 
-/// Lines about entries of one answer that cannot be read: enough to tell who writes them, and few however many
-/// there are.
+/// Maximum log lines per answer about malformed entries: enough to identify their writer without
+/// flooding the log.
 const MAX_LOGGED_ENTRIES: u32 = 20;
 
-/// `Intake` takes entries of one kind in.
+/// Applies entries of one kind.
 #[derive(Debug)]
 pub struct Intake {
     gateway: Arc<Gateway>,
     kind: Kind,
-    /// The revision of the store that told the newest entries.
+    /// The store revision up to which entries were read.
     pub revision: Option<u64>,
-    /// Whether the whole list was taken in before.
+    /// Whether a complete list was applied before.
     listed: bool,
-    /// Entries of this answer that could not be read.
+    /// The number of malformed entries in the current answer.
     malformed_entries: u32,
 }
 
 impl Intake {
-    /// `new` takes entries of a kind in.
+    /// Creates an intake for entries of one kind.
     #[must_use]
     pub fn new(gateway: &Arc<Gateway>, kind: Kind) -> Self {
         Self {
@@ -56,7 +56,8 @@
         }
     }
 
-    /// `replace` takes in the whole list of targets, routers or evacuations, of which the store was `asked` at a moment.
+    /// Applies the complete list of targets, routers or evacuations, for which the store was asked
+    /// at `asked_at`.
     pub fn replace(&mut self, asked_at: Moment, entries: Vec<Entry>) {
         self.malformed_entries = 0;
         match self.kind {
@@ -74,7 +75,7 @@
             Kind::Routers => {
                 let own = self.gateway.settings().name.clone();
                 let is_own = |e: &Entry| matches!(e, Entry::Router(r) if *r.name == *own);
-                // The first list may be older than this router's own first entry.
+                // The first list may predate this router's own entry.
                 let listed_before = std::mem::replace(&mut self.listed, true);
                 if listed_before && !entries.iter().any(is_own) {
                     self.gateway.entry_missing.notify_one();
@@ -100,7 +101,8 @@
         }
     }
 
-    /// `apply` takes in changes of targets, routers or evacuations, for which the store was `asked` at a moment.
+    /// Applies changes of targets, routers or evacuations, for which the store was asked at
+    /// `asked_at`.
     pub fn apply(&mut self, asked_at: Moment, events: Vec<Event>) {
         self.malformed_entries = 0;
         match self.kind {
@@ -148,9 +150,11 @@
         }
     }
 
-    /// `configure` brings the newest configuration in force, and confirms what is known of keys where the
-    /// answer to a question of `asked` proves that it is the newest that can be read. One that cannot be read must not
-    /// take the last good one out of use, which would refuse all callers.
+    /// Applies the newest configuration, and confirms what is known about keys if the answer proves
+    /// that configuration to be the newest readable one. `asked_at` is when the store was asked.
+    ///
+    /// A malformed configuration must not invalidate the last good one, as that would refuse all
+    /// callers.
     #[must_use]
     pub fn apply_configurations(
         &mut self,
@@ -191,7 +195,8 @@
         applied
     }
 
-    /// The zone that an entry evacuates.
+    /// Returns the availability zone that an entry evacuates; `None` for other or malformed
+    /// entries.
     fn evacuated_zone(&mut self, entry: Entry) -> Option<Arc<str>> {
         match entry {
             Entry::Evacuation(zone) => Some(zone),
@@ -203,7 +208,7 @@
         }
     }
 
-    /// What an entry says of the targets.
+    /// Returns the change of a target that an entry describes; `None` for other entries.
     fn target_change(&mut self, entry: Entry) -> Option<TargetChange> {
         match entry {
             Entry::Target(registration) => Some(TargetChange::Put(registration)),
@@ -233,7 +238,8 @@
     fn apply_router(&mut self, entry: Entry) {
         match entry {
             Entry::Router(router) if *router.name == *self.gateway.settings().name => {
-                // Somebody else wrote it, and others would not find this router by it.
+                // Another writer replaced the entry, so other routers would not find this one by
+                // it.
                 if router.address != self.gateway.peer_address {
                     self.gateway.entry_missing.notify_one();
                 }
@@ -261,7 +267,7 @@
         }
     }
 
-    /// Counts an entry that could not be read, and writes a line unless this answer held many.
+    /// Counts a malformed entry, and logs it unless this answer contained too many.
     fn record_malformed(&mut self, name: &str, error: &peppercrank_platform::Error) {
         self.gateway.metrics.count_invalid_entry(self.kind.word());
         self.malformed_entries += 1;
@@ -278,9 +284,9 @@
     }
 }
 
-/// The beginning of a text that another writer chose.
+/// Returns the beginning of a text of arbitrary length from another writer.
 fn shorten(text: &str) -> String {
-    /// Characters that a line holds of it.
+    /// Maximum characters in a log line.
     const MAX_CHARS: usize = 200;
     text.chars().take(MAX_CHARS).collect()
 }
--- a/crates/peppercrank-gateway/src/job.rs
+++ b/crates/peppercrank-gateway/src/job.rs
@@ -58,7 +58,7 @@
     pub goal: Duration,
     /// The longest acceptable gap between two parts of its answer, if the route specifies one.
     pub max_gap: Option<Duration>,
-    /// The organisation of its caller; `None` on a route that needs no key.
+    /// The organisation of its caller; `None` if the request was accepted without a known key.
     pub organisation: Option<Arc<str>>,
     /// Its priority rank among the requests for its pool.
     pub rank: Rank,
@@ -138,7 +138,7 @@
         self.prompt_tokens + self.max_output_tokens * OUTPUT_WEIGHT
     }
 
-    /// Finds the route of a request and checks that its caller may use it.
+    /// Finds the route of a request and checks its API key.
     ///
     /// # Errors
     ///
--- a/crates/peppercrank-gateway/src/limits.rs
+++ b/crates/peppercrank-gateway/src/limits.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What callers may send and how long they may take, by the configuration in force.
+//! Limits on what callers may send and how long they may take, from the configuration in force.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 use peppercrank_settings::GatewaySettings;
 use peppercrank_wire::edge::Limits;
 
-/// Time that new callers still come after SIGTERM: the balancer asks each second and drops a
-/// router after two misses.
+/// Time for which new callers are still accepted after SIGTERM. The load balancer checks each
+/// second and drops a router after two failed checks.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_secs(3);
 
-/// Time left at the end for the process itself.
+/// Time reserved for the process itself at the end of the shutdown.
 const EXIT_RESERVE: Duration = Duration::from_millis(400);
 
-/// `FIRST_BOUNDS` are the bounds on callers before a configuration was read.
+/// The limits for callers before a configuration has been read.
 pub const DEFAULT_BOUNDS: CallerBounds = CallerBounds {
     head: 16_384,
     body: 4_194_304,
@@ -24,14 +24,14 @@
     idle: Duration::from_secs(15),
 };
 
-/// Multiple of the idle time that callers are told; one that reuses a connection late in that
-/// time must not find it closed.
+/// Multiple of the idle time announced to callers, so that one that reuses a connection late in
+/// that time does not find it closed.
 const IDLE_FACTOR: u32 = 2;
 
-/// Part of the memory that bodies of requests may take.
+/// Divisor of the process's memory that gives the share for request bodies.
 const BODY_MEMORY_DIVISOR: usize = 4;
 
-/// `edge_limits` are the edge's limits by the settings and a configuration's bounds on callers.
+/// Returns the limits for callers from the settings and a configuration.
 #[must_use]
 pub fn edge_limits(settings: &GatewaySettings, bounds: CallerBounds) -> Limits {
     Limits {
--- a/crates/peppercrank-gateway/src/metrics.rs
+++ b/crates/peppercrank-gateway/src/metrics.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Counters and histograms of the gateway, in Prometheus text.
+//! Metrics of the gateway in Prometheus text format.
 
 use std::collections::HashSet;
 use std::sync::Mutex;
@@ -26,57 +26,58 @@
 use crate::refuse::Reason;
 use crate::state::State;
 
-/// The least time that the histograms by kind tell apart, in seconds.
+/// Upper bound of the first bucket of histograms by kind, in seconds.
 const KIND_MIN_SECONDS: f64 = 0.001;
 
-/// The buckets of the histograms by kind; each doubles the one before, up to 16 s.
+/// Number of buckets of histograms by kind. Each bound doubles the previous one, up to 16 s.
 const KIND_BUCKETS: u16 = 15;
 
-/// The least time that the histograms by target tell apart, in seconds.
+/// Upper bound of the first bucket of histograms by target, in seconds.
 const TARGET_MIN_SECONDS: f64 = 0.01;
 
-/// The buckets of the histograms by target; each is four times the one before, up to 10 s.
+/// Number of buckets of histograms by target. Each bound is four times the previous one, up to 10
+/// s.
 const TARGET_BUCKETS: u16 = 6;
 
-/// Targets that have histograms of their own; more share one, so that a large fleet's metrics stay
-/// below some hundred kilobytes.
+/// Maximum number of targets with metrics series of their own. Further targets share one, which
+/// keeps a large fleet's metrics below a few hundred kilobytes.
 const MAX_NAMED_TARGETS: usize = 64;
 
-/// The label of targets beyond these.
+/// The label shared by further targets.
 const OTHER_TARGETS: &str = "other";
 
-/// `Label` is the reason that a counter counts by.
+/// Labels a counter with a reason.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ReasonLabel {
     reason: &'static str,
 }
 
-/// `KindLabel` is the kind of a route or of entries.
+/// Labels a metric with the kind of a route or of store entries.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct KindLabel {
     kind: &'static str,
 }
 
-/// `TargetLabel` is one start of a target.
+/// Labels a metric with a target's name.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct TargetLabel {
     target: String,
 }
 
-/// `PoolLabel` is a pool.
+/// Labels a metric with a pool.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct PoolLabel {
     pool: String,
 }
 
-/// `CallLabel` is a call to the store.
+/// Labels a counter with the kind and outcome of a store call.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CallLabel {
     kind: &'static str,
     outcome: &'static str,
 }
 
-/// `Metrics` holds the gateway's counters.
+/// The metrics of the gateway.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -92,7 +93,7 @@
     gap_seconds: Family<KindLabel, Histogram, fn() -> Histogram>,
     target_first_seconds: Family<TargetLabel, Histogram, fn() -> Histogram>,
     target_failures: Family<TargetLabel, Counter>,
-    /// Targets that have series of their own.
+    /// The targets that have metrics series of their own.
     named_targets: Mutex<HashSet<String>>,
     retries_left: Family<PoolLabel, Gauge<f64, AtomicU64>>,
     dropped_log_lines: Gauge<i64, AtomicI64>,
@@ -111,7 +112,7 @@
 }
 
 impl Metrics {
-    /// `new` registers all metrics, each refusal reason at zero.
+    /// Registers all metrics, with each refusal reason at zero.
     #[must_use]
     pub fn new() -> Self {
         let mut metrics = Self {
@@ -243,45 +244,47 @@
         r.register("targets", "Targets registered", self.targets.clone());
     }
 
-    /// `refused` counts a request without a target's answer.
+    /// Counts a refused request.
     pub fn count_refusal(&self, reason: Reason) {
         let reason = reason.code();
         self.refused.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// `missed` counts an attempt or stream without a whole answer.
+    /// Counts an attempt or stream without a complete answer. Malformed datagrams are counted here
+    /// too.
     pub fn count_failed_attempt(&self, reason: &'static str) {
         self.attempts_failed
             .get_or_create(&ReasonLabel { reason })
             .inc();
     }
 
-    /// `repeated` counts a repeat that the budget allowed or not.
+    /// Counts a retry that the budget allowed or denied.
     pub fn count_retry(&self, allowed: bool) {
         let reason = if allowed { "allowed" } else { "budget_spent" };
         self.repeats.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// `called` counts a call to the store.
+    /// Counts a call to the store.
     pub fn count_store_call(&self, kind: &'static str, outcome: &'static str) {
         let label = CallLabel { kind, outcome };
         self.store_calls.get_or_create(&label).inc();
     }
 
-    /// `store_bytes` counts the bytes of the store's answers.
+    /// Returns the counter for the bytes of the store's answers.
     #[must_use]
     pub fn store_byte_counter(&self) -> Counter {
         self.bytes_read.clone()
     }
 
-    /// `invalid` counts an entry of the store that could not be read.
+    /// Counts a malformed store entry.
     pub fn count_invalid_entry(&self, kind: &'static str) {
         self.invalid_entries
             .get_or_create(&KindLabel { kind })
             .inc();
     }
 
-    /// `confirmed` counts a confirmation of what is known of keys, by who gave it.
+    /// Counts a confirmation of what is known about keys, by whether a router or the store was
+    /// asked.
     pub fn count_confirmation(&self, by_router: bool) {
         let reason = if by_router { "router" } else { "store" };
         self.confirmations
@@ -289,13 +292,13 @@
             .inc();
     }
 
-    /// `told` counts a datagram.
+    /// Counts a datagram as sent or failed.
     pub fn count_datagram(&self, sent: bool) {
         let reason = if sent { "sent" } else { "failed" };
         self.datagrams.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// `answered` notes an answer and its time to the first part.
+    /// Records the time to the first part of an answer.
     pub fn observe_answer(&self, kind: RouteKind, first: Duration) {
         let kind = kind.code();
         let label = KindLabel { kind };
@@ -304,7 +307,7 @@
             .observe(first.as_secs_f64());
     }
 
-    /// `paused` notes the time between two parts of a stream.
+    /// Records the time between two parts of a stream.
     pub fn observe_gap(&self, kind: RouteKind, gap: Duration) {
         let kind = kind.code();
         let label = KindLabel { kind };
@@ -313,20 +316,20 @@
             .observe(gap.as_secs_f64());
     }
 
-    /// `target_answered` notes a target's time to its answer's first part.
+    /// Records a target's time to the first part of its answer.
     pub fn observe_target_answer(&self, target: &str, took: Duration) {
         let label = self.label(target);
         let histogram = self.target_first_seconds.get_or_create(&label);
         histogram.observe(took.as_secs_f64());
     }
 
-    /// `target_failed` counts a failure that speaks against a target.
+    /// Counts a failure attributed to a target.
     pub fn count_target_failure(&self, target: &str) {
         let label = self.label(target);
         self.target_failures.get_or_create(&label).inc();
     }
 
-    /// The label of a target's own series, or of the one that targets beyond the bound share.
+    /// Returns the label of a target's own series, or of the series shared beyond the limit.
     fn label(&self, target: &str) -> TargetLabel {
         let mut named = self.lock_named_targets();
         if named.contains(target) {
@@ -345,7 +348,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// `target_gone` drops the series of a target that is gone.
+    /// Removes the series of a target that is gone.
     pub fn remove_target(&self, target: &str) {
         self.lock_named_targets().remove(target);
         let label = target_label(target);
@@ -353,7 +356,7 @@
         self.target_failures.remove(&label);
     }
 
-    /// `in_force` notes the version in force.
+    /// Sets the version of the configuration in force.
     pub fn set_config_version(&self, version: u64) {
         self.config_version
             .set(i64::try_from(version).unwrap_or(i64::MAX));
@@ -371,7 +374,7 @@
         }
     }
 
-    /// `text` is all metrics as text.
+    /// Renders all metrics as text.
     #[must_use]
     pub fn render(&self, gateway: &Gateway) -> String {
         let now = gateway.now();
@@ -391,7 +394,7 @@
             .set(saturating_i64(state.directory.len() as u128));
         drop(state);
         let mut text = String::new();
-        // Writing into a string does not fail.
+        // Writing to a string cannot fail.
         let _written = encode(&mut text, &self.registry);
         text
     }
--- a/crates/peppercrank-gateway/src/outage.rs
+++ b/crates/peppercrank-gateway/src/outage.rs
@@ -1,12 +1,12 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Whether the store answers this router, as its followers find out.
+//! Shares whether the store answers this router among its followers.
 
 use tokio::sync::watch;
 
-/// `Outage` tells the followers when one of them finds the store away or back, since the others
-/// may wait on connections that are dead.
+/// Notifies all followers when one of them finds the store unavailable or recovered, since the
+/// others may be waiting on dead connections.
 #[derive(Debug, Clone)]
 pub struct Outage(watch::Sender<bool>);
 
@@ -17,37 +17,37 @@
 }
 
 impl Outage {
-    /// `is_away` tells whether the store does not answer.
+    /// Returns whether the store is unavailable.
     #[must_use]
     pub fn is_away(&self) -> bool {
         *self.0.borrow()
     }
 
-    /// `set` notes whether the store is away; true if that is news.
+    /// Records whether the store is unavailable, and returns whether that changed.
     #[must_use]
     pub fn set_away(&self, away: bool) -> bool {
         self.0
             .send_if_modified(|now| std::mem::replace(now, away) != away)
     }
 
-    /// `subscribe` is what a follower hears by.
+    /// Returns a listener for one follower.
     #[must_use]
     pub fn subscribe(&self) -> OutageListener {
         OutageListener(self.0.subscribe())
     }
 }
 
-/// `OutageListener` tells one follower of the store's outages.
+/// Notifies one follower of the store's outages.
 #[derive(Debug, Clone)]
 pub struct OutageListener(watch::Receiver<bool>);
 
 impl OutageListener {
-    /// `is_away` tells whether the store is away, and takes that as heard.
+    /// Returns whether the store is unavailable, and marks that state as seen.
     pub fn is_away(&mut self) -> bool {
         *self.0.borrow_and_update()
     }
 
-    /// `returned` returns once the store was away and is back.
+    /// Waits until the store has recovered from an outage.
     pub async fn wait_for_return(&mut self) {
         loop {
             if self.0.changed().await.is_err() {
--- a/crates/peppercrank-gateway/src/progress.rs
+++ b/crates/peppercrank-gateway/src/progress.rs
@@ -1,8 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Tells the log which requests are in progress, so that a process that is killed leaves word of
-//! them.
+//! Periodically logs the requests in progress, so that they are known if the process is killed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,13 +12,13 @@
 
 use crate::gateway::Gateway;
 
-/// Pause between lines; a request that takes longer is told of at least once.
+/// Interval between lines. Any request that takes longer is logged at least once.
 const LOG_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Most requests on one line; it bounds the line to a few kilobytes.
+/// Maximum requests per line, which limits it to a few kilobytes.
 const MAX_REQUESTS: usize = 200;
 
-/// `tell` writes the requests in progress, for ever.
+/// Periodically logs the requests in progress.
 pub async fn log_in_progress(gateway: Arc<Gateway>) {
     loop {
         sleep(LOG_INTERVAL).await;
--- a/crates/peppercrank-gateway/src/refuse.rs
+++ b/crates/peppercrank-gateway/src/refuse.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The gateway's own answers: refusals, with a counter for each reason.
+//! The gateway's own answers, which refuse a request with a reason.
 
 use std::time::Duration;
 
@@ -13,17 +13,17 @@
 
 macro_rules! reasons {
     ($($(#[$doc:meta])* $name:ident $code:literal $status:ident;)*) => {
-        /// `Reason` is why a request got no target's answer.
+        /// Why a request received no answer from a target.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum Reason {
             $($(#[$doc])* $name,)*
         }
 
         impl Reason {
-            /// All reasons, in the order of their definition.
+            /// All reasons in the order of their definition.
             pub const ALL: &[Self] = &[$(Self::$name,)*];
 
-            /// `code` is the reason's stable code in answers, logs and metrics.
+            /// Returns the reason's stable code in answers, logs and metrics.
             #[must_use]
             pub const fn code(self) -> &'static str {
                 match self {
@@ -31,7 +31,7 @@
                 }
             }
 
-            /// `status` is the status that the caller gets.
+            /// Returns the HTTP status sent to the caller.
             #[must_use]
             pub const fn status(self) -> StatusCode {
                 match self {
@@ -43,46 +43,47 @@
 }
 
 reasons! {
-    /// No configuration was read yet.
+    /// No configuration has been read yet.
     NoConfiguration "no_configuration" SERVICE_UNAVAILABLE;
-    /// What is known of keys is too old to be trusted.
+    /// What is known about keys is too old to be trusted.
     StaleKeys "stale_keys" SERVICE_UNAVAILABLE;
-    /// No route matches, but what is known of routes is too old to tell.
+    /// No route matches, but the known routes are too old to be sure.
     StaleRoutes "stale_routes" SERVICE_UNAVAILABLE;
-    /// A header that must be there is missing or malformed.
+    /// A required header is missing or malformed.
     BadRequest "bad_request" BAD_REQUEST;
     /// No route matches the host and path.
     NoRoute "no_route" NOT_FOUND;
-    /// The key is missing or nobody's.
+    /// The API key is missing or unknown.
     Denied "denied" UNAUTHORIZED;
-    /// The pool has no target.
+    /// The pool has no usable target.
     NoTarget "no_target" SERVICE_UNAVAILABLE;
-    /// All targets of the pool are in evacuated availability zones, or it is not known yet which zones are evacuated.
+    /// All targets of the pool are in evacuated availability zones, or it is not yet known which
+    /// zones are evacuated.
     Evacuated "evacuated" SERVICE_UNAVAILABLE;
-    /// All targets of the pool that it may run on want no requests for a while.
+    /// All targets of the pool that it may run on asked for a pause in requests.
     Paused "paused" SERVICE_UNAVAILABLE;
-    /// No target in a region in which it may run takes work.
+    /// No target in an allowed region accepts work.
     NoRegion "no_region" SERVICE_UNAVAILABLE;
-    /// All targets of the pool are cold and get what they bear.
+    /// All targets of the pool are cold and already get as many requests as they can take.
     WarmingUp "warming_up" SERVICE_UNAVAILABLE;
-    /// All targets of the pool are full.
+    /// All targets of the pool are at capacity.
     Full "full" SERVICE_UNAVAILABLE;
-    /// Connections to all targets are slow: this router's own link is full.
+    /// Connections to all targets are slow because this router's own link is congested.
     Congested "congested" SERVICE_UNAVAILABLE;
-    /// Targets ended under it again and again.
+    /// It repeatedly crashed targets.
     CrashesTargets "crashes_targets" SERVICE_UNAVAILABLE;
-    /// Targets refused it, or could not be reached, and no further attempt is allowed.
+    /// Targets refused it or could not be reached, and no further attempt is allowed.
     Refused "refused" SERVICE_UNAVAILABLE;
-    /// Its time passed before it was sent.
+    /// Its deadline passed before it was sent.
     Late "late" SERVICE_UNAVAILABLE;
-    /// An attempt may have run and gave no whole answer.
+    /// An attempt may have run but gave no complete answer.
     Failed "failed" BAD_GATEWAY;
-    /// Its time passed while a target was at work on it.
+    /// Its deadline passed while a target was processing it.
     TimedOut "timed_out" GATEWAY_TIMEOUT;
 }
 
 impl Reason {
-    /// `passes` tells whether the same request may fare better a little later.
+    /// Returns whether the same request may succeed a little later.
     #[must_use]
     pub const fn is_transient(self) -> bool {
         matches!(
@@ -103,8 +104,8 @@
         )
     }
 
-    /// `parts` tells whether the caller fares better by another router, so that its connection is closed:
-    /// only a new one comes to a router that is ready.
+    /// Returns whether the caller's connection is closed because another router may serve it: the
+    /// load balancer sends only new connections to a router that is ready.
     #[must_use]
     pub const fn closes_connection(self) -> bool {
         matches!(
@@ -114,7 +115,7 @@
     }
 }
 
-/// `refuse` makes the answer; `after` tells when to come back, where that helps.
+/// Builds the refusal. `after` is the retry delay, sent only for transient reasons.
 #[must_use]
 pub fn refuse(reason: Reason, after: Duration) -> Reply {
     let mut reply = Reply::new(body::full(reason.code()));
@@ -127,7 +128,7 @@
     }
     if reason.is_transient() {
         let seconds = format!("{:.3}", after.as_secs_f64());
-        // Digits and a point are always a header's value.
+        // Digits and a decimal point are always a valid header value.
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             headers.insert(header::RETRY_AFTER, value);
         }
--- a/crates/peppercrank-gateway/src/reload.rs
+++ b/crates/peppercrank-gateway/src/reload.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Reads the settings anew, on SIGHUP and when the file has changed without a signal.
+//! Reloads the settings on SIGHUP, and when the file has changed without a signal.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -19,17 +19,18 @@
 use crate::gateway::Gateway;
 use crate::state::retry_terms;
 
-/// Pause between looks at the file.
+/// Interval between checks of the file.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// `reload` keeps the settings up to date; an invalid file leaves the last good one in force.
+/// Keeps the settings up to date. If the file is invalid, the last valid settings stay in force.
 pub async fn keep_settings_current(
     gateway: Arc<Gateway>,
     path: PathBuf,
     settings: watch::Sender<Arc<GatewaySettings>>,
     mut hangup: Signal,
 ) {
-    // The file may have changed since the settings in force were read, so the first look counts.
+    // The file may have changed since the settings in force were read, so the first check always
+    // parses it.
     let mut last_text = String::new();
     loop {
         tokio::select! {
@@ -46,7 +47,7 @@
     settings: &watch::Sender<Arc<GatewaySettings>>,
     last_text: &mut String,
 ) {
-    // A file that cannot be read now may be about to be replaced; the next look tells.
+    // An unreadable file may be in the process of being replaced, so wait for the next check.
     let Ok(text) = file::read(path) else {
         return;
     };
--- a/crates/peppercrank-gateway/src/role.rs
+++ b/crates/peppercrank-gateway/src/role.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What each follower of the store is for, how long its calls wait and how often they come.
+//! The roles of the store's followers: how long their calls wait and how often they are made.
 
 use std::time::Duration;
 
@@ -9,72 +9,73 @@
 
 use crate::confirm::Confirmer;
 
-/// Time that a question which confirms what is known of keys waits. What an answer confirms is as old
-/// as the question, so questions that are answered at once keep the knowledge younger than the
-/// same number of questions that wait.
+/// Wait of calls that confirm what is known about keys. An answer confirms the state as of the time
+/// of its question, so answering at once keeps the knowledge fresher than the same number of calls
+/// that wait.
 const CONFIRM_WAIT: Duration = Duration::from_millis(1);
 
-/// Time that the watch of the configuration waits, below the history that the store keeps. Changes end
-/// it at once, and one that went silent does no harm: a version that another router tells of twice is
+/// Wait of the configuration watch, below the history that the store keeps. Changes end it at once.
+/// A connection that silently broke does no harm: a version that another router reports twice is
 /// fetched.
 const CONFIG_WAIT: Duration = Duration::from_secs(18);
 
-/// Time that the watch of targets waits; a change ends it at once, and a connection that went
-/// silent is noticed after it.
+/// Wait of the targets watch. Changes end it at once, and a connection that silently broke is
+/// noticed after it.
 const TARGETS_WAIT: Duration = Duration::from_secs(5);
 
-/// Time that the watch of routers waits: they change rarely, and datagrams tell who lives.
+/// Wait of the routers watch. Routers change rarely, and datagrams show which are alive.
 const ROUTERS_WAIT: Duration = Duration::from_secs(20);
 
-/// Time that the watch of evacuations waits at a router that asks the store for others: a connection that went
-/// silent is noticed after it, within half of the usual bound on evacuations.
+/// Wait of the evacuations watch at a router that confirms with the store for others. A connection
+/// that silently broke is noticed after it, within half of the usual bound on evacuations.
 const EVACUATIONS_WAIT: Duration = Duration::from_millis(2_500);
 
-/// The same at a router that is told by others when it knows something else than they do; below the history that the store keeps.
+/// The same at a router that others tell when its evacuations differ from theirs. It is below the
+/// history that the store keeps.
 const EVACUATIONS_WAIT_CONFIRMED: Duration = Duration::from_secs(18);
 
-/// Pause between calls for targets: each change ends a watch, and many come at once when a pool is
-/// replaced. A leaving target gets work for this much longer, a fifth of the usual bound.
+/// Pause between calls for targets. Each change ends a watch, and many arrive together when a pool
+/// is replaced. A leaving target gets work for this much longer, a fifth of the usual bound.
 const TARGETS_PACE: Duration = Duration::from_millis(400);
 
-/// The same for each router of a large fleet, as all of them call after each change.
+/// The same per router of a large fleet, as all of them call after each change.
 const TARGETS_PACE_PER_ROUTER: Duration = Duration::from_millis(25);
 
-/// The longest pause between calls for targets: below half of the usual bound for a leaving target.
+/// Maximum pause between calls for targets, below half of the usual bound for a leaving target.
 const MAX_TARGETS_PACE: Duration = Duration::from_millis(900);
 
-/// Pause between confirmations of what is known of keys: below half of the usual bounds for a change to come
-/// in force, and a fifth of the usual bound on keys.
+/// Pause between confirmations of what is known about keys. It is below half of the usual bound for
+/// a change to take effect, and a fifth of the usual bound on keys.
 const CONFIRM_PACE: Duration = Duration::from_millis(900);
 
-/// Pause between watches of the configuration, so that a series of changes gathers: the first one is in
-/// force at once, the next within a third of the usual bound.
+/// Pause between watches of the configuration, so that a series of changes is read together: the
+/// first takes effect at once, the next within a third of the usual bound.
 const CONFIG_PACE: Duration = Duration::from_millis(700);
 
-/// Pause between calls for evacuations, which are rare: a few that come together gather.
+/// Pause between calls for evacuations. They are rare, and several made together are read at once.
 const EVACUATIONS_PACE: Duration = Duration::from_millis(300);
 
-/// Pause between calls for routers, which are all registered within the first second of a fleet.
+/// Pause between calls for routers. All of a fleet's routers register within its first second.
 const ROUTERS_PACE: Duration = Duration::from_secs(2);
 
-/// `Role` is what a follower is for.
+/// What a follower of the store does.
 #[derive(Debug, Clone)]
 pub enum FollowerRole {
-    /// Takes changes of the targets in as soon as they come.
+    /// Applies changes of the targets as soon as they occur.
     Targets,
-    /// Takes changes of the routers in as soon as they come.
+    /// Applies changes of the routers as soon as they occur.
     Routers,
-    /// Takes changes of the evacuated zones in as soon as they come.
+    /// Applies changes of the evacuated availability zones as soon as they occur.
     Evacuations(Confirmer),
-    /// Takes changes of the configuration in as soon as they come, where others confirm it.
+    /// Applies changes of the configuration as soon as they occur, while other routers confirm it.
     WatchConfiguration(Confirmer),
-    /// Confirms again and again that the configuration is the newest, and finds out when the store is
-    /// back after an outage.
+    /// Periodically confirms that the configuration is the newest, and detects the store's recovery
+    /// after an outage.
     ConfirmConfiguration(Confirmer),
 }
 
 impl FollowerRole {
-    /// `kind` is the kind of entries that it follows.
+    /// Returns the kind of entries that it follows.
     #[must_use]
     pub const fn kind(&self) -> Kind {
         match self {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// `wait` is how long the store is asked to wait for a change.
+    /// Returns how long the store is asked to wait for a change.
     #[must_use]
     pub fn wait(&self) -> Duration {
         match self {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// `pace` is the pause between two calls in a fleet of so many routers.
+    /// Returns the pause between two calls in a fleet of `routers` routers.
     #[must_use]
     pub fn pace(&self, routers: usize) -> Duration {
         match self {
--- a/crates/peppercrank-gateway/src/run.rs
+++ b/crates/peppercrank-gateway/src/run.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Starts the gateway and ends it on SIGTERM.
+//! Starts the gateway and shuts it down on SIGTERM.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -48,10 +48,10 @@
 use crate::suspension;
 use crate::targets;
 
-/// Pause between looks at how many connections are kept.
+/// Interval between updates of the number of idle connections kept.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// `run` serves until SIGTERM, then ends what is in progress.
+/// Serves until SIGTERM, then finishes the requests in progress.
 ///
 /// # Errors
 ///
@@ -71,25 +71,26 @@
     running.shutdown().await
 }
 
-/// `Running` is a gateway that serves.
+/// A running gateway.
 #[derive(Debug)]
 pub struct RunningGateway {
-    /// Where it takes callers.
+    /// The address at which it accepts callers.
     pub caller_address: SocketAddr,
-    /// Where it answers the balancer.
+    /// The address at which it answers the load balancer's health checks.
     pub ready_address: SocketAddr,
-    /// What its tasks share.
+    /// The state shared by its tasks.
     pub gateway: Arc<Gateway>,
     store: Store,
     serve_stopper: Stopper,
-    /// The balancer and the metrics are answered until the process ends.
+    /// Stops the health checks and metrics, which are served until the process ends.
     admin_stopper: Stopper,
     serve_task: JoinHandle<Finished>,
     tasks: JoinSet<()>,
 }
 
 impl RunningGateway {
-    /// `start` binds the sockets and starts all tasks; `path` is where the settings are read anew.
+    /// Binds the sockets and starts all tasks. `path` is the file from which the settings are
+    /// reloaded.
     ///
     /// # Errors
     ///
@@ -98,7 +99,7 @@
         Self::start_with_clock(Clock::start(), path, settings, log).await
     }
 
-    /// `start_by` does the same by this clock.
+    /// Starts a gateway that uses this clock.
     ///
     /// # Errors
     ///
@@ -157,11 +158,11 @@
         })
     }
 
-    /// `finish` ends what is in progress, and then the gateway.
+    /// Finishes the requests in progress, then shuts the gateway down.
     ///
     /// # Errors
     ///
-    /// Returns an error when the task that serves failed.
+    /// Returns an error when the serving task failed.
     pub async fn shutdown(mut self) -> Result<()> {
         self.gateway.log.write(Event::Stopping, &[]);
         self.serve_stopper.stop();
@@ -175,7 +176,7 @@
     }
 }
 
-/// Starts the tasks that keep the blackboard up to date.
+/// Starts the tasks that keep the shared state up to date.
 fn start_tasks(
     tasks: &mut JoinSet<()>,
     gateway: &Arc<Gateway>,
@@ -217,7 +218,7 @@
     tasks.spawn(gossip::receive(Arc::clone(gateway), socket));
 }
 
-/// Serves the balancer and the metrics until the process ends.
+/// Serves health checks and metrics until the process ends.
 async fn serve_admin(gateway: &Arc<Gateway>, ready: Edge, end: &Stop) -> Result<()> {
     let shared = Arc::clone(gateway);
     let answer = move |call| {
@@ -238,7 +239,7 @@
     Ok(())
 }
 
-/// Keeps as many connections to targets as their number of connections and that of the routers allow.
+/// Adjusts the number of idle connections kept to what the targets accept from all routers.
 async fn adjust_idle_connections(gateway: Arc<Gateway>) {
     loop {
         sleep(IDLE_CHECK_INTERVAL).await;
--- a/crates/peppercrank-gateway/src/serve.rs
+++ b/crates/peppercrank-gateway/src/serve.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Answers callers: judge, attempt, attempt again where that is allowed, answer.
+//! Answers callers: authorises a request, makes attempts, and returns the answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -43,13 +43,14 @@
 use crate::relay;
 use crate::state::InProgressKey;
 
-/// Part of the wanted time after which a repeatable request is tried elsewhere.
+/// Share of the request's goal after which a repeatable request is tried elsewhere.
 const RETRY_AFTER_SHARE: f64 = 0.5;
 
-/// Multiple of the predicted time that a repeatable request waits at least.
+/// Minimum wait before a repeatable request is tried elsewhere, as a multiple of the predicted
+/// time.
 const PREDICTION_FACTOR: f64 = 4.0;
 
-/// `answer` answers one call.
+/// Answers one call.
 pub async fn answer_call(gateway: Arc<Gateway>, call: Call) -> Reply {
     let received_at = gateway.now();
     let body = match call.body.read().await {
@@ -72,7 +73,7 @@
     }
 }
 
-/// Carries a judged request to its answer.
+/// Processes an authorised request until there is an answer.
 async fn process(gateway: &Arc<Gateway>, job: Arc<Job>) -> Reply {
     let now = gateway.now();
     gateway.state().retry_budget.request(now, &job.pool);
@@ -93,15 +94,15 @@
     }
 }
 
-/// `Next` is what follows an attempt.
+/// What follows an attempt.
 enum NextStep {
-    /// The answer.
+    /// Return this answer.
     Answer(Reply),
-    /// Another attempt.
+    /// Make another attempt.
     Retry,
 }
 
-/// `Open` counts a request as in progress until it is dropped.
+/// Counts a request as in progress until it is dropped.
 #[derive(Debug)]
 pub struct InProgressGuard {
     gateway: Arc<Gateway>,
@@ -124,24 +125,24 @@
     }
 }
 
-/// `Run` is one request over its attempts.
+/// A request and the state of its attempts.
 #[derive(Debug, Clone)]
 pub struct ActiveRequest {
-    /// That it is in progress.
+    /// Keeps the request counted as in progress.
     pub in_progress: Arc<InProgressGuard>,
-    /// What all tasks share.
+    /// The state shared by all tasks.
     pub gateway: Arc<Gateway>,
     /// The request.
     pub job: Arc<Job>,
-    /// How far it has come.
+    /// The attempts made so far and those still allowed.
     pub plan: Plan,
-    /// The targets that it was sent to.
+    /// The targets that it was sent to so far.
     pub tried: Vec<TargetKey>,
-    /// When its caller may fare better, if it is refused.
+    /// When its caller should retry if it is refused.
     pub retry_after: Duration,
-    /// The targets that answered it with a failure.
+    /// The targets that answered with a failure, until it is known what caused it.
     attribution: Attribution,
-    /// A target's failure, to pass on if nothing better comes.
+    /// A target's failure, forwarded if no attempt succeeds.
     failure: Option<WholeAnswer>,
 }
 
@@ -176,13 +177,13 @@
         }
     }
 
-    /// Refuses the request where it is kept from targets.
+    /// Refuses the request if it is quarantined.
     fn refuse_if_quarantined(&mut self) -> Option<NextStep> {
         self.retry_after = crashes::quarantine_delay(&self.gateway, &self.job)?;
         Some(NextStep::Answer(self.give_up(Reason::CrashesTargets)))
     }
 
-    /// `lost` notes how an attempt was lost, where its target may have ended under the request.
+    /// Handles a lost attempt that may indicate a crash of its target.
     pub async fn record_loss(&self, flight: &Flight, crash_evidence: CrashEvidence) {
         match crash_evidence {
             CrashEvidence::None => {}
@@ -195,7 +196,7 @@
         }
     }
 
-    /// `cleared` notes that a target served the request whole.
+    /// Records that a target served the complete request, which clears it of suspected crashes.
     pub fn record_served(&self) {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
@@ -204,11 +205,11 @@
         }
     }
 
-    /// `patience` is how long this attempt may take to its answer's first part.
+    /// Returns until when this attempt may take to produce the first part of its answer.
     #[must_use]
     pub fn first_part_deadline(&self, flight: &Flight) -> Moment {
         let may_retry = self.job.kind.repeats() && self.plan.sends() + 1 < self.job.max_attempts;
-        // An attempt that nothing may follow is waited for: its answer may still come.
+        // The last attempt gets all remaining time, as its answer may still arrive.
         if !may_retry || !self.can_retry() {
             return self.job.deadline;
         }
@@ -219,7 +220,7 @@
         (flight.in_flight.sent + wanted.max(predicted)).min(self.job.deadline)
     }
 
-    /// Takes a target's answer: passes it on, or tries elsewhere after a failure.
+    /// Forwards a target's answer, or tries another target after a failure.
     fn handle_answer(&mut self, flight: Flight, answer: TargetAnswer) -> NextStep {
         match answer {
             TargetAnswer::Whole(whole) => {
@@ -254,19 +255,19 @@
         }
     }
 
-    /// Counts the failures that targets answered at those against which they speak.
+    /// Counts answered failures against the targets that are responsible for them.
     fn settle_failures(&mut self, end: End) {
         for suspect in self.attribution.settle(end) {
             self.gateway.count_failure(&suspect);
         }
     }
 
-    /// Follows up an attempt that gave no answer.
+    /// Handles an attempt that produced no answer.
     async fn handle_error(&mut self, flight: &Flight, error: AttemptError) -> NextStep {
         self.log_failed_attempt(flight, error.cause);
         self.record_loss(flight, error.crash_evidence).await;
         let after = self.plan.after(error.execution);
-        // Before it takes a repeat from the fleet's budget.
+        // Checked before a retry is taken from the fleet's budget.
         if let Some(next) = self.refuse_if_quarantined() {
             return next;
         }
@@ -287,8 +288,8 @@
         }
     }
 
-    /// Whether a repeat is worth while and the fleet's budget has one: where all targets of the pool are
-    /// slow by their load, another one would be no faster.
+    /// Returns whether a retry is useful and the fleet's budget allows it. When all targets of the
+    /// pool are slow under load, another one would not be faster.
     fn can_retry(&self) -> bool {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
@@ -300,7 +301,7 @@
         state.retry_budget.can_spend(now, &self.job.pool, routers)
     }
 
-    /// `could_go_on` tells whether another run may go on where this one is given up.
+    /// Returns whether another target could take over if the current attempt were abandoned.
     #[must_use]
     pub fn can_fail_over(&self) -> bool {
         let mut plan = self.plan;
@@ -308,7 +309,7 @@
         may && self.can_retry() && can_reserve_target(&self.gateway, &self.job, &self.tried)
     }
 
-    /// `may_repeat` takes a repeat from the fleet's budget, if it has one.
+    /// Takes a retry from the fleet's budget, and returns whether there was one.
     pub fn spend_retry(&self) -> bool {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
@@ -319,7 +320,7 @@
         allowed
     }
 
-    /// Ends the request with the best answer that there is.
+    /// Ends the request with the best available answer.
     fn give_up(&mut self, reason: Reason) -> Reply {
         self.settle_failures(End::Failed);
         if let Some(whole) = self.failure.take() {
@@ -343,7 +344,7 @@
             ("held_ms", Field::Millis(self.elapsed())),
         ];
         let mut fields = [&fields[..], &self.gateway.state_summary().log_fields()[..]].concat();
-        // Made for these alone: a flood is refused by the thousand.
+        // Computed for quarantined requests only, since a flood is refused in large numbers.
         let quarantined = reason == Reason::CrashesTargets;
         let content = quarantined.then(|| self.job.fingerprint().to_string());
         if let Some(content) = &content {
@@ -353,7 +354,7 @@
         refuse(reason, self.retry_after)
     }
 
-    /// Notes a target's failure that is passed on.
+    /// Logs that a target's failure is forwarded.
     fn log_forwarded_failure(&self, status: StatusCode) {
         let fields = [
             ("request", Field::Text(&self.job.id)),
@@ -366,13 +367,13 @@
         self.gateway.log.write(Event::Answered, &fields);
     }
 
-    /// `held` is how long the request has been here.
+    /// Returns the time since the request was received.
     #[must_use]
     pub fn elapsed(&self) -> Duration {
         self.gateway.now().since(self.job.received_at)
     }
 
-    /// Notes an attempt that gave nothing.
+    /// Counts and logs an attempt that produced no usable answer.
     pub fn log_failed_attempt(&self, flight: &Flight, cause: &'static str) {
         self.gateway.metrics.count_failed_attempt(cause);
         let content = self.job.fingerprint().to_string();
@@ -396,7 +397,8 @@
         self.gateway.log.write(Event::AttemptFailed, &fields);
     }
 
-    /// `done` notes an answer that was passed on to its end, and when its first part came.
+    /// Logs an answer that was forwarded completely. `first_part_after` is the time to its first
+    /// part.
     pub fn log_answered(&self, flight: &Flight, status: StatusCode, first_part_after: Duration) {
         let fields = [
             ("request", Field::Text(&self.job.id)),
@@ -430,7 +432,7 @@
     }
 }
 
-/// A prediction in whole milliseconds.
+/// Converts a prediction to whole milliseconds.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/crates/peppercrank-gateway/src/suspension.rs
+++ b/crates/peppercrank-gateway/src/suspension.rs
@@ -1,10 +1,10 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What follows when the machine was suspended.
+//! Detects that the machine was suspended, and restores a consistent state.
 //!
-//! Ages went on meanwhile, so that nothing is served by what has become too old. Timers stood still, connections may have been closed unseen,
-//! and what the store told meanwhile was not heard.
+//! The clock includes the suspension, so nothing that has become too old is used. Timers, however,
+//! stood still, connections may have been closed unnoticed, and changes in the store were missed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,10 +18,11 @@
 use crate::outage::Outage;
 use crate::store::Store;
 
-/// Pause between looks: the longest time after a suspension in which an attempt is waited for past its deadline.
+/// Interval between checks. For up to this time after a suspension, an attempt may be awaited past
+/// its deadline.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// `watch` notices suspensions, for ever.
+/// Periodically checks for suspensions.
 pub async fn watch_suspensions(gateway: Arc<Gateway>, store: Store, outage: Outage) {
     let mut suspension = Suspension::default();
     loop {
@@ -33,16 +34,16 @@
 }
 
 fn handle_resume(gateway: &Gateway, store: &Store, outage: &Outage, duration: Duration) {
-    // What was kept may have been closed meanwhile, and the first request on it would be lost.
+    // Idle connections may have been closed meanwhile, and the first request on each would be lost.
     gateway.client.close_all();
     store.close();
     let now = gateway.now();
     let mut state = gateway.state();
-    // Until the store answers again, what is known of targets is as old as the suspension.
+    // Until the store answers again, what is known about targets is as old as the suspension.
     state.directory.store_lost();
     state.store_away_since.get_or_insert(now);
     drop(state);
-    // Calls that wait are given up once the store answers, as after an outage.
+    // As after an outage, waiting calls are abandoned once the store answers.
     let _changed = outage.set_away(true);
     gateway.machine_resumed.notify_waiters();
     let fields = [("suspended_ms", Field::Millis(duration))];
--- a/crates/peppercrank-gateway/tests/verify_role.rs
+++ b/crates/peppercrank-gateway/tests/verify_role.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! How often the store is called.
+//! Checks how often the store is called.
 
 use std::time::Duration;
 
