--- a/crates/peppercrank-gateway/src/attempt.rs
+++ b/crates/peppercrank-gateway/src/attempt.rs
@@ -90,15 +90,15 @@
 
 impl AttemptError {
     /// The target may have run the request, but there is no usable answer.
-    const fn unknown_outcome(what: &'static str) -> Self {
-        Self::new(ExecutionState::Unknown, what, true)
+    const fn unknown_outcome(cause: &'static str) -> Self {
+        Self::new(ExecutionState::Unknown, cause, true)
     }
 
     /// The connection to the target broke off, as it does when the target crashes.
-    const fn connection_lost(what: &'static str) -> Self {
+    const fn connection_lost(cause: &'static str) -> Self {
         Self {
             crash_evidence: CrashEvidence::ConnectionLost,
-            ..Self::unknown_outcome(what)
+            ..Self::unknown_outcome(cause)
         }
     }
 
@@ -126,7 +126,7 @@
     gateway: &Gateway,
     job: &Job,
     flight: &mut Flight,
-    until: Moment,
+    answer_deadline: Moment,
     last_event: Option<&str>,
 ) -> Result<TargetAnswer, AttemptError> {
     let request = build_request(gateway, job, flight, last_event);
@@ -138,10 +138,10 @@
     let mut termination = flight.termination.clone();
     let exchange = async {
         let sending = gateway.client.send(flight.address, request, reuse);
-        let Some(sent) = gateway.timeout_at(until, sending).await else {
+        let Some(send_result) = gateway.timeout_at(answer_deadline, sending).await else {
             return Err(AttemptError::unknown_outcome("no answer in time"));
         };
-        read_answer(gateway, job, flight, sent, until).await
+        read_answer(gateway, job, flight, send_result, answer_deadline).await
     };
     let outcome = tokio::select! {
         biased;
@@ -176,11 +176,11 @@
     job: &Job,
     flight: &mut Flight,
     send_result: Result<Answer, SendError>,
-    until: Moment,
+    answer_deadline: Moment,
 ) -> Result<TargetAnswer, AttemptError> {
     match send_result {
         Ok(answer) => match gateway
-            .timeout_at(until, classify_answer(job, flight, answer))
+            .timeout_at(answer_deadline, classify_answer(job, flight, answer))
             .await
         {
             Some(classified) => classified,
@@ -203,7 +203,7 @@
     last_event: Option<&str>,
 ) -> Request<body::Body> {
     let left = job.deadline.since(gateway.now());
-    let forwarded = Sent {
+    let call_headers = Sent {
         wait: left,
         instance: &flight.instance,
         organisation: job.organisation.as_deref(),
@@ -215,7 +215,7 @@
     *request.method_mut() = job.head.method.clone();
     *request.uri_mut() = job.head.uri.clone();
     *request.headers_mut() = job.head.headers.clone();
-    call::forward(request.headers_mut(), &forwarded);
+    call::forward(request.headers_mut(), &call_headers);
     request
 }
 
--- a/crates/peppercrank-gateway/src/choose.rs
+++ b/crates/peppercrank-gateway/src/choose.rs
@@ -168,8 +168,8 @@
     let copy_from = copy_source.map(|t| t.registration.address);
     let registration = &state.directory.get(key)?.registration;
     let (instance, address) = (Arc::clone(&registration.instance), registration.address);
-    let target = registration.id();
-    state.record_sent_parts(now, choice, target, job.shared_parts());
+    let target_id = registration.id();
+    state.record_sent_parts(now, choice, target_id, job.shared_parts());
     state.warm_up_gate.sent(now, key);
     if let Some(last_part) = job.prompt_parts.last() {
         // The last part belongs to this request alone, so peers have no use for it.
@@ -181,7 +181,7 @@
         in_flight: InFlight::begin(now, &mut state.board, *choice),
         pool: Arc::clone(&job.pool),
         instance,
-        target,
+        target_id,
         address,
         copy_from,
         notice: Notice::default(),
--- a/crates/peppercrank-gateway/src/crashes.rs
+++ b/crates/peppercrank-gateway/src/crashes.rs
@@ -89,7 +89,7 @@
 /// Checks whether a target crashed after its answer to a request broke off.
 pub async fn check_for_crash(gateway: &Arc<Gateway>, job: &Job, flight: &Flight) {
     let content = job.fingerprint();
-    let target = flight.target;
+    let target = flight.target_id;
     let action = gateway.state().quarantine.broke_off(content, target);
     if action == Broken::Asked {
         return;
@@ -121,7 +121,7 @@
     let content = job.fingerprint();
     let now = gateway.now();
     let mut state = gateway.state();
-    let change = state.quarantine.ended_under(now, content, flight.target);
+    let change = state.quarantine.ended_under(now, content, flight.target_id);
     drop(state);
     report_change(gateway, content, change);
 }
--- a/crates/peppercrank-gateway/src/eligible.rs
+++ b/crates/peppercrank-gateway/src/eligible.rs
@@ -139,11 +139,11 @@
         slack: settings.warm_up.slack,
     };
     let request_limit = shared_out(&warm_up, &allowance);
-    let blind = state.warm_up_gate.is_blind(now, state.store_away_since);
+    let cold_state_unknown = state.warm_up_gate.is_blind(now, state.store_away_since);
     let routers = state.router_count(now);
     let mut min_delay = warm_up.lasts;
     for key in allowed {
-        if !blind && now >= state.cold_until(key, warm_up.lasts) {
+        if !cold_state_unknown && now >= state.cold_until(key, warm_up.lasts) {
             eligible.candidates.push(key);
             continue;
         }
--- a/crates/peppercrank-gateway/src/flight.rs
+++ b/crates/peppercrank-gateway/src/flight.rs
@@ -30,7 +30,7 @@
     /// The target's name.
     pub instance: Arc<str>,
     /// The compact id of the target's incarnation, as used in datagrams between routers.
-    pub target: TargetId,
+    pub target_id: TargetId,
     /// The address at which the target listens.
     pub address: SocketAddr,
     /// The target to copy the cached prompt from, if any.
--- a/crates/peppercrank-gateway/src/follow.rs
+++ b/crates/peppercrank-gateway/src/follow.rs
@@ -227,7 +227,7 @@
             let path = store::list(self.kind, after.as_deref());
             let body = match self.call(&path, Duration::ZERO).await {
                 Ok(body) => body,
-                Err(turn) => return turn,
+                Err(outcome) => return outcome,
             };
             let Ok(page) = store::read_page(self.kind, &body) else {
                 return PollOutcome::Failed("malformed list");
@@ -272,7 +272,7 @@
         let path = store::watch(self.kind, revision, wait);
         let body = match self.call(&path, wait).await {
             Ok(body) => body,
-            Err(turn) => return turn,
+            Err(outcome) => return outcome,
         };
         let Ok(changes) = store::read_changes(self.kind, &body) else {
             return PollOutcome::Failed("malformed changes");
@@ -326,7 +326,7 @@
             // A waiting call is abandoned only when the store has recovered, and never while its
             // answer is being read.
             () = self.outage_listener.wait_for_return() => return Err(PollOutcome::PollAgain),
-            () = evacuations_reread_requested(&self.gateway, self.kind) => return Err(PollOutcome::Relist),
+            () = evacuations_outdated(&self.gateway, self.kind) => return Err(PollOutcome::Relist),
         };
         let CallOutcome { result, era } = match answer {
             Ok(answer) => self.store.read_answer(answer).await,
@@ -404,7 +404,7 @@
 }
 
 /// Returns when another router knows of different evacuations. Waits forever for other kinds.
-async fn evacuations_reread_requested(gateway: &Gateway, kind: Kind) {
+async fn evacuations_outdated(gateway: &Gateway, kind: Kind) {
     match kind {
         Kind::Evacuations => gateway.evacuations_outdated.notified().await,
         Kind::Configuration | Kind::Targets | Kind::Routers => std::future::pending().await,
--- a/crates/peppercrank-gateway/src/gossip.rs
+++ b/crates/peppercrank-gateway/src/gossip.rs
@@ -91,8 +91,8 @@
     }
 
     fn summary(&self, state: &mut State, to: usize) -> Summary {
-        let names = state.keys_by_id.iter();
-        let work = names.filter_map(|(name, key)| own_work(state, *name, *key));
+        let targets = state.keys_by_id.iter();
+        let work = targets.filter_map(|(name, key)| own_work(state, *name, *key));
         Summary {
             incarnation: self.incarnation,
             sequence: self.sequence,
--- a/crates/peppercrank-gateway/src/intake.rs
+++ b/crates/peppercrank-gateway/src/intake.rs
@@ -68,9 +68,9 @@
                 let now = self.gateway.now();
                 let mut state = self.gateway.state();
                 state.warm_up_gate.heard(now);
-                let noted = state.directory.replace(now, listed);
+                let changes = state.directory.replace(now, listed);
                 drop(state);
-                targets::apply_changes(&self.gateway, noted, self.revision);
+                targets::apply_changes(&self.gateway, changes, self.revision);
             }
             Kind::Routers => {
                 let own = self.gateway.settings().name.clone();
@@ -138,9 +138,9 @@
                     };
                     let mut state = self.gateway.state();
                     let evacuations = &mut state.directory.evacuations;
-                    let news = change.and_then(|c| evacuations.apply(now, c));
+                    let changes = change.and_then(|c| evacuations.apply(now, c));
                     drop(state);
-                    evacuations::log_changes(&self.gateway, news);
+                    evacuations::log_changes(&self.gateway, changes);
                 }
                 let mut state = self.gateway.state();
                 let changes = state.directory.evacuations.settle(now, asked_at);
@@ -177,8 +177,8 @@
         let mut state = self.gateway.state();
         let revision = changes.revision;
         let proof = state.catch_up.read(reading, revision, versions, newer);
-        let same_era = state.eras.vouches(asked_at);
-        if proof == Proof::Newest && same_era && state.config.index().is_some() {
+        let era_settled = state.eras.vouches(asked_at);
+        if proof == Proof::Newest && era_settled && state.config.index().is_some() {
             state.freshness.confirm(asked_at, Source::Store);
         }
         proof
--- a/crates/peppercrank-gateway/src/job.rs
+++ b/crates/peppercrank-gateway/src/job.rs
@@ -125,8 +125,8 @@
     /// Returns the parts of the prompt that other requests may share: all but the last one.
     #[must_use]
     pub fn shared_parts(&self) -> &[Part] {
-        let most = self.prompt_parts.len().saturating_sub(1);
-        &self.prompt_parts[..most]
+        let shared_count = self.prompt_parts.len().saturating_sub(1);
+        &self.prompt_parts[..shared_count]
     }
 
     /// Returns the request's size in prompt tokens, with answer tokens weighted by their cost.
--- a/crates/peppercrank-gateway/src/register.rs
+++ b/crates/peppercrank-gateway/src/register.rs
@@ -78,7 +78,7 @@
     let name = gateway.settings().name.clone();
     let path = store::entry(Kind::Routers, &name);
     let result = timeout(DEREGISTER_TIMEOUT, store.delete(&path)).await;
-    let code = result.map_or("late", |left| left.result.code());
+    let code = result.map_or("late", |outcome| outcome.result.code());
     gateway.metrics.count_store_call("leave", code);
 }
 
--- a/crates/peppercrank-gateway/src/relay.rs
+++ b/crates/peppercrank-gateway/src/relay.rs
@@ -134,7 +134,7 @@
         &mut self,
         deadline_timer: Pin<&mut impl Future<Output = ()>>,
     ) -> StreamEvent {
-        let Some(rest) = &mut self.upstream else {
+        let Some(upstream) = &mut self.upstream else {
             return StreamEvent::Truncated;
         };
         let gateway = &self.request.gateway;
@@ -142,7 +142,7 @@
         let termination = &mut self.flight.termination;
         tokio::select! {
             biased;
-            part = next_part(rest) => match part {
+            part = next_part(upstream) => match part {
                 Ok(Some(part)) => StreamEvent::Part(part),
                 Ok(None) => StreamEvent::End,
                 Err(()) => StreamEvent::Truncated,
@@ -206,20 +206,20 @@
     }
 
     async fn resume_at_next_target(&mut self) -> bool {
-        let run = &mut self.request;
-        if crashes::quarantine_delay(&run.gateway, &run.job).is_some() {
+        let request = &mut self.request;
+        if crashes::quarantine_delay(&request.gateway, &request.job).is_some() {
             return false;
         }
-        let Ok(mut flight) = reserve_target(&run.gateway, &run.job, &run.tried) else {
+        let Ok(mut flight) = reserve_target(&request.gateway, &request.job, &request.tried) else {
             return false;
         };
-        run.tried.push(flight.in_flight.choice.key);
+        request.tried.push(flight.in_flight.choice.key);
         let last = self.events.as_ref().and_then(Events::last);
         let last = last.map(str::to_owned);
-        let first_part_deadline = run.first_part_deadline(&flight);
+        let first_part_deadline = request.first_part_deadline(&flight);
         let sent = send(
-            &run.gateway,
-            &run.job,
+            &request.gateway,
+            &request.job,
             &mut flight,
             first_part_deadline,
             last.as_deref(),
@@ -231,11 +231,11 @@
                     events.restart();
                 }
                 let fields = [
-                    ("request", Field::Text(&run.job.id)),
+                    ("request", Field::Text(&request.job.id)),
                     ("target", Field::Text(&flight.instance)),
                     ("after", Field::Text(last.as_deref().unwrap_or(""))),
                 ];
-                run.gateway.log.write(Event::Resumed, &fields);
+                request.gateway.log.write(Event::Resumed, &fields);
                 self.flight = flight;
                 self.upstream = Some(rest);
                 self.stall_timer.heard(self.request.gateway.now());
@@ -244,16 +244,16 @@
             Ok(TargetAnswer::Failure(_)) => {
                 // The previous target served part of the stream, so the request is not at fault.
                 flight.record_failure();
-                run.log_failed_attempt(&flight, TARGET_FAILURE);
+                request.log_failed_attempt(&flight, TARGET_FAILURE);
                 false
             }
             Ok(TargetAnswer::Whole(_)) => {
-                run.log_failed_attempt(&flight, "no stream");
+                request.log_failed_attempt(&flight, "no stream");
                 false
             }
             Err(error) => {
-                run.log_failed_attempt(&flight, error.cause);
-                run.record_loss(&flight, error.crash_evidence).await;
+                request.log_failed_attempt(&flight, error.cause);
+                request.record_loss(&flight, error.crash_evidence).await;
                 false
             }
         }
@@ -287,8 +287,8 @@
 }
 
 /// Returns once a stream has been silent for too long.
-async fn wait_for_stall(gateway: &Gateway, silence: Silence) {
-    while let Heard::Until(at) = silence.at(gateway.now()) {
+async fn wait_for_stall(gateway: &Gateway, stall_timer: Silence) {
+    while let Heard::Until(at) = stall_timer.at(gateway.now()) {
         gateway.sleep_until(at).await;
     }
 }
--- a/crates/peppercrank-gateway/src/run.rs
+++ b/crates/peppercrank-gateway/src/run.rs
@@ -117,17 +117,17 @@
         let socket = UdpSocket::bind(settings.peers)
             .await
             .map_err(Error::Start)?;
-        let peers = socket.local_addr().map_err(Error::Start)?;
+        let peer_address = socket.local_addr().map_err(Error::Start)?;
         let hangup = signal(SignalKind::hangup()).map_err(Error::Start)?;
-        let (dial, settings) = watch::channel(Arc::new(settings));
+        let (settings_sender, settings) = watch::channel(Arc::new(settings));
         let gateway = Arc::new(Gateway::new(
             clock,
             settings,
             log,
             serve_stop.clone(),
-            peers,
+            peer_address,
         ));
-        let (caller_address, asked) = (edge.local_addr(), ready.local_addr());
+        let (caller_address, health_address) = (edge.local_addr(), ready.local_addr());
         let address = caller_address.to_string();
         let fields = [("listen", Field::Text(&address))];
         gateway.log.write(Event::Started, &fields);
@@ -138,9 +138,13 @@
         );
         let mut tasks = JoinSet::new();
         start_tasks(&mut tasks, &gateway, &store, Arc::new(socket));
-        let reading =
-            reload::keep_settings_current(Arc::clone(&gateway), path.to_owned(), dial, hangup);
-        tasks.spawn(reading);
+        let reloading = reload::keep_settings_current(
+            Arc::clone(&gateway),
+            path.to_owned(),
+            settings_sender,
+            hangup,
+        );
+        tasks.spawn(reloading);
         serve_admin(&gateway, ready, &admin_stop).await?;
         tasks.spawn(adjust_idle_connections(Arc::clone(&gateway)));
         let limits = gateway.limits.subscribe();
@@ -148,7 +152,7 @@
         let answer = move |call| serve::answer_call(Arc::clone(&shared), call);
         Ok(Self {
             caller_address,
-            ready_address: asked,
+            ready_address: health_address,
             gateway,
             store,
             serve_stopper,
@@ -219,13 +223,13 @@
 }
 
 /// Serves health checks and metrics until the process ends.
-async fn serve_admin(gateway: &Arc<Gateway>, ready: Edge, end: &Stop) -> Result<()> {
+async fn serve_admin(gateway: &Arc<Gateway>, ready_edge: Edge, stop_signal: &Stop) -> Result<()> {
     let shared = Arc::clone(gateway);
     let answer = move |call| {
         let reply = admin::ready(&shared, &call);
         async move { reply }
     };
-    tokio::spawn(ready.serve(Limits::default(), end.clone(), answer));
+    tokio::spawn(ready_edge.serve(Limits::default(), stop_signal.clone(), answer));
     let Some(address) = gateway.settings().metrics else {
         return Ok(());
     };
@@ -235,7 +239,7 @@
         let reply = admin::metrics(&shared, &call);
         async move { reply }
     };
-    tokio::spawn(metrics.serve(Limits::default(), end.clone(), answer));
+    tokio::spawn(metrics.serve(Limits::default(), stop_signal.clone(), answer));
     Ok(())
 }
 
--- a/crates/peppercrank-gateway/src/serve.rs
+++ b/crates/peppercrank-gateway/src/serve.rs
@@ -163,7 +163,7 @@
         };
         self.tried.push(flight.in_flight.choice.key);
         let first_part_deadline = self.first_part_deadline(&flight);
-        let sent = send(
+        let result = send(
             &self.gateway,
             &self.job,
             &mut flight,
@@ -171,7 +171,7 @@
             None,
         )
         .await;
-        match sent {
+        match result {
             Ok(answer) => self.handle_answer(flight, answer),
             Err(error) => self.handle_error(&flight, error).await,
         }
@@ -305,8 +305,10 @@
     #[must_use]
     pub fn can_fail_over(&self) -> bool {
         let mut plan = self.plan;
-        let may = plan.after(ExecutionState::Unknown) == After::AgainIfAllowed;
-        may && self.can_retry() && can_reserve_target(&self.gateway, &self.job, &self.tried)
+        let retry_allowed = plan.after(ExecutionState::Unknown) == After::AgainIfAllowed;
+        retry_allowed
+            && self.can_retry()
+            && can_reserve_target(&self.gateway, &self.job, &self.tried)
     }
 
     /// Takes a retry from the fleet's budget, and returns whether there was one.
--- a/crates/peppercrank-gateway/src/suspension.rs
+++ b/crates/peppercrank-gateway/src/suspension.rs
@@ -27,8 +27,8 @@
     let mut suspension = Suspension::default();
     loop {
         sleep(CHECK_INTERVAL).await;
-        if let Some(time) = suspension.observe(gateway.clock.suspended()) {
-            handle_resume(&gateway, &store, &outage, time);
+        if let Some(duration) = suspension.observe(gateway.clock.suspended()) {
+            handle_resume(&gateway, &store, &outage, duration);
         }
     }
 }
--- a/crates/peppercrank-gateway/src/targets.rs
+++ b/crates/peppercrank-gateway/src/targets.rs
@@ -62,13 +62,13 @@
     let Some(target) = state.directory.get(key) else {
         return;
     };
-    let label = TargetInfo::from_registration(&target.registration);
-    let target = target.registration.id();
-    state.keys_by_id.insert(target, key);
+    let info = TargetInfo::from_registration(&target.registration);
+    let target_id = target.registration.id();
+    state.keys_by_id.insert(target_id, key);
     // Peers may have learnt of it earlier and already have load there.
-    let sum = state.peers.sum(target);
+    let sum = state.peers.sum(target_id);
     state.board.hear(key, sum);
-    state.target_info.insert(key, label);
+    state.target_info.insert(key, info);
     state.terminations.track(key);
 }
 
