--- a/crates/peppercrank-gateway/src/attempt.rs
+++ b/crates/peppercrank-gateway/src/attempt.rs
@@ -89,12 +89,12 @@
 }
 
 impl AttemptError {
-    /// The target may have run the request, but there is no usable answer.
+    /// An attempt that the target may have run, but that gave no usable answer.
     const fn unknown_outcome(cause: &'static str) -> Self {
         Self::new(ExecutionState::Unknown, cause, true)
     }
 
-    /// The connection to the target broke off, as it does when the target crashes.
+    /// An attempt whose connection broke off, as it does when the target crashes.
     const fn connection_lost(cause: &'static str) -> Self {
         Self {
             crash_evidence: CrashEvidence::ConnectionLost,
@@ -116,8 +116,8 @@
     }
 }
 
-/// Sends a request to its target and waits until `until` for the answer, or for a stream's first
-/// part. Errors attributed to the target are counted against it.
+/// Sends a request to its target and waits until `answer_deadline` for the answer, or for a
+/// stream's first part. Errors attributed to the target are counted against it.
 ///
 /// # Errors
 ///
@@ -150,7 +150,8 @@
             crash_evidence: CrashEvidence::TargetRestarted,
             ..AttemptError::new(ExecutionState::Unknown, "target started again", false)
         }),
-        // Still queued at a target, the request would crash it when its turn came.
+        // A quarantined request that is still queued at a target would crash it once it is
+        // processed.
         () = crashes::wait_until_quarantined(gateway, job) => Err(AttemptError::new(
             ExecutionState::Unknown,
             "quarantined",
--- a/crates/peppercrank-gateway/src/eligible.rs
+++ b/crates/peppercrank-gateway/src/eligible.rs
@@ -121,7 +121,8 @@
     job.regions.allows(region.map(String::as_str))
 }
 
-/// Excludes cold targets that already get as many requests as they can take.
+/// Excludes cold targets that already get as many requests as they can take. When the router may
+/// have missed restarts, it treats all targets as cold.
 fn apply_warm_up(
     state: &mut State,
     now: Moment,
--- a/crates/peppercrank-gateway/src/follow.rs
+++ b/crates/peppercrank-gateway/src/follow.rs
@@ -323,8 +323,8 @@
         let asked_era = self.gateway.state().eras.newest();
         let answer = tokio::select! {
             answer = self.store.get(path, wait + answer_timeout) => answer,
-            // A waiting call is abandoned only when the store has recovered, and never while its
-            // answer is being read.
+            // A call is abandoned once the store has recovered, as its connection may be dead, but
+            // never after its answer has begun.
             () = self.outage_listener.wait_for_return() => return Err(PollOutcome::PollAgain),
             () = evacuations_outdated(&self.gateway, self.kind) => return Err(PollOutcome::Relist),
         };
