--- a/crates/peppercrank-gateway/src/admin.rs
+++ b/crates/peppercrank-gateway/src/admin.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Answers the balancer and serves the metrics.
+//! Answers the load balancer's health checks and serves the metrics.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -19,33 +19,33 @@
 
 use crate::gateway::Gateway;
 
-/// Part of the bound on keys after which a router asks for no more callers: others may still be
-/// in touch with the store.
+/// Share of the bound on key age after which a router reports itself not ready: other routers may
+/// still reach the store.
 const READY_SHARE: f64 = 0.5;
 
-/// Time without the store after which a router asks for no more callers although others confirm to it
-/// what it knows of keys: it does not hear of targets that come and leave.
-const AWAY: Duration = Duration::from_millis(1_500);
+/// Maximum time without the store while ready. Even if other routers confirm what is known about
+/// keys, this router does not learn of targets that join and leave.
+const MAX_STORE_OUTAGE: Duration = Duration::from_millis(1_500);
 
-/// `is_ready` tells whether the router should get new callers.
+/// Returns whether the router should get new callers.
 #[must_use]
 pub fn is_ready(gateway: &Gateway) -> bool {
     let now = gateway.now();
     let settings = gateway.settings();
     let state = gateway.state();
     let age = state.freshness.age(now);
-    let young = match (age, settings.keys) {
+    let keys_fresh = match (age, settings.keys) {
         (None, _) => false,
         (Some(_), None) => true,
         (Some(age), Some(keys)) => age < keys.revoke.mul_f64(READY_SHARE),
     };
-    let in_touch = state.away.is_none_or(|since| now.since(since) < AWAY);
+    let in_touch = state.store_away_since.is_none_or(|since| now.since(since) < MAX_STORE_OUTAGE);
     let listed =
         state.directory.first_listed_at().is_some() && state.directory.evacuations.is_listed();
-    young && in_touch && listed && !gateway.stop.is_stopping()
+    keys_fresh && in_touch && listed && !gateway.stop_signal.is_stopping()
 }
 
-/// `ready` answers the balancer.
+/// Answers a health check.
 #[must_use]
 pub fn ready(gateway: &Gateway, call: &Call) -> Reply {
     let mut reply = Reply::new(body::empty());
@@ -55,19 +55,19 @@
         READY_PATH => StatusCode::SERVICE_UNAVAILABLE,
         _ => StatusCode::NOT_FOUND,
     };
-    if gateway.told_ready.swap(ready, Ordering::Relaxed) != ready {
-        let stopping = gateway.stop.is_stopping();
+    if gateway.reported_ready.swap(ready, Ordering::Relaxed) != ready {
+        let stopping = gateway.stop_signal.is_stopping();
         let fields = [
             ("ready", Field::Number(u64::from(ready))),
             ("stopping", Field::Number(u64::from(stopping))),
         ];
-        let fields = [&fields[..], &gateway.beliefs().fields()[..]].concat();
+        let fields = [&fields[..], &gateway.state_summary().log_fields()[..]].concat();
         gateway.log.write(Event::Ready, &fields);
     }
     reply
 }
 
-/// `metrics` serves the metrics as text.
+/// Answers a request for the metrics.
 #[must_use]
 pub fn metrics(gateway: &Arc<Gateway>, call: &Call) -> Reply {
     if call.head.uri.path() != "/metrics" {
@@ -75,7 +75,7 @@
         *reply.status_mut() = StatusCode::NOT_FOUND;
         return reply;
     }
-    let mut reply = Reply::new(body::full(gateway.metrics.text(gateway)));
+    let mut reply = Reply::new(body::full(gateway.metrics.render(gateway)));
     let kind = HeaderValue::from_static("text/plain; version=0.0.4");
     reply.headers_mut().insert(header::CONTENT_TYPE, kind);
     reply
--- a/crates/peppercrank-gateway/src/attempt.rs
+++ b/crates/peppercrank-gateway/src/attempt.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One attempt: send to a target and judge its answer.
+//! A single attempt: sends the request to a target and classifies its answer.
 
 use std::time::Duration;
 
@@ -30,102 +30,104 @@
 use crate::gateway::Gateway;
 use crate::job::Job;
 
-/// A failure that a target answers, in the words of the log.
-pub const FAILURE: &str = "failure of the target";
+/// Log text and metrics label of a failure answered by a target.
+pub const TARGET_FAILURE: &str = "failure of the target";
 
-/// `WholeAnswer` is an answer that was read to its end.
+/// An answer that was read completely.
 #[derive(Debug, Clone)]
 pub struct WholeAnswer {
-    /// Its status.
+    /// Its HTTP status code.
     pub status: StatusCode,
-    /// Its headers.
+    /// Its headers, without hop-by-hop ones.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Its complete body.
     pub body: Bytes,
 }
 
-/// `TargetAnswer` is an answer of a target.
+/// A target's answer.
 #[derive(Debug)]
 pub enum TargetAnswer {
-    /// A success, or what is wrong with the request.
+    /// A success, or an error caused by the request.
     Whole(WholeAnswer),
-    /// A failure, of the target or of the request itself.
+    /// A server error, which either the target or the request may have caused.
     Failure(WholeAnswer),
-    /// A stream that has begun.
+    /// A stream whose first part has arrived.
     Stream {
-        /// Its status.
+        /// The HTTP status code.
         status: StatusCode,
-        /// Its headers.
+        /// The headers, without hop-by-hop ones.
         headers: HeaderMap,
-        /// What came of it.
+        /// The first part.
         first: Bytes,
-        /// What follows.
+        /// The remaining body.
         rest: AnswerBody,
     },
 }
 
-/// `AttemptError` is why an attempt gave no answer to pass on.
+/// Why an attempt produced no answer to forward.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptError {
     /// Whether the target may have run the request.
     pub execution: ExecutionState,
-    /// What happened, in the words of the log.
-    pub what: &'static str,
-    /// Whether it speaks against the target.
-    against: bool,
-    /// Whether the target may have ended under the request.
-    pub loss: Loss,
+    /// What happened, as written to the log and used as a metrics label.
+    pub cause: &'static str,
+    /// Whether it counts as a failure of the target.
+    counts_against_target: bool,
+    /// Whether it suggests that the request crashed the target.
+    pub crash_evidence: CrashEvidence,
 }
 
-/// `Loss` is whether a target may have ended under a request that was lost there.
+/// Whether a lost attempt suggests that its request crashed the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Loss {
-    /// It tells nothing of that.
-    Other,
-    /// Its answer broke off, as it does where the target ends.
-    BrokenOff,
-    /// The target has started again.
-    StartedAgain,
+pub enum CrashEvidence {
+    /// No indication of a crash.
+    None,
+    /// The connection or answer broke off, as it does when the target crashes.
+    ConnectionLost,
+    /// The target has restarted.
+    TargetRestarted,
 }
 
 impl AttemptError {
-    /// The target may have run the request and its answer is of no use.
-    const fn unknown(what: &'static str) -> Self {
-        Self::new(ExecutionState::Unknown, what, true)
+    /// An attempt that the target may have run, but that gave no usable answer.
+    const fn unknown_outcome(cause: &'static str) -> Self {
+        Self::new(ExecutionState::Unknown, cause, true)
     }
 
-    /// The target's answer broke off, as it does where the target ends.
-    const fn broken_off(what: &'static str) -> Self {
+    /// An attempt whose connection broke off, as it does when the target crashes.
+    const fn connection_lost(cause: &'static str) -> Self {
         Self {
-            loss: Loss::BrokenOff,
-            ..Self::unknown(what)
+            crash_evidence: CrashEvidence::ConnectionLost,
+            ..Self::unknown_outcome(cause)
         }
     }
 
-    const fn new(execution: ExecutionState, what: &'static str, against: bool) -> Self {
+    const fn new(execution: ExecutionState,
+        cause: &'static str,
+        counts_against_target: bool,) -> Self {
         Self {
             execution,
-            what,
-            against,
-            loss: Loss::Other,
+            cause,
+            counts_against_target,
+            crash_evidence: CrashEvidence::None,
         }
     }
 }
 
-/// `send` sends a request to its target and waits until `until` for its answer, or for a stream's
-/// first part. An error that speaks against the target is counted at it.
+/// Sends a request to its target and waits until `answer_deadline` for the answer, or for a
+/// stream's first part. Errors attributed to the target are counted against it.
 ///
 /// # Errors
 ///
-/// Returns why there is no answer to pass on.
+/// Returns why there is no answer to forward.
 pub async fn send(
     gateway: &Gateway,
     job: &Job,
     flight: &mut Flight,
-    until: Instant,
+    answer_deadline: Instant,
     last_event: Option<&str>,
 ) -> Result<TargetAnswer, AttemptError> {
-    let request = request(gateway, job, flight, last_event);
+    let request = build_request(gateway, job, flight, last_event);
     let reuse = if job.kind.is_retryable() {
         Reuse::Allowed
     } else {
@@ -134,68 +136,70 @@
     let mut termination = flight.termination.clone();
     let exchange = async {
         let sending = gateway.client.send(flight.address, request, reuse);
-        let Some(sent) = gateway.in_time(until, sending).await else {
-            return Err(AttemptError::unknown("no answer in time"));
+        let Some(send_result) = gateway.timeout_at(answer_deadline, sending).await else {
+            return Err(AttemptError::unknown_outcome("no answer in time"));
         };
-        take(gateway, job, flight, sent, until).await
+        read_answer(gateway, job, flight, send_result, answer_deadline).await
     };
     let outcome = tokio::select! {
         biased;
-        taken = exchange => taken,
+        result = exchange => result,
         () = termination.wait() => Err(AttemptError {
-            loss: Loss::StartedAgain,
+            crash_evidence: CrashEvidence::TargetRestarted,
             ..AttemptError::new(ExecutionState::Unknown, "target started again", false)
         }),
-        // It waits its turn at a target, which would end under it.
-        () = crashes::quarantined(gateway, job) => Err(AttemptError::new(
+        // A quarantined request that is still queued at a target would crash it once it is
+        // processed.
+        () = crashes::wait_until_quarantined(gateway, job) => Err(AttemptError::new(
             ExecutionState::Unknown,
             "quarantined",
             false,
         )),
     };
     if let Err(error) = &outcome {
-        // Where this router's own link is full, nothing is known of the target.
+        // When this router's own link is congested, a failed connection says nothing about the
+        // target.
         if error.execution == ExecutionState::NotSent && !is_congested(&link_state(gateway)) {
-            flight.unreachable();
+            flight.record_unreachable();
         }
-        if error.against {
-            flight.failed();
+        if error.counts_against_target {
+            flight.record_failure();
         }
     }
     outcome
 }
 
-/// Takes in what came of sending a request.
-async fn take(
+/// Turns the result of sending a request into an answer or an attempt error.
+async fn read_answer(
     gateway: &Gateway,
     job: &Job,
     flight: &mut Flight,
-    sent: Result<Answer, SendError>,
-    until: Instant,
+    send_result: Result<Answer, SendError>,
+    answer_deadline: Instant,
 ) -> Result<TargetAnswer, AttemptError> {
-    match sent {
-        Ok(answer) => match gateway.in_time(until, judge(job, flight, answer)).await {
-            Some(judged) => judged,
-            None => Err(AttemptError::unknown("no whole answer in time")),
+    match send_result {
+        Ok(answer) => match gateway.timeout_at(answer_deadline, classify_answer(job, flight, answer)).await {
+            Some(classified) => classified,
+            None => Err(AttemptError::unknown_outcome("no whole answer in time")),
         },
         Err(SendError::NotSent(_)) => Err(AttemptError::new(
             ExecutionState::NotSent,
             "not connected",
             true,
         )),
-        Err(SendError::MayHaveBeenSent(_)) => Err(AttemptError::broken_off("connection lost")),
+        Err(SendError::MayHaveBeenSent(_)) => Err(AttemptError::connection_lost("connection lost")),
     }
 }
 
-/// The request as the target gets it.
-fn request(
+/// Builds the request as it is forwarded to the target.
+fn build_request(
     gateway: &Gateway,
     job: &Job,
     flight: &Flight,
     last_event: Option<&str>,
 ) -> Request<body::Body> {
     let left = job.deadline.since(gateway.now());
-    let sent = Sent {
+    let call_headers = Sent {
         wait: left,
         instance: &flight.instance,
         organisation: job.organisation.as_deref(),
@@ -207,12 +211,12 @@
     *request.method_mut() = job.head.method.clone();
     *request.uri_mut() = job.head.uri.clone();
     *request.headers_mut() = job.head.headers.clone();
-    call::forward(request.headers_mut(), &sent);
+    call::forward(request.headers_mut(), &call_headers);
     request
 }
 
-/// Judges an answer's head and reads what is needed of its body.
-async fn judge(
+/// Classifies an answer by its head and reads as much of its body as needed.
+async fn classify_answer(
     job: &Job,
     flight: &mut Flight,
     answer: Answer,
@@ -220,12 +224,12 @@
     let (head, mut body) = answer.into_parts();
     let mut headers = head.headers;
     let status = head.status;
-    let said = answer::read(status, &headers, &job.id);
-    if let Some(load) = said.load.filter(|_| said.kind != Kind::Foreign) {
-        flight.told(load);
+    let answer_head = answer::read(status, &headers, &job.id);
+    if let Some(load) = answer_head.load.filter(|_| answer_head.kind != Kind::Foreign) {
+        flight.record_load(load);
     }
-    flight.noticed(said.notice);
-    match said.kind {
+    flight.apply_notice(answer_head.notice);
+    match answer_head.kind {
         Kind::NotRun => {
             drain(body).await;
             return Err(AttemptError::new(
@@ -235,7 +239,7 @@
             ));
         }
         Kind::OtherInstance => {
-            flight.lost();
+            flight.record_other_instance();
             drain(body).await;
             return Err(AttemptError::new(
                 ExecutionState::NotRun,
@@ -244,16 +248,16 @@
             ));
         }
         Kind::Foreign => {
-            return Err(AttemptError::unknown("foreign answer"));
+            return Err(AttemptError::unknown_outcome("foreign answer"));
         }
         Kind::Success | Kind::Failure => {}
     }
     peppercrank_wire::headers::strip(&mut headers);
     answer::pass_on(&mut headers);
-    let cut = AttemptError::broken_off("answer cut");
-    if said.kind == Kind::Success && matches!(job.kind, RouteKind::Stream { .. }) {
-        let first = next(&mut body).await.map_err(|()| cut)?;
-        flight.first();
+    let truncated = AttemptError::connection_lost("answer cut");
+    if answer_head.kind == Kind::Success && matches!(job.kind, RouteKind::Stream { .. }) {
+        let first = next_part(&mut body).await.map_err(|()| truncated)?;
+        flight.record_first_part();
         return Ok(TargetAnswer::Stream {
             status,
             headers,
@@ -262,7 +266,7 @@
         });
     }
     let Ok(whole) = body.collect().await else {
-        return Err(cut);
+        return Err(truncated);
     };
     let whole = WholeAnswer {
         status,
@@ -272,24 +276,24 @@
     if status.is_server_error() {
         return Ok(TargetAnswer::Failure(whole));
     }
-    flight.first();
+    flight.record_first_part();
     Ok(TargetAnswer::Whole(whole))
 }
 
-/// Reads a refusal's body, so that its connection is kept.
+/// Reads a refusal's body so that its connection can be reused.
 async fn drain(body: AnswerBody) {
-    /// Time for a refusal's body, which comes with its head.
-    const REST: Duration = Duration::from_millis(20);
-    // A body that fails or does not come only costs its connection.
-    let _over = tokio::time::timeout(REST, body.collect()).await;
+    /// Time limit for a refusal's body, which normally arrives together with its head.
+    const DRAIN_TIMEOUT: Duration = Duration::from_millis(20);
+    // If the body fails or does not arrive in time, only the connection is lost.
+    let _result = tokio::time::timeout(DRAIN_TIMEOUT, body.collect()).await;
 }
 
-/// `next` is the next part of a body; none at its end.
+/// Returns the next non-empty part of a body, or `None` at its end.
 ///
 /// # Errors
 ///
 /// Fails when the body breaks off.
-pub async fn next(body: &mut AnswerBody) -> Result<Option<Bytes>, ()> {
+pub async fn next_part(body: &mut AnswerBody) -> Result<Option<Bytes>, ()> {
     loop {
         match body.frame().await {
             None => return Ok(None),
--- a/crates/peppercrank-gateway/src/choose.rs
+++ b/crates/peppercrank-gateway/src/choose.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Chooses the target of an attempt from what this router believes.
+//! Chooses the target of an attempt from this router's current view of the fleet.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,38 +32,39 @@
 use crate::refuse::Reason;
 use crate::state::State;
 
-/// Time for which a target that came counts as fresh: prompts that are asked for less often than
-/// that are worth little in memory.
-const FRESH: Duration = Duration::from_secs(30);
+/// Time after joining during which a target counts as new. Cached prompts that are requested less
+/// often than this are worth little.
+const RECENT_JOIN_WINDOW: Duration = Duration::from_secs(30);
 
-/// Time after the first list of targets in which more of the same start of a fleet may come.
-const FIRST: Duration = Duration::from_secs(10);
+/// Time after the first list of targets within which further targets count as part of the same
+/// fleet start.
+const FLEET_START_WINDOW: Duration = Duration::from_secs(10);
 
-/// Whether a target came lately to a fleet that was there before.
-fn is_fresh(state: &State, now: Instant, since: Instant) -> bool {
-    let first = state.directory.first_listed_at().unwrap_or(now);
-    since > first + FIRST && now.since(since) < FRESH
+/// Whether a target recently joined a fleet that was already running.
+fn joined_recently(state: &State, now: Instant, joined_at: Instant) -> bool {
+    let first_listed = state.directory.first_listed_at().unwrap_or(now);
+    joined_at > first_listed + FLEET_START_WINDOW && now.since(joined_at) < RECENT_JOIN_WINDOW
 }
 
-/// `begin` chooses a target and counts the request there.
+/// Chooses a target and counts the request toward its load.
 ///
 /// # Errors
 ///
-/// Returns the reason for which the request goes nowhere.
-pub fn begin(gateway: &Arc<Gateway>, job: &Job, tried: &[TargetKey]) -> Result<Flight, Rejection> {
+/// Returns the reason and the retry delay when no target can be used.
+pub fn reserve_target(gateway: &Arc<Gateway>, job: &Job, tried: &[TargetKey],) -> Result<Flight, Rejection> {
     let mut state = gateway.state();
     let choice = choose(gateway, &mut state, job, tried)?;
-    let flight = take(gateway, &mut state, job, &choice);
-    flight.ok_or(Rejection::now(Reason::NoTarget))
+    let flight = reserve(gateway, &mut state, job, &choice);
+    flight.ok_or(Rejection::with_default_delay(Reason::NoTarget))
 }
 
-/// `could_begin` tells whether some target would be sent a further attempt of a request now.
+/// Returns whether some target would currently get a further attempt of a request.
 #[must_use]
-pub fn could_begin(gateway: &Gateway, job: &Job, tried: &[TargetKey]) -> bool {
+pub fn can_reserve_target(gateway: &Gateway, job: &Job, tried: &[TargetKey]) -> bool {
     choose(gateway, &mut gateway.state(), job, tried).is_ok()
 }
 
-/// Chooses the target of an attempt.
+
 fn choose(
     gateway: &Gateway,
     state: &mut State,
@@ -72,35 +73,35 @@
 ) -> Result<Choice, Rejection> {
     let now = gateway.now();
     let settings = gateway.settings();
-    // The process may have stood still since the request was judged.
+    // The process may have been suspended since the request was authorised.
     if job.organisation.is_some() && !state.freshness.is_fresh(now) {
-        return Err(Rejection::now(Reason::StaleKeys));
+        return Err(Rejection::with_default_delay(Reason::StaleKeys));
     }
     if is_congested(&link_state(gateway)) {
-        return Err(Rejection::now(Reason::Congested));
+        return Err(Rejection::with_default_delay(Reason::Congested));
     }
     let rates = state.rates.get(&job.pool).copied().unwrap_or_default();
     let eligible = eligible::find(state, now, job, &settings)?;
-    let survey = Survey {
+    let view = PoolView {
         state,
         now,
         job,
         settings: &settings,
-        lag: state.peers.mean_age(now),
-        hold: rates.hold_ms(),
+        peer_lag: state.peers.mean_age(now),
+        slot_hold_ms: rates.hold_ms(),
     };
-    let candidates = survey.candidates(&eligible.open, tried);
-    let holders = survey.holders(&eligible);
+    let candidates = view.candidates(&eligible.candidates, tried);
+    let holders = view.holders(&eligible);
     let request = PlacementRequest {
         policy: policy(settings.placement),
-        id_hash: job.own(),
-        home_hash: job.home(),
+        id_hash: job.id_hash(),
+        home_hash: job.home_hash(),
         latency_goal: job.goal,
         cap_factor: settings.cap,
-        prompt_tokens: job.tokens,
-        shared_tokens: job.shared().iter().map(|p| p.tokens).sum(),
-        size: job.size(),
-        copy_rate: job.copying,
+        prompt_tokens: job.prompt_tokens,
+        shared_tokens: job.shared_parts().iter().map(|p| p.tokens).sum(),
+        size: job.size_tokens(),
+        copy_rate: job.copy_rate,
     };
     let attempt = Attempt {
         rank: job.rank,
@@ -118,15 +119,16 @@
         &candidates,
         &holders,
     );
-    let (reason, after) = match decision {
+    let (reason, retry_after) = match decision {
         Decision::Send(choice) => return Ok(choice),
         Decision::Full { retry_after: after } => (Reason::Full, after),
         Decision::NoTarget { retry_after: after } => (Reason::NoTarget, after),
     };
-    Err(Rejection { reason, after })
+    Err(Rejection { reason,
+        retry_after, })
 }
 
-/// `link_state` is how connections to targets fare on this router's link.
+/// Returns the state of the connections to targets being opened over this router's link.
 #[must_use]
 pub fn link_state(gateway: &Gateway) -> LinkState {
     let openings = gateway.client.openings();
@@ -137,7 +139,7 @@
     }
 }
 
-/// How the settings want targets chosen.
+
 const fn policy(placement: Placement) -> Policy {
     match placement {
         Placement::Cost => Policy::Cost,
@@ -147,58 +149,58 @@
     }
 }
 
-/// Counts the request at its target; none if that is gone.
-fn take(gateway: &Arc<Gateway>, state: &mut State, job: &Job, choice: &Choice) -> Option<Flight> {
+/// Counts the request toward its target's load. Returns `None` if the target no longer exists.
+fn reserve(gateway: &Arc<Gateway>, state: &mut State, job: &Job, choice: &Choice,) -> Option<Flight> {
     let key = choice.key;
     let now = gateway.now();
-    let source = choice
+    let copy_source = choice
         .copy
         .and_then(|(source, _)| state.directory.get(source));
-    let copy_from = source.map(|t| t.registration.address);
+    let copy_from = copy_source.map(|t| t.registration.address);
     let registration = &state.directory.get(key)?.registration;
     let (instance, address) = (Arc::clone(&registration.instance), registration.address);
-    let target = registration.id();
-    state.sent(now, choice, target, job.shared());
-    state.gate.record_sent(now, key);
-    if let Some(own) = job.parts.last() {
-        // Peers gain nothing from the last part, which is the request's own.
-        state.prefixes.record(now, key, own.prefix_hash);
+    let target_id = registration.id();
+    state.record_sent_parts(now, choice, target_id, job.shared_parts());
+    state.warm_up_gate.record_sent(now, key);
+    if let Some(last_part) = job.prompt_parts.last() {
+        // The last part belongs to this request alone, so peers have no use for it.
+        state.prefixes.record(now, key, last_part.prefix_hash);
     }
     Some(Flight {
         termination: state.terminations.subscribe(key),
         gateway: Arc::clone(gateway),
-        counted: InFlight::begin(now, &mut state.board, *choice),
+        in_flight: InFlight::begin(now, &mut state.board, *choice),
         pool: Arc::clone(&job.pool),
         instance,
-        target,
+        target_id,
         address,
         copy_from,
         notice: Notice::default(),
     })
 }
 
-/// `Survey` is how one request sees the targets of its pool.
-struct Survey<'a> {
+/// The targets of a pool as one request sees them.
+struct PoolView<'a> {
     state: &'a State,
     now: Instant,
     job: &'a Job,
     settings: &'a GatewaySettings,
-    /// How long ago peers told of their work.
-    lag: Duration,
-    /// What is learnt of the time that a request holds a place.
-    hold: f64,
+    /// Time since peers last reported their load.
+    peer_lag: Duration,
+    /// Learnt time for which a request occupies a slot, in milliseconds.
+    slot_hold_ms: f64,
 }
 
-impl Survey<'_> {
-    /// The targets that may get the request: of those that take work the ones that were not tried, unless all were.
+impl PoolView<'_> {
+    /// The targets that may get the request: those not tried yet, or all if each was tried.
     fn candidates(&self, usable: &[TargetKey], tried: &[TargetKey]) -> Vec<Candidate> {
         let untried = usable.iter().filter(|k| !tried.contains(k)).copied();
         let untried = untried.collect::<Vec<_>>();
         let keys = if untried.is_empty() { usable } else { &untried };
-        keys.iter().filter_map(|k| self.see(*k)).collect()
+        keys.iter().filter_map(|k| self.candidate(*k)).collect()
     }
 
-    fn see(&self, key: TargetKey) -> Option<Candidate> {
+    fn candidate(&self, key: TargetKey) -> Option<Candidate> {
         let Self { state, now, .. } = self;
         let target = state.directory.get(key)?;
         let registration = &target.registration;
@@ -207,36 +209,38 @@
             placement_id: registration.placement_id(),
             slots: registration.slots,
             same_zone: *registration.zone == *self.settings.zone,
-            held_tokens: state.prefixes.held_tokens(key, &self.job.parts),
-            recently_joined: is_fresh(state, *now, state.directory.joined_at(key)?),
-            peers_lag: now.since(state.heard),
-            stats: state.board.get(key).as_of(*now, self.lag, self.hold),
+            held_tokens: state.prefixes.held_tokens(key, &self.job.prompt_parts),
+            recently_joined: joined_recently(state, *now, state.directory.joined_at(key)?),
+            peers_lag: now.since(state.peers_heard_at),
+            stats: state.board.get(key).as_of(*now, self.peer_lag, self.slot_hold_ms),
         })
     }
 
-    /// The targets that do not get the request and may hold its prompt, or count in the pool's mean load.
+    /// The targets that cannot get the request but may have its prompt cached or count in the
+    /// pool's mean load.
     fn holders(&self, eligible: &Eligible) -> Vec<Holder> {
         let finishing = self.state.directory.draining(self.now, &self.job.pool);
-        let finishing = finishing.map(|(key, why)| (key, why.keeps_serving()));
+        let finishing = finishing.map(|(key, reason)| (key, reason.keeps_serving()));
         let all = finishing.chain(eligible.withheld.iter().map(|key| (*key, true)));
-        all.filter_map(|(key, counts)| self.hold(key, counts))
+        all.filter_map(|(key, counts)| self.holder(key, counts))
             .collect()
     }
 
-    /// A target that does not get the request; none where it matters for nothing.
-    fn hold(&self, key: TargetKey, counts: bool) -> Option<Holder> {
+    /// A target that cannot get the request. `None` if placement does not depend on it.
+    fn holder(&self, key: TargetKey, counts_in_load: bool) -> Option<Holder> {
         let Self {
             state, now, job, ..
         } = self;
         let registration = &state.directory.get(key)?.registration;
-        let counted = counts.then(|| state.board.get(key).as_of(*now, self.lag, self.hold));
-        let copies = job.copying.is_some() && eligible::is_allowed(state, job, self.settings, key);
+        let counted = counts_in_load.then(|| { state.board.get(key).as_of(*now, self.peer_lag, self.slot_hold_ms)
+        });
+        let copies = job.copy_rate.is_some() && eligible::is_allowed(state, job, self.settings, key);
         let held = if copies {
-            state.prefixes.held_tokens(key, job.shared())
+            state.prefixes.held_tokens(key, job.shared_parts())
         } else {
             0
         };
-        (counts || copies).then(|| Holder {
+        (counts_in_load || copies).then(|| Holder {
             key,
             placement_id: registration.placement_id(),
             held_tokens:
--- a/crates/peppercrank-gateway/src/confirm.rs
+++ b/crates/peppercrank-gateway/src/confirm.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Has what is known of keys confirmed by another router instead of the store.
+//! Confirms what is known about API keys with another router instead of the store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,64 +22,65 @@
 use crate::gateway::Gateway;
 use crate::gossip;
 
-/// Time for another router's answer: some round trips between availability zones, and a router that is
-/// busy. The store is asked after it.
-const ANSWER: Duration = Duration::from_millis(120);
+/// Time for another router's answer: a few round trips between availability zones, plus the delay
+/// of a busy router. The store is asked after that.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// `Confirmer` asks other routers.
+/// Confirms the configuration and keys with other routers.
 #[derive(Debug, Clone)]
 pub struct Confirmer {
     gateway: Arc<Gateway>,
     socket: Arc<UdpSocket>,
-    /// Whether the last answer told of a newer version.
-    behind: bool,
+    /// Whether the last answer reported a newer configuration version.
+    heard_of_newer_version: bool,
 }
 
 impl Confirmer {
-    /// `new` asks over this socket.
+    /// Creates a confirmer that sends its questions over this socket.
     #[must_use]
     pub fn new(gateway: &Arc<Gateway>, socket: &Arc<UdpSocket>) -> Self {
         Self {
             gateway: Arc::clone(gateway),
             socket: Arc::clone(socket),
-            behind: false,
+            heard_of_newer_version: false,
         }
     }
 
-    /// `asks_store` tells whether this router is one of those that ask the store.
+    /// Returns whether this router is one of those that confirm with the store.
     #[must_use]
     pub fn asks_store(&self) -> bool {
-        self.choose().is_none()
+        self.choose_router().is_none()
     }
 
-    /// `by_router` has what is known confirmed by a router that asks the store; false where the store
-    /// has to be asked.
+    /// Asks a router that confirms with the store. Returns false if the store must be asked
+    /// instead.
     ///
-    /// A first word of a newer version leaves it to the watch: over the slow link of a small VM a
-    /// large configuration may be on its way, and a second copy of it would hold up all streams.
-    pub async fn by_router(&mut self) -> bool {
-        let Some(to) = self.choose() else {
+    /// The first report of a newer version is left to the watch: over the slow link of a small VM a
+    /// large configuration may already be in transfer, and a second copy would delay all streams.
+    pub async fn confirm_by_router(&mut self) -> bool {
+        let Some(to) = self.choose_router() else {
             return false;
         };
         let nonce = rand::random();
         let question = ConfirmationRequest { nonce };
         let at = self.gateway.now();
-        self.gateway.state().asked = Some(PendingRequest {
+        self.gateway.state().pending_question = Some(PendingRequest {
             request: question,
             sent_at: at,
         });
-        let answered = self.gateway.answered.notified();
+        let answered = self.gateway.confirmation_received.notified();
         let datagram = Datagram::ConfirmationRequest(question);
         gossip::send(&self.gateway, &self.socket, to, datagram).await;
-        let answered = timeout(ANSWER, answered).await.is_ok();
-        let confirmed = self.gateway.state().asked.take().is_none();
-        let told = answered && !confirmed;
-        let before = std::mem::replace(&mut self.behind, told);
-        confirmed || (told && !before)
+        let answered = timeout(ANSWER_TIMEOUT, answered).await.is_ok();
+        let confirmed = self.gateway.state().pending_question.take().is_none();
+        let outdated = answered && !confirmed;
+        let already_outdated = std::mem::replace(&mut self.heard_of_newer_version, outdated);
+        confirmed || (outdated && !already_outdated)
     }
 
-    /// One of the routers that ask the store; none if this one is of them.
-    fn choose(&self) -> Option<SocketAddr> {
+    /// Chooses one of the routers that confirm with the store; `None` if this router is one of
+    /// them.
+    fn choose_router(&self) -> Option<SocketAddr> {
         let now = self.gateway.now();
         let own = self.gateway.settings().name.clone();
         let state = self.gateway.state();
@@ -95,9 +96,9 @@
     }
 }
 
-/// `answer` answers another router's question; none where nothing is known.
+/// Answers another router's question; `None` if no configuration is known.
 #[must_use]
-pub fn answer(gateway: &Gateway, question: ConfirmationRequest) -> Option<Confirmation> {
+pub fn answer_question(gateway: &Gateway, question: ConfirmationRequest) -> Option<Confirmation> {
     let now = gateway.now();
     let state = gateway.state();
     let known = KeyState {
@@ -108,21 +109,21 @@
     Confirmation::new(question, known)
 }
 
-/// `take` takes an answer in, if it is one to the question on its way.
-pub fn take(gateway: &Gateway, told: Confirmation) {
+/// Applies an answer if it belongs to the pending question.
+pub fn apply_confirmation(gateway: &Gateway, confirmation: Confirmation) {
     let mut state = gateway.state();
     let version = state.config.index().map(|i| i.desired().version);
-    let verdict = state.asked.map(|asked| asked.evaluate(told, version));
+    let verdict = state.pending_question.map(|asked| asked.evaluate(confirmation, version));
     match verdict {
         Some(Verdict::CurrentAsOf(at)) => {
             state.freshness.confirm(at, Source::Router);
-            state.asked = None;
+            state.pending_question = None;
         }
-        // The question stays, which tells that its answer confirmed nothing.
+        // The question stays pending, which shows that its answer confirmed nothing.
         Some(Verdict::Outdated) => {}
         Some(Verdict::Unusable) | None => return,
     }
     drop(state);
-    evacuations::compare(gateway, told.evacuations_digest);
-    gateway.answered.notify_waiters();
+    evacuations::compare_digest(gateway, confirmation.evacuations_digest);
+    gateway.confirmation_received.notify_waiters();
 }
--- a/crates/peppercrank-gateway/src/crashes.rs
+++ b/crates/peppercrank-gateway/src/crashes.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Finds out under which requests targets ended, and tells other routers.
+//! Detects requests that crash targets and shares this knowledge with other routers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,86 +28,87 @@
 use crate::choose::link_state;
 use crate::flight::Flight;
 use crate::gateway::Gateway;
-use crate::gossip::HEADERS;
-use crate::gossip::draw;
+use crate::gossip::DATAGRAM_HEADER_BYTES;
+use crate::gossip::random_peers;
 use crate::gossip::send;
 use crate::job::Job;
 
-/// `tell` tells other routers at once under which requests targets ended, and reminds them of what is quarantined.
-pub async fn tell(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
+/// Sends reports of new crashes to other routers at once, and periodic reminders of quarantined
+/// requests.
+pub async fn send_crash_reports(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     let mut spread = Gossip::new(gateway.now());
-    ask_others(&gateway, &socket).await;
+    request_reports(&gateway, &socket).await;
     loop {
-        wait(&gateway).await;
+        wait_for_news(&gateway).await;
         sleep(BATCH_DELAY).await;
-        turn(&gateway, &socket, &mut spread).await;
+        send_next_reports(&gateway, &socket, &mut spread).await;
     }
 }
 
-/// Asks others what is quarantined, once this router has read who they are.
-async fn ask_others(gateway: &Gateway, socket: &UdpSocket) {
+/// Requests the quarantined requests from other routers once their list was read.
+async fn request_reports(gateway: &Gateway, socket: &UdpSocket) {
     gateway.routers_listed.notified().await;
-    let peers = draw(&gateway.state(), STARTUP_FANOUT);
+    let peers = random_peers(&gateway.state(), STARTUP_FANOUT);
     for to in peers {
         send(gateway, socket, to, Datagram::CrashReports(Vec::new())).await;
     }
 }
 
-/// Waits for news, or for the time to tell what is known again.
-async fn wait(gateway: &Gateway) {
-    let news = gateway.crashed.notified();
+/// Waits for news, or until known crashes are due to be reported again.
+async fn wait_for_news(gateway: &Gateway) {
+    let news = gateway.crash_news.notified();
     if gateway.state().quarantine.is_empty() {
         return news.await;
     }
-    // Over at the time or before it: either way there is something to tell.
-    let _over = timeout(RETRANSMIT_INTERVAL, news).await;
+    // Either outcome means that there are reports to send.
+    let _result = timeout(RETRANSMIT_INTERVAL, news).await;
 }
 
-async fn turn(gateway: &Gateway, socket: &UdpSocket, spread: &mut Gossip) {
-    let Some((reports, peers)) = next(gateway, spread) else {
+async fn send_next_reports(gateway: &Gateway, socket: &UdpSocket, spread: &mut Gossip) {
+    let Some((reports, peers)) = next_reports(gateway, spread) else {
         return;
     };
     let datagram = Datagram::CrashReports(reports);
     for to in peers {
         let bytes = send(gateway, socket, to, datagram.clone()).await;
-        spread.record_sent(bytes + HEADERS);
+        spread.record_sent(bytes + DATAGRAM_HEADER_BYTES);
     }
 }
 
-/// What is told now, and to whom.
-fn next(gateway: &Gateway, spread: &mut Gossip) -> Option<(Vec<CrashReport>, Vec<SocketAddr>)> {
+/// Returns the next reports and their recipients.
+fn next_reports(gateway: &Gateway, spread: &mut Gossip,) -> Option<(Vec<CrashReport>, Vec<SocketAddr>)> {
     let now = gateway.now();
     let mut state = gateway.state();
     let Broadcast {
         reports,
         fanout: peers,
     } = spread.next_broadcast(now, &mut state.quarantine)?;
-    Some((reports, draw(&state, peers)))
+    Some((reports, random_peers(&state, peers)))
 }
 
-/// `broke_off` finds out whether a target has ended whose answer to a request broke off.
-pub async fn broke_off(gateway: &Arc<Gateway>, job: &Job, flight: &Flight) {
+/// Checks whether a target crashed after its answer to a request broke off.
+pub async fn check_for_crash(gateway: &Arc<Gateway>, job: &Job, flight: &Flight) {
     let content = job.fingerprint();
-    let target = flight.target;
-    let broken = gateway
+    let target = flight.target_id;
+    let action = gateway
         .state()
         .quarantine
         .record_broken_answer(content, target);
-    if broken == ProbeAction::AlreadyProbing {
+    if action == ProbeAction::AlreadyProbing {
         return;
     }
-    // From a task of its own, as a caller who leaves must not take the answer from the others that wait for it.
-    let asking = tokio::spawn(ask(Arc::clone(gateway), target, flight.address));
-    if broken == ProbeAction::ProbeFirst {
-        // It ends early only with the process.
-        let _over = asking.await;
+    // Probed in its own task: if this caller disconnects, other requests still need the result.
+    let probe = tokio::spawn(probe_target(Arc::clone(gateway), target, flight.address));
+    if action == ProbeAction::ProbeFirst {
+        // The task fails only when the process ends.
+        let _result = probe.await;
     }
 }
 
-/// Finds out whether a target has ended: then nobody listens there.
-async fn ask(gateway: Arc<Gateway>, target: TargetId, address: SocketAddr) {
+/// Probes a target with a connection, which is refused if the target has crashed.
+async fn probe_target(gateway: Arc<Gateway>, target: TargetId, address: SocketAddr) {
     let connected = gateway.client.connect(address).await.is_ok();
-    // Where this router's own link is at fault, nothing is known of the target.
+    // When this router's own link is congested, a failed connection says nothing about the target.
     if connected || is_congested(&link_state(&gateway)) {
         gateway.state().quarantine.record_alive(target);
         return;
@@ -117,37 +118,36 @@
         .quarantine
         .record_crash(gateway.now(), target);
     for (content, change) in changes {
-        learnt(&gateway, content, change);
+        report_change(&gateway, content, change);
     }
 }
 
-/// `started_again` notes that a target has started again with a request at work.
-pub fn started_again(gateway: &Gateway, job: &Job, flight: &Flight) {
+/// Records that a target restarted while it was processing a request.
+pub fn record_restart(gateway: &Gateway, job: &Job, flight: &Flight) {
     let content = job.fingerprint();
     let now = gateway.now();
     let mut state = gateway.state();
     let change = state
         .quarantine
-        .record_crash_of(now, content, flight.target);
+        .record_crash_of(now, content, flight.target_id);
     drop(state);
-    learnt(gateway, content, change);
+    report_change(gateway, content, change);
 }
 
-/// `quarantined` returns once a request in progress is quarantined.
-pub async fn quarantined(gateway: &Gateway, job: &Job) {
+/// Returns once the request is quarantined.
+pub async fn wait_until_quarantined(gateway: &Gateway, job: &Job) {
     loop {
-        let news = gateway.quarantined.notified();
-        if refuses(gateway, job).is_some() {
+        let news = gateway.quarantine_changed.notified();
+        if quarantine_delay(gateway, job).is_some() {
             return;
         }
         news.await;
     }
 }
 
-/// `refuses` tells whether a request is kept from targets, as too many have ended under it, and when its caller should
-/// return.
+/// Returns when the caller of a quarantined request should retry; `None` if it is not quarantined.
 #[must_use]
-pub fn refuses(gateway: &Gateway, job: &Job) -> Option<Duration> {
+pub fn quarantine_delay(gateway: &Gateway, job: &Job) -> Option<Duration> {
     let now = gateway.now();
     let mut state = gateway.state();
     if state.quarantine.is_empty() {
@@ -156,31 +156,31 @@
     state.quarantine.refuse(now, job.fingerprint())
 }
 
-/// Tells the log and other routers what this one has learnt.
-fn learnt(gateway: &Gateway, content: Fingerprint, change: Update) {
+/// Logs a change and schedules reports to other routers.
+fn report_change(gateway: &Gateway, content: Fingerprint, change: Update) {
     match change {
         Update::Unchanged => return,
         Update::NewEvidence => {}
-        Update::Quarantined => gateway.note_quarantined(content, "here"),
+        Update::Quarantined => gateway.record_quarantined(content, "here"),
     }
-    gateway.crashed.notify_one();
+    gateway.crash_news.notify_one();
 }
 
-/// `hear` takes in what another router told, and tells it what it does not know.
-pub async fn hear(
+/// Applies another router's crash reports and replies with those that it lacks.
+pub async fn receive_reports(
     gateway: &Gateway,
     socket: &UdpSocket,
     from: SocketAddr,
     reports: &[CrashReport],
 ) {
-    let unknown = take(gateway, reports);
+    let unknown = apply_reports(gateway, reports);
     if !unknown.is_empty() {
         send(gateway, socket, from, Datagram::CrashReports(unknown)).await;
     }
 }
 
-/// Takes in reports, and returns what their sender does not know.
-fn take(gateway: &Gateway, reports: &[CrashReport]) -> Vec<CrashReport> {
+/// Applies crash reports, and returns the reports that their sender lacks.
+fn apply_reports(gateway: &Gateway, reports: &[CrashReport]) -> Vec<CrashReport> {
     let now = gateway.now();
     let mut state = gateway.state();
     let relay = should_relay(state.routers.len());
@@ -194,10 +194,10 @@
     let news = state.quarantine.has_pending_reports();
     drop(state);
     if news {
-        gateway.crashed.notify_one();
+        gateway.crash_news.notify_one();
     }
     for content in quarantined {
-        gateway.note_quarantined(content, "router");
+        gateway.record_quarantined(content, "router");
     }
     unknown
 }
--- a/crates/peppercrank-gateway/src/eligible.rs
+++ b/crates/peppercrank-gateway/src/eligible.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Which targets a request may be sent to at all, before their costs are weighed.
+//! Selects the targets that a request may be sent to at all, before their costs are compared.
 
 use std::time::Duration;
 
@@ -18,37 +18,39 @@
 use crate::refuse::Reason;
 use crate::state::State;
 
-/// `Rejection` is why a request is sent to no target, and when its caller should return.
+/// Why a request is sent to no target, and when its caller should retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rejection {
-    /// The reason for which it is refused.
+    /// The reason for the refusal.
     pub reason: Reason,
-    /// Time after which it may fare better.
-    pub after: Duration,
+    /// Time after which a retry may succeed.
+    pub retry_after: Duration,
 }
 
 impl Rejection {
-    /// `now` is a refusal of which no more is known.
-    pub(crate) const fn now(reason: Reason) -> Self {
-        let after = MIN_RETRY_AFTER;
-        Self { reason, after }
+    /// Creates a rejection with the shortest retry delay, for lack of a better estimate.
+    pub(crate) const fn with_default_delay(reason: Reason) -> Self {
+        let retry_after = MIN_RETRY_AFTER;
+        Self { reason,
+            retry_after, }
     }
 }
 
-/// `Eligible` are the targets of a pool that take new work, as one request sees them.
+/// The targets of a pool that accept new work, as one request sees them.
 #[derive(Debug, Default)]
 pub struct Eligible {
-    /// It may be sent to these.
-    pub open: Vec<TargetKey>,
-    /// It may not: they are in a region in which it must not run, or are cold and get what they bear.
+    /// Targets that the request may be sent to.
+    pub candidates: Vec<TargetKey>,
+    /// Targets that it may not be sent to: they are in a region in which it must not run, or are
+    /// cold and already get as many requests as they can take.
     pub withheld: Vec<TargetKey>,
 }
 
-/// `find` finds the targets that a request may be sent to.
+/// Returns the targets that a request may be sent to.
 ///
 /// # Errors
 ///
-/// Returns the reason for which there are none.
+/// Returns the reason and the retry delay when there are none.
 pub fn find(
     state: &mut State,
     now: Instant,
@@ -56,33 +58,34 @@
     settings: &GatewaySettings,
 ) -> Result<Eligible, Rejection> {
     if !state.directory.evacuations.is_listed() {
-        return Err(Rejection::now(Reason::Evacuated));
+        return Err(Rejection::with_default_delay(Reason::Evacuated));
     }
     let usable = state.directory.pool(now, &job.pool);
     let allowed = |key: &TargetKey| is_allowed(state, job, settings, *key);
     let (allowed, withheld) = usable.into_iter().partition::<Vec<_>, _>(allowed);
     if allowed.is_empty() {
-        return match why_none(state, now, job, settings, !withheld.is_empty()) {
+        return match no_candidate_reason(state, now, job, settings, !withheld.is_empty()) {
             Some(rejection) => Err(rejection),
             None => Ok(Eligible::default()),
         };
     }
     let mut eligible = Eligible {
-        open: Vec::with_capacity(allowed.len()),
+        candidates: Vec::with_capacity(allowed.len()),
         withheld,
     };
-    keep_from_cold(state, now, job, settings, allowed, &mut eligible)?;
+    apply_warm_up(state, now, job, settings, allowed, &mut eligible)?;
     Ok(eligible)
 }
 
-/// Why no target of the pool may be sent a request, though there are some; `others` tells whether some take work in regions in which it
-/// must not run.
-fn why_none(
+/// Returns why the pool has no target that the request may be sent to; `None` if none of its
+/// targets is paused, evacuated or excluded by region. `excluded_by_region` tells whether some
+/// targets accept work in regions in which the request must not run.
+fn no_candidate_reason(
     state: &State,
     now: Instant,
     job: &Job,
     settings: &GatewaySettings,
-    others: bool,
+    excluded_by_region: bool,
 ) -> Option<Rejection> {
     let finishing = state.directory.draining(now, &job.pool);
     let finishing = finishing.collect::<Vec<_>>();
@@ -93,20 +96,21 @@
         WithheldReason::Paused(until) => Some(until.since(now)),
         _ => None,
     });
-    if let Some(after) = pauses.min() {
+    if let Some(retry_after) = pauses.min() {
         let reason = Reason::Paused;
-        return Some(Rejection { reason, after });
+        return Some(Rejection { reason,
+            retry_after, });
     }
-    if others {
-        return Some(Rejection::now(Reason::NoRegion));
+    if excluded_by_region {
+        return Some(Rejection::with_default_delay(Reason::NoRegion));
     }
     let evacuated = finishing
         .iter()
         .any(|(_, why)| *why == WithheldReason::Evacuated);
-    evacuated.then(|| Rejection::now(Reason::Evacuated))
+    evacuated.then(|| Rejection::with_default_delay(Reason::Evacuated))
 }
 
-/// `is_allowed` tells whether a request may run in a target's region.
+/// Returns whether a request may run in a target's region.
 #[must_use]
 pub fn is_allowed(state: &State, job: &Job, settings: &GatewaySettings, key: TargetKey) -> bool {
     let target = state.directory.get(key);
@@ -115,8 +119,9 @@
     job.regions.allows(region.map(String::as_str))
 }
 
-/// Keeps a request from cold targets that get what they bear.
-fn keep_from_cold(
+/// Excludes cold targets that already get as many requests as they can take. When the router may
+/// have missed restarts, it treats all targets as cold.
+fn apply_warm_up(
     state: &mut State,
     now: Instant,
     job: &Job,
@@ -125,39 +130,39 @@
     eligible: &mut Eligible,
 ) -> Result<(), Rejection> {
     let Some(warm_up) = job.warm_up else {
-        eligible.open = allowed;
+        eligible.candidates = allowed;
         return Ok(());
     };
     let allowance = Allowance {
         overage: settings.warm_up.overage,
         slack: settings.warm_up.slack,
     };
-    let requests = fleet_budget(&warm_up, &allowance);
-    let blind = state.gate.is_stale(now, state.away);
-    let routers = state.sharers(now);
-    let mut soonest = warm_up.duration;
+    let request_limit = fleet_budget(&warm_up, &allowance);
+    let cold_state_unknown = state.warm_up_gate.is_stale(now, state.store_away_since);
+    let routers = state.router_count(now);
+    let mut min_delay = warm_up.duration;
     for key in allowed {
-        if !blind && now >= state.cold_until(key, warm_up.duration) {
-            eligible.open.push(key);
+        if !cold_state_unknown && now >= state.cold_until(key, warm_up.duration) {
+            eligible.candidates.push(key);
             continue;
         }
         let Some(target) = state.directory.get(key) else {
             continue;
         };
         let name = target.registration.placement_id();
-        match state.gate.opens(now, (key, name), requests, routers) {
-            Opens::Now => eligible.open.push(key),
-            Opens::After(time) => {
-                soonest = soonest.min(time);
+        match state.warm_up_gate.opens(now, (key, name), request_limit, routers) {
+            Opens::Now => eligible.candidates.push(key),
+            Opens::After(delay) => {
+                min_delay = min_delay.min(delay);
                 eligible.withheld.push(key);
             }
             Opens::Never => eligible.withheld.push(key),
         }
     }
-    if eligible.open.is_empty() {
+    if eligible.candidates.is_empty() {
         return Err(Rejection {
             reason: Reason::WarmingUp,
-            after: soonest,
+            retry_after: min_delay,
         });
     }
     Ok(())
--- a/crates/peppercrank-gateway/src/flight.rs
+++ b/crates/peppercrank-gateway/src/flight.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A request on its way to a target, counted as the target's work.
+//! A request in flight to a target, counted toward the target's load.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,89 +17,91 @@
 use crate::targets;
 use crate::termination::Termination;
 
-/// `Flight` counts a request as a target's work until it is dropped.
+/// A request in flight. It counts toward its target's load until it is dropped.
 #[derive(Debug)]
 pub struct Flight {
     pub(crate) gateway: Arc<Gateway>,
-    /// What it counts for at its target.
-    pub counted: InFlight,
-    /// Tells when the target's start has ended.
+    /// How it is counted at its target.
+    pub in_flight: InFlight,
+    /// Signals that the target's process has been replaced by a new incarnation.
     pub termination: Termination,
-    /// The pool that it serves.
+    /// The pool that the target belongs to.
     pub pool: Arc<str>,
     /// The target's name.
     pub instance: Arc<str>,
-    /// The short name of its start.
-    pub target: TargetId,
-    /// Where it listens.
+    /// The compact id of the target's incarnation, as used in datagrams between routers.
+    pub target_id: TargetId,
+    /// The address at which the target listens.
     pub address: SocketAddr,
-    /// The target that it should copy from.
+    /// The target to copy the cached prompt from, if any.
     pub copy_from: Option<SocketAddr>,
-    /// What its answer said of new work for the target.
+    /// The answer's notice about new work, such as that the target is leaving.
     pub notice: Notice,
 }
 
 impl Flight {
-    /// `first` notes the answer's first part: the prompt is read.
-    pub fn first(&mut self) {
+    /// Records the answer's first part, which shows that the target has processed the prompt.
+    pub fn record_first_part(&mut self) {
         let now = self.gateway.now();
-        let took = now.since(self.counted.sent_at);
-        self.gateway.metrics.target_answered(&self.instance, took);
+        let took = now.since(self.in_flight.sent_at);
+        self.gateway.metrics.observe_target_answer(&self.instance, took);
         let mut state = self.gateway.state();
         let State { board, rates, .. } = &mut *state;
         let rates = rates.entry(Arc::clone(&self.pool)).or_default();
-        self.counted.record_first_part(now, board, rates);
+        self.in_flight.record_first_part(now, board, rates);
     }
 
-    /// `told` notes what the target tells of its load.
-    pub fn told(&self, load: Load) {
+    /// Records the load that the target reports.
+    pub fn record_load(&self, load: Load) {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
-        if let Some(stats) = state.board.get_mut(self.counted.choice.key) {
+        if let Some(stats) = state.board.get_mut(self.in_flight.choice.key) {
             stats.record_report(now, load.running.saturating_add(load.waiting));
         }
     }
 
-    /// `noticed` notes what the answer says of new work for its target.
-    pub fn noticed(&mut self, notice: Notice) {
+    /// Applies the answer's notice about new work to its target.
+    pub fn apply_notice(&mut self, notice: Notice) {
         self.notice = notice;
         let now = self.gateway.now();
-        let key = self.counted.choice.key;
-        let noted = self
+        let key = self.in_flight.choice.key;
+        let change = self
             .gateway
             .state()
             .directory
             .apply_notice(now, key, notice);
-        targets::note(&self.gateway, vec![noted], None);
+        targets::apply_changes(&self.gateway, vec![change], None);
     }
 
-    /// `lost` notes that another instance answers at the target's address.
-    pub fn lost(&self) {
+    /// Records that another instance answers at the target's address.
+    pub fn record_other_instance(&self) {
         let now = self.gateway.now();
-        let key = self.counted.choice.key;
-        let noted = self.gateway.state().directory.mark_replaced(now, key);
-        targets::note(&self.gateway, vec![noted], None);
+        let key = self.in_flight.choice.key;
+        let change = self.gateway.state().directory.mark_replaced(now, key);
+        targets::apply_changes(&self.gateway, vec![change], None);
     }
 
-    /// `failed` notes a failure that speaks against the target.
-    pub fn failed(&self) {
+    /// Counts a failure attributed to the target.
+    pub fn record_failure(&self) {
         self.gateway.count_failure(&self.suspect());
     }
 
-    /// `unreachable` notes that no connection to the target could be made, so that it may have become cold when it is back.
-    pub fn unreachable(&self) {
+    /// Records that no connection to the target could be made. It may have restarted meanwhile and
+    /// be cold once it is reachable again.
+    pub fn record_unreachable(&self) {
         let now = self.gateway.now();
-        let key = self.counted.choice.key;
+        let key = self.in_flight.choice.key;
         if self.gateway.state().directory.get(key).is_some() {
-            self.gateway.state().gate.mark_unreachable(now, key);
+            self.gateway.state().warm_up_gate.mark_unreachable(now, key);
         }
     }
 
-    /// `suspect` is its target, where it is not yet known what a failure speaks against.
+    /// Returns the target as a suspect, for a failure that may turn out to be caused by the request
+    /// itself.
     #[must_use]
     pub fn suspect(&self) -> Suspect {
         Suspect {
-            key: self.counted.choice.key,
+            key: self.in_flight.choice.key,
             instance: Arc::clone(&self.instance),
         }
     }
@@ -111,6 +113,6 @@
         let mut state = self.gateway.state();
         let State { board, rates, .. } = &mut *state;
         let rates = rates.entry(Arc::clone(&self.pool)).or_default();
-        self.counted.finish(now, board, rates);
+        self.in_flight.finish(now, board, rates);
     }
 }
--- a/crates/peppercrank-gateway/src/gateway.rs
+++ b/crates/peppercrank-gateway/src/gateway.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What all tasks of the gateway share.
+//! The state and resources shared by all tasks of the gateway.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -32,110 +32,111 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-use crate::limits::FIRST_BOUNDS;
+use crate::limits::DEFAULT_BOUNDS;
 use crate::limits::edge_limits;
 use crate::metrics::Metrics;
 use crate::state::State;
 
-/// Time for a connection to a target: a hundred round trips between availability zones.
-const CONNECT: Duration = Duration::from_millis(300);
+/// Time limit for connecting to a target: a hundred round trips between availability zones.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time for which an unused connection is kept; below the usual idle times of servers.
-const KEEP: Duration = Duration::from_secs(4);
+/// Time for which an idle connection is kept, below the usual idle timeouts of servers.
+const KEEP_ALIVE: Duration = Duration::from_secs(4);
 
-/// Unused connections kept for each target: the bursts of one router seen by one target.
-pub const SPARE: usize = 8;
+/// Maximum idle connections per target, sized for the bursts that one router sends to one target.
+pub const MAX_IDLE_PER_TARGET: usize = 8;
 
-/// Longest wait of the client itself; each request brings a shorter one of its own.
-const LONGEST: Duration = Duration::from_secs(60 * 60);
+/// Time limit of the client itself. Each request has a shorter one of its own.
+const MAX_WAIT: Duration = Duration::from_secs(60 * 60);
 
-/// `Beliefs` are what decisions rest on.
+/// What the router's decisions are based on, for log lines.
 #[derive(Debug, Clone, Copy)]
-pub struct Beliefs {
-    /// The version of the configuration in force, 0 before the first.
-    pub version: u64,
-    /// The age of what is known of keys; none before the first answer of the store.
-    pub age: Option<Duration>,
-    /// Who confirmed what is known of keys last.
-    pub source: Option<Source>,
-    /// Whether the store does not answer.
-    pub away: bool,
-    /// Targets registered.
-    pub targets: usize,
+pub struct StateSummary {
+    /// The version of the configuration in force; 0 before the first.
+    pub config_version: u64,
+    /// The age of what is known about keys; `None` before the store's first answer.
+    pub keys_age: Option<Duration>,
+    /// Who last confirmed what is known about keys.
+    pub keys_source: Option<Source>,
+    /// Whether the store is unavailable.
+    pub store_away: bool,
+    /// The number of registered targets.
+    pub target_count: usize,
 }
 
-impl Beliefs {
-    /// `fields` are the beliefs as fields of a log line.
+impl StateSummary {
+    /// Returns the summary as fields of a log line.
     #[must_use]
-    pub fn fields(&self) -> [(&'static str, Field<'static>); 5] {
-        let age = self.age.unwrap_or(Duration::MAX);
-        let source = self.source.map_or("", Source::code);
+    pub fn log_fields(&self) -> [(&'static str, Field<'static>); 5] {
+        let age = self.keys_age.unwrap_or(Duration::MAX);
+        let source = self.keys_source.map_or("", Source::code);
         [
-            ("version", Field::Number(self.version)),
+            ("version", Field::Number(self.config_version)),
             ("keys_age_ms", Field::Millis(age)),
             ("keys_by", Field::Text(source)),
-            ("store_away", Field::Number(u64::from(self.away))),
-            ("targets", Field::Number(self.targets as u64)),
+            ("store_away", Field::Number(u64::from(self.store_away))),
+            ("targets", Field::Number(self.target_count as u64)),
         ]
     }
 }
 
-/// `Gateway` is what all tasks share.
+/// The state and resources shared by all tasks.
 #[derive(Debug)]
 pub struct Gateway {
-    /// The process's clock.
+    /// The clock of the process.
     pub clock: Clock,
     /// The settings in force.
     pub settings: watch::Receiver<Arc<GatewaySettings>>,
-    /// The client towards targets.
+    /// The HTTP client for targets.
     pub client: Client,
-    /// The log.
+    /// The log of the process.
     pub log: Log,
-    /// Counters and histograms.
+    /// Counters, gauges and histograms.
     pub metrics: Metrics,
-    /// The signal that tells to stop.
-    pub stop: Stop,
-    /// Wakes the one who asked another router when its answer has come.
-    pub answered: Notify,
-    /// Wakes the one who tells other routers under which requests targets ended.
-    pub crashed: Notify,
-    /// Wakes the attempts in progress, as some request was quarantined.
-    pub quarantined: Notify,
-    /// Wakes what waits for a moment, as the machine was suspended and timers stood still.
-    pub resumed: Notify,
-    /// Wakes the one who asks other routers, once they were listed first.
+    /// Signals that the process should stop.
+    pub stop_signal: Stop,
+    /// Wakes the task that asked another router once its answer has arrived.
+    pub confirmation_received: Notify,
+    /// Wakes the task that sends crash reports to other routers.
+    pub crash_news: Notify,
+    /// Wakes attempts in progress when a request was quarantined.
+    pub quarantine_changed: Notify,
+    /// Wakes tasks that wait for a point in time after the machine was suspended, as timers stood
+    /// still.
+    pub machine_resumed: Notify,
+    /// Wakes the task that requests crash reports once the routers were first listed.
     pub routers_listed: Notify,
-    /// Wakes the one who follows evacuations, as another router knows of others.
-    pub evacuations_doubted: Notify,
-    /// Wakes the one who registers this router when its entry has gone.
-    pub unregistered: Notify,
-    /// The edge's limits, which follow the configuration in force.
+    /// Wakes the follower of evacuations when another router knows of different ones.
+    pub evacuations_outdated: Notify,
+    /// Wakes the task that registers this router when its entry has disappeared.
+    pub entry_missing: Notify,
+    /// The limits for callers, which follow the configuration in force.
     pub limits: watch::Sender<Arc<Limits>>,
-    /// Where this router takes datagrams.
-    pub peers: SocketAddr,
-    /// Whether the balancer was last told that the router is ready.
-    pub told_ready: AtomicBool,
+    /// The address at which this router receives datagrams.
+    pub peer_address: SocketAddr,
+    /// Whether the load balancer was last told that the router is ready.
+    pub reported_ready: AtomicBool,
     state: Mutex<State>,
 }
 
 impl Gateway {
-    /// `new` makes what the tasks share, of a router that takes datagrams at `peers`.
+    /// Creates the shared state of a router that receives datagrams at `peer_address`.
     #[must_use]
     pub fn new(
         clock: Clock,
         settings: watch::Receiver<Arc<GatewaySettings>>,
         log: Log,
-        stop: Stop,
-        peers: SocketAddr,
+        stop_signal: Stop,
+        peer_address: SocketAddr,
     ) -> Self {
         let state = State::new(clock.now(), &settings.borrow());
-        let limits = edge_limits(&settings.borrow(), FIRST_BOUNDS);
+        let limits = edge_limits(&settings.borrow(), DEFAULT_BOUNDS);
         let times = Times {
-            connect: CONNECT,
-            first_byte: LONGEST,
-            idle: LONGEST,
-            keep: KEEP,
-            spare: SPARE,
+            connect: CONNECT_TIMEOUT,
+            first_byte: MAX_WAIT,
+            idle: MAX_WAIT,
+            keep: KEEP_ALIVE,
+            spare: MAX_IDLE_PER_TARGET,
         };
         Self {
             clock,
@@ -143,31 +144,31 @@
             client: Client::new(times),
             log,
             metrics: Metrics::default(),
-            stop,
-            answered: Notify::new(),
-            crashed: Notify::new(),
-            quarantined: Notify::new(),
-            resumed: Notify::new(),
+            stop_signal,
+            confirmation_received: Notify::new(),
+            crash_news: Notify::new(),
+            quarantine_changed: Notify::new(),
+            machine_resumed: Notify::new(),
             routers_listed: Notify::new(),
-            evacuations_doubted: Notify::new(),
-            unregistered: Notify::new(),
+            evacuations_outdated: Notify::new(),
+            entry_missing: Notify::new(),
             limits: watch::Sender::new(Arc::new(limits)),
-            peers,
-            told_ready: AtomicBool::new(false),
+            peer_address,
+            reported_ready: AtomicBool::new(false),
             state: Mutex::new(state),
         }
     }
 
-    /// `state` is the blackboard; it is never held across an await.
+    /// Locks the shared state. The guard must not be held across an await.
     pub fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// `bring_in_force` brings a version in force unless it is older, with its bounds on callers.
+    /// Applies a configuration and its caller limits unless a newer version is in force.
     ///
-    /// Both come at once: while the bounds came up to 200 ms later, a router that was ready refused
-    /// long requests for good that the configuration in force allowed.
-    pub fn bring_in_force(&self, desired: Desired) -> ApplyOutcome {
+    /// Both must be applied together: while the limits lagged by up to 200 ms, a router that was
+    /// already ready rejected long requests that its configuration allowed.
+    pub fn apply_configuration(&self, desired: Desired) -> ApplyOutcome {
         let bounds = desired.caller_limits;
         let applied = self.state().config.apply(self.now(), desired);
         if applied == ApplyOutcome::Activated {
@@ -177,38 +178,38 @@
         applied
     }
 
-    /// `now` is the present moment.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// `until` returns at a moment, also where the machine was suspended before it.
-    pub async fn until(&self, at: Instant) {
+    /// Waits until a point in time, even if the machine is suspended in between.
+    pub async fn sleep_until(&self, at: Instant) {
         loop {
-            let resumed = self.resumed.notified();
+            let resumed = self.machine_resumed.notified();
             let left = at.since(self.now());
             if left.is_zero() {
                 return;
             }
-            // Over by the timer or by a suspension: the clock tells whether the moment has come.
-            let _over = timeout(left, resumed).await;
+            // Woken by the timer or after a suspension: the clock tells which.
+            let _result = timeout(left, resumed).await;
         }
     }
 
-    /// `in_time` is what a future gives by a moment; none where it takes longer.
-    pub async fn in_time<F: Future>(&self, at: Instant, future: F) -> Option<F::Output> {
+    /// Returns the output of a future, or `None` if it takes longer than until `at`.
+    pub async fn timeout_at<F: Future>(&self, at: Instant, future: F) -> Option<F::Output> {
         tokio::select! {
             biased;
             output = future => Some(output),
-            () = self.until(at) => None,
+            () = self.sleep_until(at) => None,
         }
     }
 
-    /// `count_failure` counts a failure that speaks against a target.
+    /// Counts a failure attributed to a target, and logs if that ejects it.
     pub fn count_failure(&self, target: &Suspect) {
         let now = self.now();
-        self.metrics.target_failed(&target.instance);
+        self.metrics.count_target_failure(&target.instance);
         let mut state = self.state();
         let ejected = state
             .board
@@ -221,54 +222,56 @@
         }
     }
 
-    /// `hear_era` takes in the era that an answer of the store tells, to a question that was `asked` in another one or the same.
+    /// Records the store era of an answer, and returns how it relates to the newest known one.
+    /// `asked_era` is the newest era known when the question was sent.
     #[must_use]
-    pub fn hear_era(&self, era: Option<Era>, asked: Option<Era>) -> EraOrder {
+    pub fn observe_era(&self, era: Option<Era>, asked_era: Option<Era>) -> EraOrder {
         let Some(era) = era else {
             return EraOrder::Same;
         };
         let now = self.now();
         let mut state = self.state();
-        let told = state.eras.observe(now, era);
-        if told == EraOrder::Newer {
+        let relation = state.eras.observe(now, era);
+        if relation == EraOrder::Newer {
             state.store_restored(now);
             drop(state);
             let fields = [("era", Field::Number(era.0))];
             self.log.write(Event::StoreRestored, &fields);
         }
-        match told {
-            // Another call was the first to hear of it.
-            EraOrder::Same if asked.is_some_and(|asked| asked < era) => EraOrder::Newer,
+        match relation {
+            // Another call noticed the new era first.
+            EraOrder::Same if asked_era.is_some_and(|asked| asked < era) => EraOrder::Newer,
             told => told,
         }
     }
 
-    /// `note_quarantined` tells that a request is kept from targets from now on, as learnt `here` or from a `router`.
-    pub fn note_quarantined(&self, content: Fingerprint, learnt: &'static str) {
-        self.quarantined.notify_waiters();
+    /// Wakes attempts and logs that a request is quarantined from now on. `learnt_from` is `here`
+    /// or `router`.
+    pub fn record_quarantined(&self, content: Fingerprint, learnt_from: &'static str) {
+        self.quarantine_changed.notify_waiters();
         let content = content.to_string();
         let fields = [
             ("content", Field::Text(&content)),
-            ("learnt", Field::Text(learnt)),
+            ("learnt", Field::Text(learnt_from)),
         ];
         self.log.write(Event::Quarantined, &fields);
     }
 
-    /// `beliefs` are what decisions rest on, with their versions and ages.
+    /// Returns a summary of what decisions are currently based on.
     #[must_use]
-    pub fn beliefs(&self) -> Beliefs {
+    pub fn state_summary(&self) -> StateSummary {
         let now = self.now();
         let state = self.state();
-        Beliefs {
-            version: state.config.index().map_or(0, |i| i.desired().version),
-            age: state.freshness.age(now),
-            source: state.freshness.source(),
-            away: state.directory.is_store_down(),
-            targets: state.directory.len(),
+        StateSummary {
+            config_version: state.config.index().map_or(0, |i| i.desired().version),
+            keys_age: state.freshness.age(now),
+            keys_source: state.freshness.source(),
+            store_away: state.directory.is_store_down(),
+            target_count: state.directory.len(),
         }
     }
 
-    /// `settings` are the settings in force.
+    /// Returns the settings in force.
     #[must_use]
     pub fn settings(&self) -> Arc<GatewaySettings> {
         Arc::clone(&self.settings.borrow())
--- a/crates/peppercrank-gateway/src/job.rs
+++ b/crates/peppercrank-gateway/src/job.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One request with all that its attempts need.
+//! A request with everything that its attempts need.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -27,85 +27,88 @@
 use crate::gateway::Gateway;
 use crate::refuse::Reason;
 
-/// Seed of the home of a request without a prompt.
-const ID_SEED: u64 = 0x6964;
+/// Hash seed for request ids, which determine the home of a request without a prompt.
+const ID_HASH_SEED: u64 = 0x6964;
 
-/// Tokens of a request's size that one token of its answer weighs, by the users' figure: tokens
-/// are written one by one and read by the thousand.
+/// Weight of an answer token in a request's size, as specified by the users: tokens are generated
+/// one by one but read by the thousand.
 const OUTPUT_WEIGHT: u64 = 10;
 
-/// The size of a request without a prompt, in tokens; only its ratios to itself matter.
-const PLAIN_SIZE: u64 = 1_000;
+/// The size of a request without a prompt, in tokens. Only ratios between parts of its cost matter.
+const DEFAULT_SIZE_TOKENS: u64 = 1_000;
 
-/// `Job` is one request with all that its attempts need.
+/// A request with its route, limits and prompt, as needed by each of its attempts.
 #[derive(Debug)]
 pub struct Job {
     /// The request's id.
     pub id: String,
-    /// Its method, path and headers, without those of its connection.
+    /// Its method, path and headers, without hop-by-hop headers.
     pub head: Parts,
-    /// Its whole body.
+    /// Its complete body.
     pub body: Bytes,
-    /// The pool that it goes to.
+    /// The pool that serves it.
     pub pool: Arc<str>,
-    /// What its route allows.
+    /// The kind of its route, which determines whether it may be repeated or resumed.
     pub kind: RouteKind,
     /// Its route's name.
     pub route: Arc<str>,
-    /// Targets that it may run on.
-    pub attempts: u32,
-    /// The time within which an answer is wanted.
+    /// The maximum number of targets that may run it.
+    pub max_attempts: u32,
+    /// The time within which its answer should arrive.
     pub goal: Duration,
-    /// The longest pause of its answer that is on time, where that is named.
-    pub pause: Option<Duration>,
-    /// The organisation that its caller belongs to.
+    /// The longest acceptable gap between two parts of its answer, if the route specifies one.
+    pub max_gap: Option<Duration>,
+    /// The organisation of its caller; `None` if the request was accepted without a known key.
     pub organisation: Option<Arc<str>>,
-    /// How urgent it is among the requests for its pool.
+    /// Its priority rank among the requests for its pool.
     pub rank: Rank,
-    /// The shortest time within which a request for its pool wants its answer.
+    /// The shortest goal of all requests for its pool.
     pub pool_goal: Duration,
-    /// Tokens of its prompt.
-    pub tokens: u64,
-    /// The most tokens of its answer.
-    pub output: u64,
-    /// How fast its pool's engines copy from each other, in tokens a millisecond.
-    pub copying: Option<f64>,
-    /// How its pool's targets warm up, where they do.
+    /// Tokens in its prompt; 0 without a prompt.
+    pub prompt_tokens: u64,
+    /// The maximum number of tokens in its answer.
+    pub max_output_tokens: u64,
+    /// The rate at which its pool's engines copy cached prompts from each other, in tokens per
+    /// millisecond; `None` if they cannot.
+    pub copy_rate: Option<f64>,
+    /// How cold targets of its pool warm up; `None` if they need no warm-up.
     pub warm_up: Option<WarmUp>,
     /// The regions in which it may run.
     pub regions: Regions,
-    /// Parts of its prompt.
-    pub parts: Vec<PromptPart>,
-    /// When it came.
-    pub begun: Instant,
-    /// When it must have its final answer.
+    /// The parts of its prompt, for matching cached prefixes.
+    pub prompt_parts: Vec<PromptPart>,
+    /// When it was received.
+    pub received_at: Instant,
+    /// When its answer must be complete.
     pub deadline: Instant,
-    /// The configuration that it was judged by.
-    pub version: u64,
-    /// What stands for its content, once that was asked for.
+    /// The configuration version that it was routed and authorised by.
+    pub config_version: u64,
+    /// The fingerprint of its content, computed on first use.
     fingerprint: OnceLock<Fingerprint>,
 }
 
 impl Job {
-    /// `home` is the hash that the request's home is drawn by.
+    /// Returns the hash that determines the request's home target: that of the shared part of its
+    /// prompt, or of its id without one.
     #[must_use]
-    pub fn home(&self) -> u64 {
-        match self.shared().last() {
+    pub fn home_hash(&self) -> u64 {
+        match self.shared_parts().last() {
             Some(part) => part.prefix_hash,
-            None => self.own(),
+            None => self.id_hash(),
         }
     }
 
-    /// `own` is a hash of the request's id.
+    /// Returns a hash of the request's id.
     #[must_use]
-    pub fn own(&self) -> u64 {
-        hash64(ID_SEED, self.id.as_bytes())
+    pub fn id_hash(&self) -> u64 {
+        hash64(ID_HASH_SEED, self.id.as_bytes())
     }
 
-    /// `fingerprint` stands for its content, which is the same when it comes again under another id.
+    /// Returns a fingerprint of the content, which stays the same when the request is repeated
+    /// under another id.
     #[must_use]
     pub fn fingerprint(&self) -> Fingerprint {
-        // Made when it is first asked for: most requests need none.
+        // Computed lazily, since most requests need none.
         *self.fingerprint.get_or_init(|| {
             let host = self.head.headers.get(http::header::HOST);
             let path = self.head.uri.path_and_query();
@@ -119,34 +122,34 @@
         })
     }
 
-    /// `shared` are the parts of its prompt that other requests share: all but its own last one.
+    /// Returns the parts of the prompt that other requests may share: all but the last one.
     #[must_use]
-    pub fn shared(&self) -> &[PromptPart] {
-        let most = self.parts.len().saturating_sub(1);
-        &self.parts[..most]
+    pub fn shared_parts(&self) -> &[PromptPart] {
+        let shared_count = self.prompt_parts.len().saturating_sub(1);
+        &self.prompt_parts[..shared_count]
     }
 
-    /// `size` is its size in tokens.
+    /// Returns the request's size in prompt tokens, with answer tokens weighted by their cost.
     #[must_use]
-    pub fn size(&self) -> u64 {
-        if self.tokens == 0 {
-            return PLAIN_SIZE;
+    pub fn size_tokens(&self) -> u64 {
+        if self.prompt_tokens == 0 {
+            return DEFAULT_SIZE_TOKENS;
         }
-        self.tokens + self.output * OUTPUT_WEIGHT
+        self.prompt_tokens + self.max_output_tokens * OUTPUT_WEIGHT
     }
 
-    /// `judge` finds the route of a request and whether it may run.
+    /// Finds the route of a request and checks its API key.
     ///
     /// # Errors
     ///
     /// Returns the reason for which the request is refused.
-    pub fn judge(
+    pub fn from_request(
         gateway: &Gateway,
-        begun: Instant,
+        received_at: Instant,
         mut head: Parts,
         body: Bytes,
     ) -> Result<Self, Reason> {
-        let Ok(said) = call::read(&head.headers) else {
+        let Ok(call_head) = call::read(&head.headers) else {
             return Err(Reason::BadRequest);
         };
         let now = gateway.now();
@@ -162,7 +165,7 @@
                 Reason::StaleRoutes
             });
         };
-        let allowed = index.access(route, said.key.as_deref());
+        let allowed = index.access(route, call_head.key.as_deref());
         if !freshness.is_fresh(now) && !route.public && allowed != Access::Anyone {
             return Err(Reason::StaleKeys);
         }
@@ -171,35 +174,35 @@
             Access::Member(organisation) => Some(organisation),
             Access::Denied => return Err(Reason::Denied),
         };
-        let pool = route.pool(said.id.as_bytes()).ok_or(Reason::NoTarget)?;
+        let pool = route.pool(call_head.id.as_bytes()).ok_or(Reason::NoTarget)?;
         peppercrank_wire::headers::strip(&mut head.headers);
-        let wait = said.wait.unwrap_or(route.timeout).min(route.timeout);
-        let CallHead { id, prompt, .. } = said;
+        let timeout = call_head.wait.unwrap_or(route.timeout).min(route.timeout);
+        let CallHead { id, prompt, .. } = call_head;
         let prompt = prompt.unwrap_or_default();
         let settings = index.pool(pool);
-        let memory = settings.and_then(|p| p.prompt_cache);
+        let engine_memory = settings.and_then(|p| p.prompt_cache);
         Ok(Self {
             pool: Arc::clone(pool),
             kind: route.kind,
             route: Arc::clone(&route.name),
-            attempts: route.max_targets,
+            max_attempts: route.max_targets,
             goal: route.latency_goal,
-            pause: route.max_event_gap,
+            max_gap: route.max_event_gap,
             organisation: organisation.map(|o| Arc::clone(&o.name)),
             rank: index.ranks().rank(pool, route, organisation),
             pool_goal: index.ranks().shortest_goal(pool),
-            tokens: prompt.tokens,
-            output: prompt.output,
-            copying: memory.and_then(|m| m.copy_rate()),
+            prompt_tokens: prompt.tokens,
+            max_output_tokens: prompt.output,
+            copy_rate: engine_memory.and_then(|m| m.copy_rate()),
             warm_up: settings.and_then(|p| p.warm_up),
             regions: match organisation {
                 Some(organisation) => route.regions.intersection(&organisation.regions),
                 None => route.regions.clone(),
             },
-            parts: prompt.parts,
-            begun,
-            deadline: begun + wait,
-            version: index.desired().version,
+            prompt_parts: prompt.parts,
+            received_at,
+            deadline: received_at + timeout,
+            config_version: index.desired().version,
             fingerprint: OnceLock::new(),
             id,
             head,
@@ -208,7 +211,7 @@
     }
 }
 
-/// The route of a request.
+/// Returns the route that matches a request's host and path.
 fn route<'a>(index: &'a Index, head: &Parts) -> Option<&'a Route> {
     let host = head.headers.get(http::header::HOST)?.to_str().ok()?;
     index.route(host, head.uri.path())
--- a/crates/peppercrank-gateway/src/limits.rs
+++ b/crates/peppercrank-gateway/src/limits.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What callers may send and how long they may take, by the configuration in force.
+//! Limits on what callers may send and how long they may take, from the configuration in force.
 
 use std::time::Duration;
 
@@ -9,41 +9,41 @@
 use peppercrank_settings::GatewaySettings;
 use peppercrank_wire::edge::Limits;
 
-/// Time that new callers still come after SIGTERM: the balancer asks each second and drops a
-/// router after two misses.
-const STOP_IDLE: Duration = Duration::from_secs(3);
+/// Time for which new callers are still accepted after SIGTERM. The load balancer checks each
+/// second and drops a router after two failed checks.
+const ACCEPT_AFTER_STOP: Duration = Duration::from_secs(3);
 
-/// Time left at the end for the process itself.
-const LAST: Duration = Duration::from_millis(400);
+/// Time reserved for the process itself at the end of the shutdown.
+const EXIT_RESERVE: Duration = Duration::from_millis(400);
 
-/// `FIRST_BOUNDS` are the bounds on callers before a configuration was read.
-pub const FIRST_BOUNDS: CallerLimits = CallerLimits {
+/// The limits for callers before a configuration has been read.
+pub const DEFAULT_BOUNDS: CallerLimits = CallerLimits {
     head_bytes: 16_384,
     body_bytes: 4_194_304,
     head_timeout: Duration::from_secs(3),
     idle_timeout: Duration::from_secs(15),
 };
 
-/// Multiple of the idle time that callers are told; one that reuses a connection late in that
-/// time must not find it closed.
-const IDLE_SLACK: u32 = 2;
+/// Multiple of the idle time announced to callers, so that one that reuses a connection late in
+/// that time does not find it closed.
+const IDLE_FACTOR: u32 = 2;
 
-/// Part of the memory that bodies of requests may take.
-const BODIES: usize = 4;
+/// Divisor of the process's memory that gives the share for request bodies.
+const BODY_MEMORY_DIVISOR: usize = 4;
 
-/// `edge_limits` are the edge's limits by the settings and a configuration's bounds on callers.
+/// Returns the limits for callers from the settings and a configuration.
 #[must_use]
 pub fn edge_limits(settings: &GatewaySettings, bounds: CallerLimits) -> Limits {
     Limits {
         connections: settings.sockets as usize / 2,
         head: bounds.head_bytes,
         body: bounds.body_bytes,
-        bodies: (settings.memory / BODIES) as u64,
+        bodies: (settings.memory / BODY_MEMORY_DIVISOR) as u64,
         head_time: bounds.head_timeout,
         body_time: bounds.head_timeout * 2,
-        idle: bounds.idle_timeout * IDLE_SLACK,
-        stop_idle: STOP_IDLE,
-        drain: settings.stop_seconds.saturating_sub(LAST),
+        idle: bounds.idle_timeout * IDLE_FACTOR,
+        stop_idle: ACCEPT_AFTER_STOP,
+        drain: settings.stop_seconds.saturating_sub(EXIT_RESERVE),
         ..Limits::default()
     }
 }
--- a/crates/peppercrank-gateway/src/progress.rs
+++ b/crates/peppercrank-gateway/src/progress.rs
@@ -1,8 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Tells the log which requests are in progress, so that a process that is killed leaves word of
-//! them.
+//! Periodically logs the requests in progress, so that they are known if the process is killed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,20 +12,24 @@
 
 use crate::gateway::Gateway;
 
-/// Pause between lines; a request that takes longer is told of at least once.
-const EVERY: Duration = Duration::from_millis(500);
+/// Interval between lines. Any request that takes longer is logged at least once.
+const LOG_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Most requests on one line; it bounds the line to a few kilobytes.
-const MOST: usize = 200;
+/// Maximum requests per line, which limits it to a few kilobytes.
+const MAX_REQUESTS: usize = 200;
 
-/// `tell` writes the requests in progress, for ever.
-pub async fn tell(gateway: Arc<Gateway>) {
+/// Periodically logs the requests in progress.
+pub async fn log_in_progress(gateway: Arc<Gateway>) {
     loop {
-        sleep(EVERY).await;
+        sleep(LOG_INTERVAL).await;
         let (count, ids) = {
             let state = gateway.state();
-            let ids = state.open.values().take(MOST).map(String::as_str);
-            (state.open.len(), ids.collect::<Vec<_>>().join(" "))
+            let ids = state
+                .in_progress
+                .values()
+                .take(MAX_REQUESTS)
+                .map(String::as_str);
+            (state.in_progress.len(), ids.collect::<Vec<_>>().join(" "))
         };
         if count > 0 {
             let fields = [
--- a/crates/peppercrank-gateway/src/reload.rs
+++ b/crates/peppercrank-gateway/src/reload.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Reads the settings anew, on SIGHUP and when the file has changed without a signal.
+//! Reloads the settings on SIGHUP, and when the file has changed without a signal.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -17,46 +17,47 @@
 use tokio::time::sleep;
 
 use crate::gateway::Gateway;
-use crate::state::terms;
+use crate::state::retry_terms;
 
-/// Pause between looks at the file.
-const EVERY: Duration = Duration::from_secs(1);
+/// Interval between checks of the file.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// `reload` keeps the settings up to date; an invalid file leaves the last good one in force.
-pub async fn reload(
+/// Keeps the settings up to date. If the file is invalid, the last valid settings stay in force.
+pub async fn keep_settings_current(
     gateway: Arc<Gateway>,
     path: PathBuf,
     settings: watch::Sender<Arc<GatewaySettings>>,
     mut hangup: Signal,
 ) {
-    // The file may have changed since the settings in force were read, so the first look counts.
-    let mut seen = String::new();
+    // The file may have changed since the settings in force were read, so the first check always
+    // parses it.
+    let mut last_text = String::new();
     loop {
         tokio::select! {
             _ = hangup.recv() => {}
-            () = sleep(EVERY) => {}
+            () = sleep(CHECK_INTERVAL) => {}
         }
-        read(&gateway, &path, &settings, &mut seen);
+        reload_if_changed(&gateway, &path, &settings, &mut last_text);
     }
 }
 
-fn read(
+fn reload_if_changed(
     gateway: &Gateway,
     path: &Path,
     settings: &watch::Sender<Arc<GatewaySettings>>,
-    seen: &mut String,
+    last_text: &mut String,
 ) {
-    // A file that cannot be read now may be about to be replaced; the next look tells.
+    // An unreadable file may be in the process of being replaced, so wait for the next check.
     let Ok(text) = file::read(path) else {
         return;
     };
-    if text == *seen {
+    if text == *last_text {
         return;
     }
     match GatewaySettings::parse(&text) {
         Ok(new) if new == *settings.borrow().as_ref() => {}
         Ok(new) => {
-            gateway.state().budget.set_limits(terms(&new));
+            gateway.state().retry_budget.set_limits(retry_terms(&new));
             settings.send_replace(Arc::new(new));
             gateway.log.write(Event::SettingsRead, &[]);
         }
@@ -66,5 +67,5 @@
             gateway.log.write(Event::SettingsInvalid, &fields);
         }
     }
-    *seen = text;
+    *last_text = text;
 }
--- a/crates/peppercrank-gateway/src/serve.rs
+++ b/crates/peppercrank-gateway/src/serve.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Answers callers: judge, attempt, attempt again where that is allowed, answer.
+//! Answers callers: authorises a request, makes attempts, and returns the answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,13 +27,13 @@
 use peppercrank_wire::edge::refuse_body;
 
 use crate::attempt::AttemptError;
-use crate::attempt::FAILURE;
-use crate::attempt::Loss;
+use crate::attempt::CrashEvidence;
+use crate::attempt::TARGET_FAILURE;
 use crate::attempt::TargetAnswer;
 use crate::attempt::WholeAnswer;
 use crate::attempt::send;
-use crate::choose::begin;
-use crate::choose::could_begin;
+use crate::choose::can_reserve_target;
+use crate::choose::reserve_target;
 use crate::crashes;
 use crate::flight::Flight;
 use crate::gateway::Gateway;
@@ -41,76 +41,77 @@
 use crate::refuse::Reason;
 use crate::refuse::refuse;
 use crate::relay;
-use crate::state::OpenKey;
+use crate::state::InProgressKey;
 
-/// Part of the wanted time after which a repeatable request is tried elsewhere.
-const PATIENCE: f64 = 0.5;
+/// Share of the request's goal after which a repeatable request is tried elsewhere.
+const RETRY_AFTER_SHARE: f64 = 0.5;
 
-/// Multiple of the predicted time that a repeatable request waits at least.
-const SLACK: f64 = 4.0;
+/// Minimum wait before a repeatable request is tried elsewhere, as a multiple of the predicted
+/// time.
+const PREDICTION_FACTOR: f64 = 4.0;
 
-/// `answer` answers one call.
-pub async fn answer(gateway: Arc<Gateway>, call: Call) -> Reply {
-    let begun = gateway.now();
+/// Answers one call.
+pub async fn answer_call(gateway: Arc<Gateway>, call: Call) -> Reply {
+    let received_at = gateway.now();
     let body = match call.body.read().await {
         Ok(body) => body,
         Err(e) => return refuse_body(e),
     };
     let id = call::id(&call.head.headers).to_owned();
-    match Job::judge(&gateway, begun, call.head, body) {
-        Ok(job) => carry(&gateway, Arc::new(job)).await,
+    match Job::from_request(&gateway, received_at, call.head, body) {
+        Ok(job) => process(&gateway, Arc::new(job)).await,
         Err(reason) => {
-            gateway.metrics.refused(reason);
+            gateway.metrics.count_refusal(reason);
             let fields = [
                 ("request", Field::Text(&id)),
                 ("reason", Field::Text(reason.code())),
             ];
-            let fields = [&fields[..], &gateway.beliefs().fields()[..]].concat();
+            let fields = [&fields[..], &gateway.state_summary().log_fields()[..]].concat();
             gateway.log.write(Event::Refused, &fields);
             refuse(reason, MIN_RETRY_AFTER)
         }
     }
 }
 
-/// Carries a judged request to its answer.
-async fn carry(gateway: &Arc<Gateway>, job: Arc<Job>) -> Reply {
+/// Processes an authorised request until there is an answer.
+async fn process(gateway: &Arc<Gateway>, job: Arc<Job>) -> Reply {
     let now = gateway.now();
-    gateway.state().budget.record_request(now, &job.pool);
-    let mut run = Run {
-        open: Arc::new(Open::new(gateway, &job)),
+    gateway.state().retry_budget.record_request(now, &job.pool);
+    let mut request = ActiveRequest {
+        in_progress: Arc::new(InProgressGuard::new(gateway, &job)),
         gateway: Arc::clone(gateway),
-        plan: RetryPlan::new(job.kind.is_retryable(), job.attempts),
+        plan: RetryPlan::new(job.kind.is_retryable(), job.max_attempts),
         tried: Vec::new(),
-        after: MIN_RETRY_AFTER,
+        retry_after: MIN_RETRY_AFTER,
         attribution: Attribution::default(),
         failure: None,
         job,
     };
     loop {
-        if let Next::Answer(reply) = run.attempt().await {
+        if let NextStep::Answer(reply) = request.attempt().await {
             return reply;
         }
     }
 }
 
-/// `Next` is what follows an attempt.
-enum Next {
-    /// The answer.
+/// What follows an attempt.
+enum NextStep {
+    /// Return this answer.
     Answer(Reply),
-    /// Another attempt.
-    Again,
+    /// Make another attempt.
+    Retry,
 }
 
-/// `Open` counts a request as in progress until it is dropped.
+/// Counts a request as in progress until it is dropped.
 #[derive(Debug)]
-pub struct Open {
+pub struct InProgressGuard {
     gateway: Arc<Gateway>,
-    key: OpenKey,
+    key: InProgressKey,
 }
 
-impl Open {
+impl InProgressGuard {
     fn new(gateway: &Arc<Gateway>, job: &Job) -> Self {
-        let key = gateway.state().open.insert(job.id.clone());
+        let key = gateway.state().in_progress.insert(job.id.clone());
         Self {
             gateway: Arc::clone(gateway),
             key,
@@ -118,74 +119,77 @@
     }
 }
 
-impl Drop for Open {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
-        self.gateway.state().open.remove(self.key);
+        self.gateway.state().in_progress.remove(self.key);
     }
 }
 
-/// `Run` is one request over its attempts.
+/// A request and the state of its attempts.
 #[derive(Debug, Clone)]
-pub struct Run {
-    /// That it is in progress.
-    pub open: Arc<Open>,
-    /// What all tasks share.
+pub struct ActiveRequest {
+    /// Keeps the request counted as in progress.
+    pub in_progress: Arc<InProgressGuard>,
+    /// The state shared by all tasks.
     pub gateway: Arc<Gateway>,
     /// The request.
     pub job: Arc<Job>,
-    /// How far it has come.
+    /// The attempts made so far and those still allowed.
     pub plan: RetryPlan,
-    /// The targets that it was sent to.
+    /// The targets that it was sent to so far.
     pub tried: Vec<TargetKey>,
-    /// When its caller may fare better, if it is refused.
-    pub after: Duration,
-    /// The targets that answered it with a failure.
+    /// When its caller should retry if it is refused.
+    pub retry_after: Duration,
+    /// The targets that answered with a failure, until it is known what caused it.
     attribution: Attribution,
-    /// A target's failure, to pass on if nothing better comes.
+    /// A target's failure, forwarded if no attempt succeeds.
     failure: Option<WholeAnswer>,
 }
 
-impl Run {
-    async fn attempt(&mut self) -> Next {
+impl ActiveRequest {
+    async fn attempt(&mut self) -> NextStep {
         if self.gateway.now() >= self.job.deadline {
-            return Next::Answer(self.give_up(Reason::Late));
+            return NextStep::Answer(self.give_up(Reason::Late));
         }
-        if let Some(next) = self.refuse_quarantined() {
+        if let Some(next) = self.refuse_if_quarantined() {
             return next;
         }
-        let mut flight = match begin(&self.gateway, &self.job, &self.tried) {
+        let mut flight = match reserve_target(&self.gateway, &self.job, &self.tried) {
             Ok(flight) => flight,
             Err(rejection) => {
-                self.after = rejection.after;
-                return Next::Answer(self.give_up(rejection.reason));
+                self.retry_after = rejection.retry_after;
+                return NextStep::Answer(self.give_up(rejection.reason));
             }
         };
-        self.tried.push(flight.counted.choice.key);
-        let until = self.patience(&flight);
-        let sent = send(&self.gateway, &self.job, &mut flight, until, None).await;
-        match sent {
-            Ok(answer) => self.take(flight, answer),
-            Err(error) => self.miss(&flight, error).await,
+        self.tried.push(flight.in_flight.choice.key);
+        let first_part_deadline = self.first_part_deadline(&flight);
+        let result = send(&self.gateway, &self.job, &mut flight,
+            first_part_deadline, None,).await;
+        match result {
+            Ok(answer) => self.handle_answer(flight, answer),
+            Err(error) => self.handle_error(&flight, error).await,
         }
     }
 
-    /// Refuses the request where it is kept from targets.
-    fn refuse_quarantined(&mut self) -> Option<Next> {
-        self.after = crashes::refuses(&self.gateway, &self.job)?;
-        Some(Next::Answer(self.give_up(Reason::CrashesTargets)))
+    /// Refuses the request if it is quarantined.
+    fn refuse_if_quarantined(&mut self) -> Option<NextStep> {
+        self.retry_after = crashes::quarantine_delay(&self.gateway, &self.job)?;
+        Some(NextStep::Answer(self.give_up(Reason::CrashesTargets)))
     }
 
-    /// `lost` notes how an attempt was lost, where its target may have ended under the request.
-    pub async fn lost(&self, flight: &Flight, loss: Loss) {
-        match loss {
-            Loss::Other => {}
-            Loss::BrokenOff => crashes::broke_off(&self.gateway, &self.job, flight).await,
-            Loss::StartedAgain => crashes::started_again(&self.gateway, &self.job, flight),
+    /// Handles a lost attempt that may indicate a crash of its target.
+    pub async fn record_loss(&self, flight: &Flight, crash_evidence: CrashEvidence) {
+        match crash_evidence {
+            CrashEvidence::None => {}
+            CrashEvidence::ConnectionLost => { crashes::check_for_crash(&self.gateway, &self.job, flight).await;
+            }
+            CrashEvidence::TargetRestarted => { crashes::record_restart(&self.gateway, &self.job, flight);
+            }
         }
     }
 
-    /// `cleared` notes that a target served the request whole.
-    pub fn cleared(&self) {
+    /// Records that a target served the complete request, which clears it of suspected crashes.
+    pub fn record_served(&self) {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
         if !state.quarantine.is_empty() {
@@ -193,36 +197,36 @@
         }
     }
 
-    /// `patience` is how long this attempt may take to its answer's first part.
+    /// Returns until when this attempt may take to produce the first part of its answer.
     #[must_use]
-    pub fn patience(&self, flight: &Flight) -> Instant {
-        let more = self.job.kind.is_retryable() && self.plan.sends() + 1 < self.job.attempts;
-        // An attempt that nothing may follow is waited for: its answer may still come.
-        if !more || !self.could_repeat() {
+    pub fn first_part_deadline(&self, flight: &Flight) -> Instant {
+        let may_retry = self.job.kind.is_retryable() && self.plan.sends() + 1 < self.job.max_attempts;
+        // The last attempt gets all remaining time, as its answer may still arrive.
+        if !may_retry || !self.can_retry() {
             return self.job.deadline;
         }
-        let wanted = self.job.goal.mul_f64(PATIENCE);
+        let wanted = self.job.goal.mul_f64(RETRY_AFTER_SHARE);
         let predicted =
-            Duration::from_secs_f64(flight.counted.choice.predicted_first_ms.max(0.0) * SLACK / 1_000.0,);
-        (flight.counted.sent_at + wanted.max(predicted)).min(self.job.deadline)
+            Duration::from_secs_f64(flight.in_flight.choice.predicted_first_ms.max(0.0) * PREDICTION_FACTOR / 1_000.0,);
+        (flight.in_flight.sent_at + wanted.max(predicted)).min(self.job.deadline)
     }
 
-    /// Takes a target's answer: passes it on, or tries elsewhere after a failure.
-    fn take(&mut self, flight: Flight, answer: TargetAnswer) -> Next {
+    /// Forwards a target's answer, or tries another target after a failure.
+    fn handle_answer(&mut self, flight: Flight, answer: TargetAnswer) -> NextStep {
         match answer {
             TargetAnswer::Whole(whole) => {
-                self.settle(RequestEnd::Served);
-                self.cleared();
-                self.gateway.metrics.answered(self.job.kind, self.held());
-                self.done(&flight, whole.status, self.held());
-                Next::Answer(whole_reply(whole))
+                self.settle_failures(RequestEnd::Served);
+                self.record_served();
+                self.gateway.metrics.observe_answer(self.job.kind, self.elapsed());
+                self.log_answered(&flight, whole.status, self.elapsed());
+                NextStep::Answer(whole_reply(whole))
             }
             TargetAnswer::Failure(whole) => {
                 self.attribution.add_suspect(flight.suspect());
-                self.note(&flight, FAILURE);
+                self.log_failed_attempt(&flight, TARGET_FAILURE);
                 let after = self.plan.record_attempt(ExecutionState::Failed);
                 self.failure = Some(whole);
-                self.follow(after, Reason::Failed)
+                self.retry_or_give_up(after, Reason::Failed)
             }
             TargetAnswer::Stream {
                 status,
@@ -230,84 +234,84 @@
                 first,
                 rest,
             } => {
-                self.settle(RequestEnd::Served);
-                self.gateway.metrics.answered(self.job.kind, self.held());
+                self.settle_failures(RequestEnd::Served);
+                self.gateway.metrics.observe_answer(self.job.kind, self.elapsed());
                 let body = relay::start(self, flight, first, rest);
-                Next::Answer(reply(status, headers, body))
+                NextStep::Answer(reply(status, headers, body))
             }
         }
     }
 
-    /// Counts the failures that targets answered at those against which they speak.
-    fn settle(&mut self, end: RequestEnd) {
+    /// Counts answered failures against the targets that are responsible for them.
+    fn settle_failures(&mut self, end: RequestEnd) {
         for suspect in self.attribution.resolve(end) {
             self.gateway.count_failure(&suspect);
         }
     }
 
-    /// Follows up an attempt that gave no answer.
-    async fn miss(&mut self, flight: &Flight, error: AttemptError) -> Next {
-        self.note(flight, error.what);
-        self.lost(flight, error.loss).await;
+    /// Handles an attempt that produced no answer.
+    async fn handle_error(&mut self, flight: &Flight, error: AttemptError) -> NextStep {
+        self.log_failed_attempt(flight, error.cause);
+        self.record_loss(flight, error.crash_evidence).await;
         let after = self.plan.record_attempt(error.execution);
-        // Before it takes a repeat from the fleet's budget.
-        if let Some(next) = self.refuse_quarantined() {
+        // Checked before a retry is taken from the fleet's budget.
+        if let Some(next) = self.refuse_if_quarantined() {
             return next;
         }
         let reason = match error.execution {
             ExecutionState::NotSent | ExecutionState::NotRun => Reason::Refused,
             ExecutionState::Unknown | ExecutionState::Failed => Reason::Failed,
         };
-        self.follow(after, reason)
+        self.retry_or_give_up(after, reason)
     }
 
-    fn follow(&mut self, after: NextStep, reason: Reason) -> Next {
+    fn retry_or_give_up(&mut self, after: NextStep, reason: Reason) -> NextStep {
         match after {
-            NextStep::Retry => Next::Again,
-            NextStep::RetryWithinBudget if self.may_repeat() => Next::Again,
+            NextStep::Retry => NextStep::Retry,
+            NextStep::RetryWithinBudget if self.spend_retry() => NextStep::Retry,
             NextStep::RetryWithinBudget | NextStep::Refuse | NextStep::Fail => {
-                Next::Answer(self.give_up(reason))
+                NextStep::Answer(self.give_up(reason))
             }
         }
     }
 
-    /// Whether a repeat is worth while and the fleet's budget has one: where all targets of the pool are
-    /// slow by their load, another one would be no faster.
-    fn could_repeat(&self) -> bool {
+    /// Returns whether a retry is useful and the fleet's budget allows it. When all targets of the
+    /// pool are slow under load, another one would not be faster.
+    fn can_retry(&self) -> bool {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
         let admission = state.admission.get(&self.job.pool);
         if admission.is_some_and(Admission::is_overloaded) {
             return false;
         }
-        let routers = state.sharers(now);
-        state.budget.can_spend(now, &self.job.pool, routers)
+        let routers = state.router_count(now);
+        state.retry_budget.can_spend(now, &self.job.pool, routers)
     }
 
-    /// `could_go_on` tells whether another run may go on where this one is given up.
+    /// Returns whether another target could take over if the current attempt were abandoned.
     #[must_use]
-    pub fn could_go_on(&self) -> bool {
+    pub fn can_fail_over(&self) -> bool {
         let mut plan = self.plan;
-        let may = plan.record_attempt(ExecutionState::Unknown) == NextStep::RetryWithinBudget;
-        may && self.could_repeat() && could_begin(&self.gateway, &self.job, &self.tried)
+        let retry_allowed = plan.record_attempt(ExecutionState::Unknown) == NextStep::RetryWithinBudget;
+        retry_allowed && self.can_retry() && can_reserve_target(&self.gateway, &self.job, &self.tried)
     }
 
-    /// `may_repeat` takes a repeat from the fleet's budget, if it has one.
-    pub fn may_repeat(&self) -> bool {
+    /// Takes a retry from the fleet's budget, and returns whether there was one.
+    pub fn spend_retry(&self) -> bool {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
-        let routers = state.sharers(now);
-        let may = state.budget.try_spend(now, &self.job.pool, routers);
+        let routers = state.router_count(now);
+        let allowed = state.retry_budget.try_spend(now, &self.job.pool, routers);
         drop(state);
-        self.gateway.metrics.repeated(may);
-        may
+        self.gateway.metrics.count_retry(allowed);
+        allowed
     }
 
-    /// Ends the request with the best answer that there is.
+    /// Ends the request with the best available answer.
     fn give_up(&mut self, reason: Reason) -> Reply {
-        self.settle(RequestEnd::Failed);
+        self.settle_failures(RequestEnd::Failed);
         if let Some(whole) = self.failure.take() {
-            self.passed_on(whole.status);
+            self.log_forwarded_failure(whole.status);
             return whole_reply(whole);
         }
         let late = self.gateway.now() >= self.job.deadline;
@@ -317,55 +321,55 @@
             (false, true) => Reason::Late,
             (false, false) => reason,
         };
-        self.gateway.metrics.refused(reason);
+        self.gateway.metrics.count_refusal(reason);
         let fields = [
             ("request", Field::Text(&self.job.id)),
             ("route", Field::Text(&self.job.route)),
             ("reason", Field::Text(reason.code())),
             ("attempts", Field::Number(u64::from(self.plan.sends()))),
-            ("judged_by", Field::Number(self.job.version)),
-            ("held_ms", Field::Millis(self.held())),
+            ("judged_by", Field::Number(self.job.config_version)),
+            ("held_ms", Field::Millis(self.elapsed())),
         ];
-        let mut fields = [&fields[..], &self.gateway.beliefs().fields()[..]].concat();
-        // Made for these alone: a flood is refused by the thousand.
+        let mut fields = [&fields[..], &self.gateway.state_summary().log_fields()[..]].concat();
+        // Computed for quarantined requests only, since a flood is refused in large numbers.
         let quarantined = reason == Reason::CrashesTargets;
         let content = quarantined.then(|| self.job.fingerprint().to_string());
         if let Some(content) = &content {
             fields.push(("content", Field::Text(content)));
         }
         self.gateway.log.write(Event::Refused, &fields);
-        refuse(reason, self.after)
+        refuse(reason, self.retry_after)
     }
 
-    /// Notes a target's failure that is passed on.
-    fn passed_on(&self, status: StatusCode) {
+    /// Logs that a target's failure is forwarded.
+    fn log_forwarded_failure(&self, status: StatusCode) {
         let fields = [
             ("request", Field::Text(&self.job.id)),
             ("route", Field::Text(&self.job.route)),
             ("status", Field::Number(u64::from(status.as_u16()))),
             ("attempts", Field::Number(u64::from(self.plan.sends()))),
-            ("version", Field::Number(self.job.version)),
-            ("held_ms", Field::Millis(self.held())),
+            ("version", Field::Number(self.job.config_version)),
+            ("held_ms", Field::Millis(self.elapsed())),
         ];
         self.gateway.log.write(Event::Answered, &fields);
     }
 
-    /// `held` is how long the request has been here.
+    /// Returns the time since the request was received.
     #[must_use]
-    pub fn held(&self) -> Duration {
-        self.gateway.now().since(self.job.begun)
+    pub fn elapsed(&self) -> Duration {
+        self.gateway.now().since(self.job.received_at)
     }
 
-    /// Notes an attempt that gave nothing.
-    pub fn note(&self, flight: &Flight, what: &'static str) {
-        self.gateway.metrics.missed(what);
+    /// Counts and logs an attempt that produced no usable answer.
+    pub fn log_failed_attempt(&self, flight: &Flight, cause: &'static str) {
+        self.gateway.metrics.count_failed_attempt(cause);
         let content = self.job.fingerprint().to_string();
         let fields = [
             ("request", Field::Text(&self.job.id)),
             ("content", Field::Text(&content)),
             ("attempt", Field::Number(u64::from(self.plan.sends()))),
             ("target", Field::Text(&flight.instance)),
-            ("what", Field::Text(what)),
+            ("what", Field::Text(cause)),
             ("leaving", Field::Number(u64::from(flight.notice.leaving))),
             (
                 "pause_ms",
@@ -373,51 +377,52 @@
             ),
             (
                 "predicted_ms",
-                Field::Number(whole(flight.counted.choice.predicted_first_ms)),
+                Field::Number(whole_millis(flight.in_flight.choice.predicted_first_ms)),
             ),
-            ("held_ms", Field::Millis(self.held())),
+            ("held_ms", Field::Millis(self.elapsed())),
         ];
         self.gateway.log.write(Event::AttemptFailed, &fields);
     }
 
-    /// `done` notes an answer that was passed on to its end, and when its first part came.
-    pub fn done(&self, flight: &Flight, status: StatusCode, first: Duration) {
+    /// Logs an answer that was forwarded completely. `first_part_after` is the time to its first
+    /// part.
+    pub fn log_answered(&self, flight: &Flight, status: StatusCode, first_part_after: Duration) {
         let fields = [
             ("request", Field::Text(&self.job.id)),
             ("route", Field::Text(&self.job.route)),
             ("target", Field::Text(&flight.instance)),
             ("status", Field::Number(u64::from(status.as_u16()))),
             ("attempts", Field::Number(u64::from(self.plan.sends()) + 1)),
-            ("version", Field::Number(self.job.version)),
-            ("reading", Field::Number(flight.counted.choice.prefill_tokens),),
+            ("version", Field::Number(self.job.config_version)),
+            ("reading", Field::Number(flight.in_flight.choice.prefill_tokens),),
             (
                 "copy",
-                Field::Number(flight.counted.choice.copy.map_or(0, |(_, tokens)| tokens)),
+                Field::Number(flight.in_flight.choice.copy.map_or(0, |(_, tokens)| tokens)),
             ),
             (
                 "unknown",
-                Field::Number(u64::from(flight.counted.choice.holder_unknown)),
+                Field::Number(u64::from(flight.in_flight.choice.holder_unknown)),
             ),
-            ("home", Field::Number(u64::from(flight.counted.choice.is_home)),),
+            ("home", Field::Number(u64::from(flight.in_flight.choice.is_home)),),
             (
                 "predicted_ms",
-                Field::Number(whole(flight.counted.choice.predicted_first_ms)),
+                Field::Number(whole_millis(flight.in_flight.choice.predicted_first_ms)),
             ),
             ("leaving", Field::Number(u64::from(flight.notice.leaving))),
-            ("first_ms", Field::Millis(first)),
-            ("held_ms", Field::Millis(self.held())),
+            ("first_ms", Field::Millis(first_part_after)),
+            ("held_ms", Field::Millis(self.elapsed())),
         ];
         self.gateway.log.write(Event::Answered, &fields);
     }
 }
 
-/// A prediction in whole milliseconds.
+/// Converts a prediction to whole milliseconds.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "a prediction is not negative, and a log line needs no more"
 )]
-fn whole(millis: f64) -> u64 {
+fn whole_millis(millis: f64) -> u64 {
     millis as u64
 }
 
