--- a/crates/peppercrank-gateway/src/attempt.rs
+++ b/crates/peppercrank-gateway/src/attempt.rs
@@ -15,9 +15,9 @@
 use peppercrank_direct::desired::RouteKind;
 use peppercrank_direct::retries::ExecutionState;
 use peppercrank_platform::answer;
-use peppercrank_platform::answer::Kind;
+use peppercrank_platform::answer::AnswerKind;
 use peppercrank_platform::call;
-use peppercrank_platform::call::Sent;
+use peppercrank_platform::call::RouterHeaders;
 use peppercrank_wire::body;
 use peppercrank_wire::client::Answer;
 use peppercrank_wire::client::AnswerBody;
@@ -195,8 +195,8 @@
     last_event: Option<&str>,
 ) -> Request<body::Body> {
     let left = job.deadline.since(gateway.now());
-    let sent = Sent {
-        wait: left,
+    let sent = RouterHeaders {
+        timeout: left,
         instance: &flight.instance,
         organisation: job.organisation.as_deref(),
         rank: job.rank,
@@ -220,13 +220,13 @@
     let (head, mut body) = answer.into_parts();
     let mut headers = head.headers;
     let status = head.status;
-    let said = answer::read(status, &headers, &job.id);
-    if let Some(load) = said.load.filter(|_| said.kind != Kind::Foreign) {
+    let said = answer::parse(status, &headers, &job.id);
+    if let Some(load) = said.load.filter(|_| said.kind != AnswerKind::Unverified) {
         flight.told(load);
     }
     flight.noticed(said.notice);
     match said.kind {
-        Kind::NotRun => {
+        AnswerKind::NotRun => {
             drain(body).await;
             return Err(AttemptError::new(
                 ExecutionState::NotRun,
@@ -234,7 +234,7 @@
                 false,
             ));
         }
-        Kind::OtherInstance => {
+        AnswerKind::OtherInstance => {
             flight.lost();
             drain(body).await;
             return Err(AttemptError::new(
@@ -243,15 +243,15 @@
                 true,
             ));
         }
-        Kind::Foreign => {
+        AnswerKind::Unverified => {
             return Err(AttemptError::unknown("foreign answer"));
         }
-        Kind::Success | Kind::Failure => {}
+        AnswerKind::Success | AnswerKind::Failure => {}
     }
     peppercrank_wire::headers::strip(&mut headers);
-    answer::pass_on(&mut headers);
+    answer::strip_router_headers(&mut headers);
     let cut = AttemptError::broken_off("answer cut");
-    if said.kind == Kind::Success && matches!(job.kind, RouteKind::Stream { .. }) {
+    if said.kind == AnswerKind::Success && matches!(job.kind, RouteKind::Stream { .. }) {
         let first = next(&mut body).await.map_err(|()| cut)?;
         flight.first();
         return Ok(TargetAnswer::Stream {
--- a/crates/peppercrank-gateway/src/follow.rs
+++ b/crates/peppercrank-gateway/src/follow.rs
@@ -21,8 +21,8 @@
 use peppercrank_platform::store;
 use peppercrank_platform::store::Changes;
 use peppercrank_platform::store::Entry;
+use peppercrank_platform::store::EntryKind;
 use peppercrank_platform::store::Event;
-use peppercrank_platform::store::Kind;
 use tokio::time::sleep;
 use tokio::time::timeout;
 
@@ -60,7 +60,7 @@
     gateway: Arc<Gateway>,
     store: Store,
     role: Role,
-    kind: Kind,
+    kind: EntryKind,
     outage: Outage,
     /// Tells when the store is away or back.
     outages: OutageListener,
@@ -149,7 +149,7 @@
 
     /// What to ask the store for.
     fn reading(&self) -> Reading {
-        if self.kind == Kind::Configuration {
+        if self.kind == EntryKind::Configuration {
             let now = self.gateway.now();
             let state = self.gateway.state();
             return state.catch_up.reading(state.freshness.age(now));
@@ -163,8 +163,10 @@
     /// The revision up to which the kind is known; of the configuration, to either of its followers.
     fn known(&self) -> Option<u64> {
         match self.kind {
-            Kind::Configuration => self.gateway.state().catch_up.known(),
-            Kind::Targets | Kind::Routers | Kind::Evacuations => self.intake.revision,
+            EntryKind::Configuration => self.gateway.state().catch_up.known(),
+            EntryKind::Targets | EntryKind::Routers | EntryKind::Evacuations => {
+                self.intake.revision
+            }
         }
     }
 
@@ -178,10 +180,10 @@
             Turn::More => sleep(GATHER).await,
             Turn::Relist => {
                 self.intake.revision = None;
-                if self.kind == Kind::Configuration {
+                if self.kind == EntryKind::Configuration {
                     self.gateway.state().catch_up.forget();
                 }
-                let fields = [("kind", Field::Text(self.kind.word()))];
+                let fields = [("kind", Field::Text(self.kind.as_str()))];
                 self.gateway.log.write(LogEvent::Relisted, &fields);
             }
             Turn::Failed(what) => {
@@ -212,12 +214,12 @@
         let mut after = None;
         let mut first = None;
         loop {
-            let path = store::list(self.kind, after.as_deref());
+            let path = store::list_path(self.kind, after.as_deref());
             let body = match self.call(&path, Duration::ZERO).await {
                 Ok(body) => body,
                 Err(turn) => return turn,
             };
-            let Ok(page) = store::read_page(self.kind, &body) else {
+            let Ok(page) = store::parse_page(self.kind, &body) else {
                 return Turn::Failed("malformed list");
             };
             self.truncation.listed(body.len());
@@ -240,7 +242,7 @@
     /// Takes in the whole list, which shows at least this revision.
     fn take_list(&mut self, asked: Moment, revision: u64, entries: Vec<Entry>) -> Turn {
         self.back();
-        if self.kind == Kind::Configuration {
+        if self.kind == EntryKind::Configuration {
             let events = entries.into_iter().map(Event::Put).collect();
             let changes = Changes { events, revision };
             let proof = self.intake.configure(asked, Reading::Snapshot, changes);
@@ -254,16 +256,16 @@
     async fn watch(&mut self, revision: u64) -> Turn {
         let wait = self.role.wait();
         let asked = self.gateway.now();
-        let path = store::watch(self.kind, revision, wait);
+        let path = store::watch_path(self.kind, revision, wait);
         let body = match self.call(&path, wait).await {
             Ok(body) => body,
             Err(turn) => return turn,
         };
-        let Ok(changes) = store::read_changes(self.kind, &body) else {
+        let Ok(changes) = store::parse_changes(self.kind, &body) else {
             return Turn::Failed("malformed changes");
         };
         self.back();
-        if self.kind == Kind::Configuration {
+        if self.kind == EntryKind::Configuration {
             let reading = Reading::Changes(revision);
             let proof = self.intake.configure(asked, reading, changes);
             return self.proven(proof);
@@ -309,7 +311,9 @@
             Ok(answer) => self.store.finish(answer).await,
             Err(outcome) => outcome,
         };
-        self.gateway.metrics.called(self.kind.word(), ended.code());
+        self.gateway
+            .metrics
+            .called(self.kind.as_str(), ended.code());
         self.note(wait, asked, &ended);
         match self.gateway.hear_era(era, asked_in) {
             Told::Same => {}
@@ -337,7 +341,7 @@
             _ => 0,
         };
         let empty = matches!(ended, Ended::Done(_)) && bytes < NO_CHANGES;
-        if self.kind != Kind::Configuration || empty {
+        if self.kind != EntryKind::Configuration || empty {
             return;
         }
         let fields = [
@@ -377,10 +381,12 @@
 }
 
 /// Returns when another router knows of other evacuations than this one.
-async fn doubted(gateway: &Gateway, kind: Kind) {
+async fn doubted(gateway: &Gateway, kind: EntryKind) {
     match kind {
-        Kind::Evacuations => gateway.evacuations_doubted.notified().await,
-        Kind::Configuration | Kind::Targets | Kind::Routers => std::future::pending().await,
+        EntryKind::Evacuations => gateway.evacuations_doubted.notified().await,
+        EntryKind::Configuration | EntryKind::Targets | EntryKind::Routers => {
+            std::future::pending().await
+        }
     }
 }
 
--- a/crates/peppercrank-gateway/src/job.rs
+++ b/crates/peppercrank-gateway/src/job.rs
@@ -22,7 +22,7 @@
 use peppercrank_direct::regions::Regions;
 use peppercrank_direct::warm_up::WarmUp;
 use peppercrank_platform::call;
-use peppercrank_platform::call::CallHead;
+use peppercrank_platform::call::RequestHead;
 
 use crate::gateway::Gateway;
 use crate::refuse::Reason;
@@ -146,7 +146,7 @@
         mut head: Parts,
         body: Bytes,
     ) -> Result<Self, Reason> {
-        let Ok(said) = call::read(&head.headers) else {
+        let Ok(said) = call::parse(&head.headers) else {
             return Err(Reason::BadRequest);
         };
         let now = gateway.now();
@@ -173,8 +173,8 @@
         };
         let pool = route.pool(said.id.as_bytes()).ok_or(Reason::NoTarget)?;
         peppercrank_wire::headers::strip(&mut head.headers);
-        let wait = said.wait.unwrap_or(route.timeout).min(route.timeout);
-        let CallHead { id, prompt, .. } = said;
+        let wait = said.timeout.unwrap_or(route.timeout).min(route.timeout);
+        let RequestHead { id, prompt, .. } = said;
         let prompt = prompt.unwrap_or_default();
         let settings = index.pool(pool);
         let memory = settings.and_then(|p| p.memory);
@@ -189,7 +189,7 @@
             rank: index.ranks().rank(pool, route, organisation),
             pool_goal: index.ranks().goal(pool),
             tokens: prompt.tokens,
-            output: prompt.output,
+            output: prompt.max_output_tokens,
             copying: memory.and_then(|m| m.copying()),
             warm_up: settings.and_then(|p| p.warm_up),
             regions: match organisation {
--- a/crates/peppercrank-gateway/src/role.rs
+++ b/crates/peppercrank-gateway/src/role.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peppercrank_platform::store::Kind;
+use peppercrank_platform::store::EntryKind;
 
 use crate::confirm::Confirmer;
 
@@ -76,12 +76,12 @@
 impl Role {
     /// `kind` is the kind of entries that it follows.
     #[must_use]
-    pub const fn kind(&self) -> Kind {
+    pub const fn kind(&self) -> EntryKind {
         match self {
-            Self::Targets => Kind::Targets,
-            Self::Routers => Kind::Routers,
-            Self::Evacuations(_) => Kind::Evacuations,
-            Self::Watches(_) | Self::Confirms(_) => Kind::Configuration,
+            Self::Targets => EntryKind::Targets,
+            Self::Routers => EntryKind::Routers,
+            Self::Evacuations(_) => EntryKind::Evacuations,
+            Self::Watches(_) | Self::Confirms(_) => EntryKind::Configuration,
         }
     }
 
--- a/crates/peppercrank-gateway/src/serve.rs
+++ b/crates/peppercrank-gateway/src/serve.rs
@@ -56,7 +56,7 @@
         Ok(body) => body,
         Err(e) => return refuse_body(e),
     };
-    let id = call::id(&call.head.headers).to_owned();
+    let id = call::request_id(&call.head.headers).to_owned();
     match Job::judge(&gateway, begun, call.head, body) {
         Ok(job) => carry(&gateway, Arc::new(job)).await,
         Err(reason) => {
