--- a/crates/peppercrank-cli/src/verbs/local.rs
+++ b/crates/peppercrank-cli/src/verbs/local.rs
@@ -84,7 +84,7 @@
 
 impl Plan {
     fn of(flags: &flags::Local) -> Self {
-        let direct::Plan {
+        let direct::LocalOptions {
             port,
             routers,
             engines,
--- a/crates/peppercrank-cli/src/verbs/local/direct.rs
+++ b/crates/peppercrank-cli/src/verbs/local/direct.rs
@@ -5,7 +5,7 @@
 
 use std::io::Write;
 
-use peppercrank_local::Local;
+use peppercrank_local::LocalFleet;
 use peppercrank_wire::stop;
 use serde_json::json;
 use tokio::runtime::Runtime;
@@ -20,7 +20,7 @@
 use crate::verbs::daemon;
 use crate::words::Form;
 
-pub(super) use peppercrank_local::Plan;
+pub(super) use peppercrank_local::LocalOptions;
 
 /// Port of the first router, unless set.
 const DEFAULT_PORT: u16 = 8_080;
@@ -29,9 +29,9 @@
 const MOST: u16 = 64;
 
 /// How many of each part the flags ask for, and where.
-pub(super) fn plan(flags: &flags::Local) -> Plan {
+pub(super) fn plan(flags: &flags::Local) -> LocalOptions {
     let some = |count: Option<u16>, default: u16| count.unwrap_or(default).min(MOST);
-    Plan {
+    LocalOptions {
         port: flags.port.unwrap_or(DEFAULT_PORT),
         routers: some(flags.routers, 2).max(1),
         engines: some(flags.engines, 3),
@@ -47,7 +47,7 @@
     let runtime = Runtime::new().map_err(Error::Process)?;
     let (signal, mut signalled) = stop::stop();
     daemon::on_signal(signal)?;
-    let started = runtime.block_on(Local::start(&plan(flags)));
+    let started = runtime.block_on(LocalFleet::start(&plan(flags)));
     let local = started.map_err(|e| Error::Daemon(e.into()))?;
     let told = writeln!(out, "{}", show(&local, access.form)).and_then(|()| out.flush());
     told.map_err(Error::Output)?;
@@ -57,7 +57,7 @@
             Some(span) => drop(timeout(span.0, signalled.wait()).await),
             None => signalled.wait().await,
         }
-        local.end().await
+        local.shutdown().await
     });
     ended.map_err(|e| Error::Daemon(e.into()))?;
     Ok(Report::done(
@@ -67,8 +67,8 @@
 }
 
 /// Tells where each part is.
-fn show(local: &Local, form: Form) -> String {
-    let (store, routers) = (local.store(), local.routers());
+fn show(local: &LocalFleet, form: Form) -> String {
+    let (store, routers) = (local.store_address(), local.router_addresses());
     match form {
         Form::Json => {
             let targets = local.targets().iter();
--- a/crates/peppercrank-gateway/src/follow.rs
+++ b/crates/peppercrank-gateway/src/follow.rs
@@ -21,8 +21,8 @@
 use peppercrank_platform::store;
 use peppercrank_platform::store::Changes;
 use peppercrank_platform::store::Entry;
-use peppercrank_platform::store::EntryKind;
 use peppercrank_platform::store::Event;
+use peppercrank_platform::store::Kind;
 use tokio::time::sleep;
 use tokio::time::timeout;
 
@@ -60,7 +60,7 @@
     gateway: Arc<Gateway>,
     store: Store,
     role: Role,
-    kind: EntryKind,
+    kind: Kind,
     outage: Outage,
     /// Tells when the store is away or back.
     outages: OutageListener,
@@ -149,7 +149,7 @@
 
     /// What to ask the store for.
     fn reading(&self) -> Reading {
-        if self.kind == EntryKind::Configuration {
+        if self.kind == Kind::Configuration {
             let now = self.gateway.now();
             let state = self.gateway.state();
             return state.catch_up.reading(state.freshness.age(now));
@@ -163,10 +163,8 @@
     /// The revision up to which the kind is known; of the configuration, to either of its followers.
     fn known(&self) -> Option<u64> {
         match self.kind {
-            EntryKind::Configuration => self.gateway.state().catch_up.known(),
-            EntryKind::Targets | EntryKind::Routers | EntryKind::Evacuations => {
-                self.intake.revision
-            }
+            Kind::Configuration => self.gateway.state().catch_up.known(),
+            Kind::Targets | Kind::Routers | Kind::Evacuations => self.intake.revision,
         }
     }
 
@@ -180,7 +178,7 @@
             Turn::More => sleep(GATHER).await,
             Turn::Relist => {
                 self.intake.revision = None;
-                if self.kind == EntryKind::Configuration {
+                if self.kind == Kind::Configuration {
                     self.gateway.state().catch_up.forget();
                 }
                 let fields = [("kind", Field::Text(self.kind.as_str()))];
@@ -242,7 +240,7 @@
     /// Takes in the whole list, which shows at least this revision.
     fn take_list(&mut self, asked: Moment, revision: u64, entries: Vec<Entry>) -> Turn {
         self.back();
-        if self.kind == EntryKind::Configuration {
+        if self.kind == Kind::Configuration {
             let events = entries.into_iter().map(Event::Put).collect();
             let changes = Changes { events, revision };
             let proof = self.intake.configure(asked, Reading::Snapshot, changes);
@@ -265,7 +263,7 @@
             return Turn::Failed("malformed changes");
         };
         self.back();
-        if self.kind == EntryKind::Configuration {
+        if self.kind == Kind::Configuration {
             let reading = Reading::Changes(revision);
             let proof = self.intake.configure(asked, reading, changes);
             return self.proven(proof);
@@ -341,7 +339,7 @@
             _ => 0,
         };
         let empty = matches!(ended, Ended::Done(_)) && bytes < NO_CHANGES;
-        if self.kind != EntryKind::Configuration || empty {
+        if self.kind != Kind::Configuration || empty {
             return;
         }
         let fields = [
@@ -381,12 +379,10 @@
 }
 
 /// Returns when another router knows of other evacuations than this one.
-async fn doubted(gateway: &Gateway, kind: EntryKind) {
+async fn doubted(gateway: &Gateway, kind: Kind) {
     match kind {
-        EntryKind::Evacuations => gateway.evacuations_doubted.notified().await,
-        EntryKind::Configuration | EntryKind::Targets | EntryKind::Routers => {
-            std::future::pending().await
-        }
+        Kind::Evacuations => gateway.evacuations_doubted.notified().await,
+        Kind::Configuration | Kind::Targets | Kind::Routers => std::future::pending().await,
     }
 }
 
--- a/crates/peppercrank-gateway/src/intake.rs
+++ b/crates/peppercrank-gateway/src/intake.rs
@@ -18,8 +18,8 @@
 use peppercrank_platform::router::RouterEntry;
 use peppercrank_platform::store::Changes;
 use peppercrank_platform::store::Entry;
-use peppercrank_platform::store::EntryKind;
 use peppercrank_platform::store::Event;
+use peppercrank_platform::store::Kind;
 
 use crate::evacuations;
 use crate::gateway::Gateway;
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct Intake {
     gateway: Arc<Gateway>,
-    kind: EntryKind,
+    kind: Kind,
     /// The revision of the store that told the newest entries.
     pub revision: Option<u64>,
     /// Whether the whole list was taken in before.
@@ -46,7 +46,7 @@
 impl Intake {
     /// `new` takes entries of a kind in.
     #[must_use]
-    pub fn new(gateway: &Arc<Gateway>, kind: EntryKind) -> Self {
+    pub fn new(gateway: &Arc<Gateway>, kind: Kind) -> Self {
         Self {
             gateway: Arc::clone(gateway),
             kind,
@@ -60,8 +60,8 @@
     pub fn replace(&mut self, asked: Moment, entries: Vec<Entry>) {
         self.lines = 0;
         match self.kind {
-            EntryKind::Configuration => {}
-            EntryKind::Targets => {
+            Kind::Configuration => {}
+            Kind::Targets => {
                 let listed = entries.into_iter().filter_map(|e| self.target(e));
                 let listed = listed.collect();
                 let now = self.gateway.now();
@@ -71,7 +71,7 @@
                 drop(state);
                 targets::note(&self.gateway, noted, self.revision);
             }
-            EntryKind::Routers => {
+            Kind::Routers => {
                 let own = self.gateway.settings().name.clone();
                 let named = |e: &Entry| matches!(e, Entry::Router(r) if *r.name == *own);
                 // The first list may be older than this router's own first entry.
@@ -88,7 +88,7 @@
                     self.gateway.routers_listed.notify_one();
                 }
             }
-            EntryKind::Evacuations => {
+            Kind::Evacuations => {
                 let zones = entries.into_iter().filter_map(|e| self.zone(e));
                 let zones = zones.collect::<Vec<_>>();
                 let now = self.gateway.now();
@@ -104,15 +104,15 @@
     pub fn apply(&mut self, asked: Moment, events: Vec<Event>) {
         self.lines = 0;
         match self.kind {
-            EntryKind::Configuration => {}
-            EntryKind::Targets => {
+            Kind::Configuration => {}
+            Kind::Targets => {
                 let now = self.gateway.now();
                 self.gateway.state().gate.heard(now);
                 for event in events {
                     self.change(event);
                 }
             }
-            EntryKind::Routers => {
+            Kind::Routers => {
                 for event in events {
                     match event {
                         Event::Put(entry) => self.router(entry),
@@ -127,7 +127,7 @@
                 let own = self.gateway.settings().name.clone();
                 self.gateway.state().routers_changed(&own);
             }
-            EntryKind::Evacuations => {
+            Kind::Evacuations => {
                 let now = self.gateway.now();
                 for event in events {
                     let change = match event {
--- a/crates/peppercrank-gateway/src/register.rs
+++ b/crates/peppercrank-gateway/src/register.rs
@@ -11,7 +11,7 @@
 use peppercrank_log::Field;
 use peppercrank_platform::router::RouterEntry;
 use peppercrank_platform::store;
-use peppercrank_platform::store::EntryKind;
+use peppercrank_platform::store::Kind;
 use tokio::time::sleep;
 use tokio::time::timeout;
 
@@ -58,12 +58,12 @@
     let Ok(body) = store::router_body(&entry) else {
         return false;
     };
-    let path = store::list_path(EntryKind::Routers, None);
+    let path = store::list_path(Kind::Routers, None);
     let made = store.post(&path, body.clone()).await;
     gateway.metrics.called("register", made.ended.code());
     let written = match made.ended {
         Ended::Conflict => {
-            let path = store::entry_path(EntryKind::Routers, &entry.name);
+            let path = store::entry_path(Kind::Routers, &entry.name);
             store.put(&path, body).await.ended
         }
         other => other,
@@ -74,7 +74,7 @@
 /// `leave` removes the router's entry; if that fails, others find it silent and remove it.
 pub async fn leave(gateway: &Gateway, store: &Store) {
     let name = gateway.settings().name.clone();
-    let path = store::entry_path(EntryKind::Routers, &name);
+    let path = store::entry_path(Kind::Routers, &name);
     let left = timeout(LEAVE, store.delete(&path)).await;
     let code = left.map_or("late", |left| left.ended.code());
     gateway.metrics.called("leave", code);
@@ -95,8 +95,7 @@
             if gateway.state().eras.newest() != era {
                 break;
             }
-            let path =
-                store::entry_path_at_revision(EntryKind::Routers, &name, registered.revision);
+            let path = store::entry_path_at_revision(Kind::Routers, &name, registered.revision);
             let removed = store.delete(&path).await.ended;
             gateway.metrics.called("prune", removed.code());
             let silent = gateway.now().since(registered.heard);
--- a/crates/peppercrank-gateway/src/role.rs
+++ b/crates/peppercrank-gateway/src/role.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peppercrank_platform::store::EntryKind;
+use peppercrank_platform::store::Kind;
 
 use crate::confirm::Confirmer;
 
@@ -76,12 +76,12 @@
 impl Role {
     /// `kind` is the kind of entries that it follows.
     #[must_use]
-    pub const fn kind(&self) -> EntryKind {
+    pub const fn kind(&self) -> Kind {
         match self {
-            Self::Targets => EntryKind::Targets,
-            Self::Routers => EntryKind::Routers,
-            Self::Evacuations(_) => EntryKind::Evacuations,
-            Self::Watches(_) | Self::Confirms(_) => EntryKind::Configuration,
+            Self::Targets => Kind::Targets,
+            Self::Routers => Kind::Routers,
+            Self::Evacuations(_) => Kind::Evacuations,
+            Self::Watches(_) | Self::Confirms(_) => Kind::Configuration,
         }
     }
 
