--- a/crates/peppercrank-gateway/src/attempt.rs
+++ b/crates/peppercrank-gateway/src/attempt.rs
@@ -15,9 +15,9 @@
 use peppercrank_direct::desired::RouteKind;
 use peppercrank_direct::retries::ExecutionState;
 use peppercrank_platform::answer;
-use peppercrank_platform::answer::Kind;
+use peppercrank_platform::answer::AnswerKind;
 use peppercrank_platform::call;
-use peppercrank_platform::call::Sent;
+use peppercrank_platform::call::RouterHeaders;
 use peppercrank_wire::body;
 use peppercrank_wire::client::Answer;
 use peppercrank_wire::client::AnswerBody;
@@ -199,8 +199,8 @@
     last_event: Option<&str>,
 ) -> Request<body::Body> {
     let left = job.deadline.since(gateway.now());
-    let call_headers = Sent {
-        wait: left,
+    let call_headers = RouterHeaders {
+        timeout: left,
         instance: &flight.instance,
         organisation: job.organisation.as_deref(),
         rank: job.rank,
@@ -224,13 +224,13 @@
     let (head, mut body) = answer.into_parts();
     let mut headers = head.headers;
     let status = head.status;
-    let answer_head = answer::read(status, &headers, &job.id);
-    if let Some(load) = answer_head.load.filter(|_| answer_head.kind != Kind::Foreign) {
+    let answer_head = answer::parse(status, &headers, &job.id);
+    if let Some(load) = answer_head.load.filter(|_| answer_head.kind != AnswerKind::Unverified) {
         flight.record_load(load);
     }
     flight.apply_notice(answer_head.notice);
     match answer_head.kind {
-        Kind::NotRun => {
+        AnswerKind::NotRun => {
             drain(body).await;
             return Err(AttemptError::new(
                 ExecutionState::NotRun,
@@ -238,7 +238,7 @@
                 false,
             ));
         }
-        Kind::OtherInstance => {
+        AnswerKind::OtherInstance => {
             flight.record_other_instance();
             drain(body).await;
             return Err(AttemptError::new(
@@ -247,15 +247,15 @@
                 true,
             ));
         }
-        Kind::Foreign => {
+        AnswerKind::Unverified => {
             return Err(AttemptError::unknown_outcome("foreign answer"));
         }
-        Kind::Success | Kind::Failure => {}
+        AnswerKind::Success | AnswerKind::Failure => {}
     }
     peppercrank_wire::headers::strip(&mut headers);
-    answer::pass_on(&mut headers);
+    answer::strip_router_headers(&mut headers);
     let truncated = AttemptError::connection_lost("answer cut");
-    if answer_head.kind == Kind::Success && matches!(job.kind, RouteKind::Stream { .. }) {
+    if answer_head.kind == AnswerKind::Success && matches!(job.kind, RouteKind::Stream { .. }) {
         let first = next_part(&mut body).await.map_err(|()| truncated)?;
         flight.record_first_part();
         return Ok(TargetAnswer::Stream {
--- a/crates/peppercrank-gateway/src/follow.rs
+++ b/crates/peppercrank-gateway/src/follow.rs
@@ -186,7 +186,7 @@
                 if self.kind == Kind::Configuration {
                     self.gateway.state().catch_up.reset();
                 }
-                let fields = [("kind", Field::Text(self.kind.word()))];
+                let fields = [("kind", Field::Text(self.kind.as_str()))];
                 self.gateway.log.write(LogEvent::EntriesRelisted, &fields);
             }
             PollOutcome::Failed(cause) => {
@@ -218,12 +218,12 @@
         let mut after = None;
         let mut first = None;
         loop {
-            let path = store::list(self.kind, after.as_deref());
+            let path = store::list_path(self.kind, after.as_deref());
             let body = match self.call(&path, Duration::ZERO).await {
                 Ok(body) => body,
                 Err(outcome) => return outcome,
             };
-            let Ok(page) = store::read_page(self.kind, &body) else {
+            let Ok(page) = store::parse_page(self.kind, &body) else {
                 return PollOutcome::Failed("malformed list");
             };
             self.truncation.record_list_page(body.len());
@@ -261,12 +261,12 @@
     async fn watch(&mut self, revision: u64) -> PollOutcome {
         let wait = self.role.wait();
         let asked_at = self.gateway.now();
-        let path = store::watch(self.kind, revision, wait);
+        let path = store::watch_path(self.kind, revision, wait);
         let body = match self.call(&path, wait).await {
             Ok(body) => body,
             Err(outcome) => return outcome,
         };
-        let Ok(changes) = store::read_changes(self.kind, &body) else {
+        let Ok(changes) = store::parse_changes(self.kind, &body) else {
             return PollOutcome::Failed("malformed changes");
         };
         self.record_store_back();
@@ -322,7 +322,7 @@
             Ok(answer) => self.store.read_answer(answer).await,
             Err(outcome) => outcome,
         };
-        self.gateway.metrics.count_store_call(self.kind.word(), result.code());
+        self.gateway.metrics.count_store_call(self.kind.as_str(), result.code());
         self.log_configuration_call(wait, asked_at, &result);
         match self.gateway.observe_era(era, asked_era) {
             EraOrder::Same => {}
--- a/crates/peppercrank-gateway/src/intake.rs
+++ b/crates/peppercrank-gateway/src/intake.rs
@@ -265,14 +265,14 @@
 
     /// Counts a malformed entry, and logs it unless this answer contained too many.
     fn record_malformed(&mut self, name: &str, error: &peppercrank_platform::Error) {
-        self.gateway.metrics.count_invalid_entry(self.kind.word());
+        self.gateway.metrics.count_invalid_entry(self.kind.as_str());
         self.malformed_entries += 1;
         if self.malformed_entries > MAX_LOGGED_ENTRIES {
             return;
         }
         let (name, text) = (shorten(name), shorten(&error.to_string()));
         let fields = [
-            ("kind", Field::Text(self.kind.word())),
+            ("kind", Field::Text(self.kind.as_str())),
             ("name", Field::Text(&name)),
             ("error", Field::Text(&text)),
         ];
--- a/crates/peppercrank-gateway/src/job.rs
+++ b/crates/peppercrank-gateway/src/job.rs
@@ -22,7 +22,7 @@
 use peppercrank_direct::regions::Regions;
 use peppercrank_direct::warm_up::WarmUp;
 use peppercrank_platform::call;
-use peppercrank_platform::call::CallHead;
+use peppercrank_platform::call::RequestHead;
 
 use crate::gateway::Gateway;
 use crate::refuse::Reason;
@@ -149,7 +149,7 @@
         mut head: Parts,
         body: Bytes,
     ) -> Result<Self, Reason> {
-        let Ok(call_head) = call::read(&head.headers) else {
+        let Ok(call_head) = call::parse(&head.headers) else {
             return Err(Reason::BadRequest);
         };
         let now = gateway.now();
@@ -176,8 +176,8 @@
         };
         let pool = route.pool(call_head.id.as_bytes()).ok_or(Reason::NoTarget)?;
         peppercrank_wire::headers::strip(&mut head.headers);
-        let timeout = call_head.wait.unwrap_or(route.timeout).min(route.timeout);
-        let CallHead { id, prompt, .. } = call_head;
+        let timeout = call_head.timeout.unwrap_or(route.timeout).min(route.timeout);
+        let RequestHead { id, prompt, .. } = call_head;
         let prompt = prompt.unwrap_or_default();
         let settings = index.pool(pool);
         let engine_memory = settings.and_then(|p| p.prompt_cache);
@@ -192,7 +192,7 @@
             rank: index.ranks().rank(pool, route, organisation),
             pool_goal: index.ranks().shortest_goal(pool),
             prompt_tokens: prompt.tokens,
-            max_output_tokens: prompt.output,
+            max_output_tokens: prompt.max_output_tokens,
             copy_rate: engine_memory.and_then(|m| m.copy_rate()),
             warm_up: settings.and_then(|p| p.warm_up),
             regions: match organisation {
--- a/crates/peppercrank-gateway/src/register.rs
+++ b/crates/peppercrank-gateway/src/register.rs
@@ -55,15 +55,15 @@
         revision: 0,
         address: gateway.peer_address,
     };
-    let Ok(body) = store::router(&entry) else {
+    let Ok(body) = store::router_body(&entry) else {
         return false;
     };
-    let path = store::list(Kind::Routers, None);
+    let path = store::list_path(Kind::Routers, None);
     let created = store.post(&path, body.clone()).await;
     gateway.metrics.count_store_call("register", created.result.code());
     let written = match created.result {
         CallResult::Conflict => {
-            let path = store::entry(Kind::Routers, &entry.name);
+            let path = store::entry_path(Kind::Routers, &entry.name);
             store.put(&path, body).await.result
         }
         other => other,
@@ -74,7 +74,7 @@
 /// Removes this router's entry. If that fails, other routers remove it once they find it silent.
 pub async fn deregister(gateway: &Gateway, store: &Store) {
     let name = gateway.settings().name.clone();
-    let path = store::entry(Kind::Routers, &name);
+    let path = store::entry_path(Kind::Routers, &name);
     let result = timeout(DEREGISTER_TIMEOUT, store.delete(&path)).await;
     let code = result.map_or("late", |outcome| outcome.result.code());
     gateway.metrics.count_store_call("leave", code);
@@ -94,7 +94,7 @@
             if gateway.state().eras.newest() != era {
                 break;
             }
-            let path = store::entry_at(Kind::Routers, &name, registered.revision);
+            let path = store::entry_path_at_revision(Kind::Routers, &name, registered.revision);
             let removed = store.delete(&path).await.result;
             gateway.metrics.count_store_call("prune", removed.code());
             let silent = gateway.now().since(registered.last_heard);
--- a/crates/peppercrank-gateway/src/serve.rs
+++ b/crates/peppercrank-gateway/src/serve.rs
@@ -57,7 +57,7 @@
         Ok(body) => body,
         Err(e) => return refuse_body(e),
     };
-    let id = call::id(&call.head.headers).to_owned();
+    let id = call::request_id(&call.head.headers).to_owned();
     match Job::from_request(&gateway, received_at, call.head, body) {
         Ok(job) => process(&gateway, Arc::new(job)).await,
         Err(reason) => {
