--- a/crates/peppercrank-bench/src/surge/fleet.rs
+++ b/crates/peppercrank-bench/src/surge/fleet.rs
@@ -360,7 +360,11 @@
         for (engine, key) in self.keys.iter().enumerate() {
             self.work[router][engine] = self.routers[router].work(*key);
             let running = self.work.iter().map(|w| w[engine].in_flight).sum::<u64>();
-            let reading = self.work.iter().map(|w| w[engine].prefill_tokens).sum::<u64>();
+            let reading = self
+                .work
+                .iter()
+                .map(|w| w[engine].prefill_tokens)
+                .sum::<u64>();
             for (router, own) in self.routers.iter_mut().zip(&self.work) {
                 let others = PeerWork {
                     in_flight: running - own[engine].in_flight,
--- a/crates/peppercrank-direct/src/admission.rs
+++ b/crates/peppercrank-direct/src/admission.rs
@@ -106,7 +106,8 @@
             rank
         };
         Some(Duration::from_secs_f64(
-            max_wait_ms(pool, rank.normalized()) / 1_000.0,))
+            max_wait_ms(pool, rank.normalized()) / 1_000.0,
+        ))
     }
 
     /// Returns whether the wait at every target exceeds the bound of the least urgent rank.
@@ -135,8 +136,12 @@
     /// only once.
     #[must_use]
     pub fn retry_after(&self, now: Instant, left: Duration) -> Duration {
-        let duration = self.overloaded_since.map_or(Duration::ZERO, |s| now.since(s));
-        (duration / OVERLOAD_AGE_DIVISOR).min(left / TIME_LEFT_DIVISOR).max(MIN_RETRY_AFTER)
+        let duration = self
+            .overloaded_since
+            .map_or(Duration::ZERO, |s| now.since(s));
+        (duration / OVERLOAD_AGE_DIVISOR)
+            .min(left / TIME_LEFT_DIVISOR)
+            .max(MIN_RETRY_AFTER)
     }
 
     fn observe(&mut self, now: Instant, pool: &PoolLoad) {
@@ -151,7 +156,11 @@
     /// rate is higher than that of a more urgent rank.
     fn is_starved(&self, rank: Rank) -> bool {
         let level = usize::from(rank.level);
-        let Some(rank_counts) = self.counts.get(level).filter(|c| c.requested >= MIN_SAMPLES) else {
+        let Some(rank_counts) = self
+            .counts
+            .get(level)
+            .filter(|c| c.requested >= MIN_SAMPLES)
+        else {
             return false;
         };
         let share = rank_counts.admitted_share();
@@ -162,13 +171,15 @@
         let all = self.counts.iter().fold(RankCounts::default(), sum);
         let urgent = self.counts.iter().take(level);
         let mut urgent = urgent.filter(|c| c.requested >= MIN_SAMPLES);
-        share < all.admitted_share() * GUARANTEED_SHARE && urgent.all(|c| share < c.admitted_share())
+        share < all.admitted_share() * GUARANTEED_SHARE
+            && urgent.all(|c| share < c.admitted_share())
     }
 
     /// Returns the least urgent rank that is fully admitted, as are all more urgent ones; the most
     /// urgent rank if there is none.
     fn least_urgent_fully_admitted(&self, rank: Rank) -> Rank {
-        let is_fully_admitted = |c: &&RankCounts| { c.requested < MIN_SAMPLES || c.admitted_share() >= FULLY_ADMITTED_SHARE
+        let is_fully_admitted = |c: &&RankCounts| {
+            c.requested < MIN_SAMPLES || c.admitted_share() >= FULLY_ADMITTED_SHARE
         };
         let fully_admitted = self.counts.iter().take_while(is_fully_admitted).count();
         let level = u8::try_from(fully_admitted.saturating_sub(1)).unwrap_or(u8::MAX);
@@ -193,7 +204,8 @@
 /// urgent rank and 1 for the least urgent one.
 fn max_wait_ms(pool: &PoolLoad, position: f64) -> f64 {
     let goal = pool.goal.as_secs_f64() * 1_000.0;
-    let queue = goal * (MOST_URGENT_WAIT_SHARE - (MOST_URGENT_WAIT_SHARE - LEAST_URGENT_WAIT_SHARE) * position);
+    let queue = goal
+        * (MOST_URGENT_WAIT_SHARE - (MOST_URGENT_WAIT_SHARE - LEAST_URGENT_WAIT_SHARE) * position);
     // A single request that waits for a slot is not a queue: where targets run few requests at once
     // and each takes long, all slots are often taken well below the pool's capacity.
     queue.max(pool.base_ms).max(pool.slot_turnover_ms)
--- a/crates/peppercrank-direct/src/confirm.rs
+++ b/crates/peppercrank-direct/src/confirm.rs
@@ -126,6 +126,8 @@
 pub const fn store_reader_count(routers: usize) -> usize {
     let share = routers / ROUTERS_PER_STORE_READER;
     if share > MIN_STORE_READERS {
-        share } else {
-        MIN_STORE_READERS }
+        share
+    } else {
+        MIN_STORE_READERS
+    }
 }
--- a/crates/peppercrank-direct/src/directory.rs
+++ b/crates/peppercrank-direct/src/directory.rs
@@ -143,7 +143,8 @@
         self.first_listed.get_or_insert(now);
         let named = listed.iter().map(|c| Arc::clone(c.instance()));
         let named = named.collect::<HashSet<_>>();
-        self.held_entries.retain(|instance, _| named.contains(instance));
+        self.held_entries
+            .retain(|instance, _| named.contains(instance));
         let known = self.instances.keys().cloned().collect::<Vec<_>>();
         let gone = known.into_iter().filter(|i| !named.contains(i));
         let gone = gone.map(Change::Removed).collect::<Vec<_>>();
@@ -360,7 +361,8 @@
         for key in overdue {
             noted.push(self.depart(now, key));
         }
-        self.departed.retain(|_, d| now.since(d.removed_at) < DEPARTED_RETENTION);
+        self.departed
+            .retain(|_, d| now.since(d.removed_at) < DEPARTED_RETENTION);
         if self.held_until.is_some_and(|until| now >= until) {
             for (_, entry) in std::mem::take(&mut self.held_entries) {
                 noted.push(self.join(now, entry));
@@ -398,10 +400,14 @@
         let Some(target) = self.targets.get(key) else {
             return Instant::ZERO;
         };
-        let joined_later = self.first_listed.is_some_and(|listed| target.first_seen > listed);
+        let joined_later = self
+            .first_listed
+            .is_some_and(|listed| target.first_seen > listed);
         let joined = joined_later.then_some(target.first_seen);
         let restored = self.evacuations.restored_at(&target.registration.zone);
-        let unreported = joined.max(restored).map(|since| since + warm_up + COLD_MARGIN);
+        let unreported = joined
+            .max(restored)
+            .map(|since| since + warm_up + COLD_MARGIN);
         unreported.map_or(target.cold_until, |until| until.max(target.cold_until))
     }
 
--- a/crates/peppercrank-direct/src/evacuations.rs
+++ b/crates/peppercrank-direct/src/evacuations.rs
@@ -63,7 +63,9 @@
         self.listed = true;
         let missing = self.zones.keys().filter(|z| !listed.contains(z));
         let missing = missing.cloned().collect::<Vec<_>>();
-        let ended = missing.into_iter().filter_map(|z| self.mark_missing(now, asked, z));
+        let ended = missing
+            .into_iter()
+            .filter_map(|z| self.mark_missing(now, asked, z));
         let mut changes = ended.collect::<Vec<_>>();
         for zone in listed {
             changes.extend(self.apply(now, Change::Evacuated(Arc::clone(zone))));
@@ -110,14 +112,17 @@
     pub fn end_missing(&mut self, now: Instant, asked: Instant) -> Vec<Change> {
         let overdue = |e: &Evidence| matches!(e, Evidence::Missing(until) if asked >= *until);
         let overdue = self.zones.iter().filter(|(_, evidence)| overdue(evidence));
-        let overdue = overdue.map(|(zone, _)| Arc::clone(zone)).collect::<Vec<_>>();
+        let overdue = overdue
+            .map(|(zone, _)| Arc::clone(zone))
+            .collect::<Vec<_>>();
         let ended = overdue.into_iter().map(Change::Restored);
         ended.filter_map(|c| self.apply(now, c)).collect()
     }
 
     /// Records that a zone was restored, and drops old records.
     fn record_restored(&mut self, now: Instant, zone: &Arc<str>) {
-        self.restorations.retain(|_, at| now.since(*at) < RESTORED_RETENTION);
+        self.restorations
+            .retain(|_, at| now.since(*at) < RESTORED_RETENTION);
         self.restorations.insert(Arc::clone(zone), now);
     }
 
--- a/crates/peppercrank-direct/src/in_flight.rs
+++ b/crates/peppercrank-direct/src/in_flight.rs
@@ -70,7 +70,9 @@
         }
         self.in_prefill = false;
         if let Some(stats) = board.get_mut(self.choice.key) {
-            stats.prefill_tokens = stats.prefill_tokens.saturating_sub(self.choice.prefill_tokens);
+            stats.prefill_tokens = stats
+                .prefill_tokens
+                .saturating_sub(self.choice.prefill_tokens);
         }
     }
 }
--- a/crates/peppercrank-direct/src/peers.rs
+++ b/crates/peppercrank-direct/src/peers.rs
@@ -230,7 +230,8 @@
                 Ordering::Equal => previous_incarnation = peer.previous_incarnation,
                 Ordering::Greater => previous_incarnation = Some(peer.incarnation),
                 // A delayed datagram of the previous incarnation.
-                Ordering::Less if peer.previous_incarnation == Some(summary.incarnation) => { return false;
+                Ordering::Less if peer.previous_incarnation == Some(summary.incarnation) => {
+                    return false;
                 }
                 // Either the peer's clock was set back, or the datagram is delayed; in the latter
                 // case the next summary of the current incarnation replaces it.
@@ -295,7 +296,9 @@
     /// Returns the other routers' work on each target for which it has changed since the last call.
     pub fn take_changed(&mut self) -> Vec<(TargetId, PeerWork)> {
         let changed = std::mem::take(&mut self.changed);
-        let work = changed.into_iter().map(|target| (target, self.work_on(target)));
+        let work = changed
+            .into_iter()
+            .map(|target| (target, self.work_on(target)));
         work.collect()
     }
 
--- a/crates/peppercrank-direct/src/place.rs
+++ b/crates/peppercrank-direct/src/place.rs
@@ -204,7 +204,9 @@
     let pool = candidates.iter().map(|c| &c.stats);
     let pool = pool.chain(holders.iter().filter_map(|h| h.counted_stats.as_ref()));
     let most = max_load(request.cap_factor, overcount::mean_load(pool), candidates);
-    let fits = |c: &&Candidate| f64::from(c.stats.load()) + UNSEEN_MARGIN * c.stats.load_deviation() < most;
+    let fits = |c: &&Candidate| {
+        f64::from(c.stats.load()) + UNSEEN_MARGIN * c.stats.load_deviation() < most
+    };
     let healthy = |c: &&Candidate| !c.stats.is_ejected(now);
     let limit = limit.map(|l| l.as_secs_f64() * 1_000.0);
     let within_limit = |c: &&Candidate| limit.is_none_or(|l| queue_wait_ms(rates, c) <= l);
@@ -249,7 +251,9 @@
 }
 
 fn home(request: &PlacementRequest, candidates: &[Candidate]) -> TargetKey {
-    let home = candidates.iter().max_by_key(|c| rendezvous_rank(request.home_hash, c.placement_id));
+    let home = candidates
+        .iter()
+        .max_by_key(|c| rendezvous_rank(request.home_hash, c.placement_id));
     home.map_or_else(TargetKey::default, |c| c.key)
 }
 
@@ -268,7 +272,11 @@
     },
 }
 
-fn prefix_source(request: &PlacementRequest, candidates: &[Candidate], holders: &[Holder],) -> PrefixSource {
+fn prefix_source(
+    request: &PlacementRequest,
+    candidates: &[Candidate],
+    holders: &[Holder],
+) -> PrefixSource {
     let known = candidates.iter().map(|c| (c.held_tokens, c.key));
     let sources = holders.iter().filter(|h| h.copyable);
     let known = known.chain(sources.map(|h| (h.held_tokens, h.key)));
@@ -339,7 +347,8 @@
         let prefill_tokens = request.prompt_tokens.saturating_sub(missing.held_tokens);
         let predicted_first_ms = predict_first_ms(self.rates, candidate, prefill_tokens) + copied;
         let cost = match request.policy {
-            Policy::Cost => { missing.cost + as_f64(request.size) * self.penalty(candidate, predicted_first_ms)
+            Policy::Cost => {
+                missing.cost + as_f64(request.size) * self.penalty(candidate, predicted_first_ms)
             }
             Policy::Spread => -as_f64(rendezvous_rank(request.id_hash, candidate.placement_id)),
             Policy::LeastLoad => f64::from(candidate.stats.load()),
@@ -402,15 +411,22 @@
         let goal_fraction =
             predicted_first_ms / (self.request.latency_goal.as_secs_f64() * 1_000.0).max(1.0);
         let late = ((goal_fraction - LATE_RAMP.0) / LATE_RAMP.1).clamp(0.0, 1.0);
-        let cross_zone = if candidate.same_zone { 0.0 } else {
-            CROSS_ZONE_COST };
+        let cross_zone = if candidate.same_zone {
+            0.0
+        } else {
+            CROSS_ZONE_COST
+        };
         let non_home = match (candidate.key == self.home, self.request.shared_tokens) {
             (true, _) => 0.0,
             (false, 0) => NON_HOME_TIE_COST,
             (false, _) => NON_HOME_COST,
         };
         let load = LOAD_COST * f64::from(stats.load()) / (self.mean_load + 1.0);
-        late + LATENCY_COST * goal_fraction + cross_zone + non_home + load + FAILURE_COST * stats.failure_rate
+        late + LATENCY_COST * goal_fraction
+            + cross_zone
+            + non_home
+            + load
+            + FAILURE_COST * stats.failure_rate
     }
 }
 
@@ -418,7 +434,9 @@
 #[must_use]
 pub fn shortest_wait_ms(now: Instant, rates: &Rates, candidates: &[Candidate]) -> f64 {
     let healthy = candidates.iter().filter(|c| !c.stats.is_ejected(now));
-    healthy.map(|c| queue_wait_ms(rates, c)).fold(f64::INFINITY, f64::min)
+    healthy
+        .map(|c| queue_wait_ms(rates, c))
+        .fold(f64::INFINITY, f64::min)
 }
 
 /// Returns the wait behind a target's other work, in milliseconds.
--- a/crates/peppercrank-direct/src/prefixes.rs
+++ b/crates/peppercrank-direct/src/prefixes.rs
@@ -111,7 +111,9 @@
             holders.swap_remove(i);
         }
     }
-    holders.push(Holder { target,
-        last_used: used, });
+    holders.push(Holder {
+        target,
+        last_used: used,
+    });
     true
 }
--- a/crates/peppercrank-direct/src/quarantine.rs
+++ b/crates/peppercrank-direct/src/quarantine.rs
@@ -169,11 +169,20 @@
     }
 
     /// Records that a target's answer to a request broke off.
-    pub fn record_broken_answer(&mut self,
-        fingerprint: Fingerprint, target: TargetId,) -> ProbeAction {
-        let known = self.evidence.get(&fingerprint).map_or(0, |e| e.crashes.len());
+    pub fn record_broken_answer(
+        &mut self,
+        fingerprint: Fingerprint,
+        target: TargetId,
+    ) -> ProbeAction {
+        let known = self
+            .evidence
+            .get(&fingerprint)
+            .map_or(0, |e| e.crashes.len());
         let is_probing = self.awaiting_probe.contains_key(&target);
-        self.awaiting_probe.entry(target).or_default().push(fingerprint);
+        self.awaiting_probe
+            .entry(target)
+            .or_default()
+            .push(fingerprint);
         match (known + 1 >= CRASH_LIMIT, is_probing) {
             (true, _) => ProbeAction::ProbeFirst,
             (false, false) => ProbeAction::Probe,
@@ -196,8 +205,12 @@
     }
 
     /// Records that a target has crashed while it ran a request.
-    pub fn record_crash_of(&mut self, now: Instant,
-        fingerprint: Fingerprint, target: TargetId,) -> Update {
+    pub fn record_crash_of(
+        &mut self,
+        now: Instant,
+        fingerprint: Fingerprint,
+        target: TargetId,
+    ) -> Update {
         self.make_room(fingerprint);
         let evidence = self.evidence.entry(fingerprint).or_default();
         evidence.last_seen = now;
@@ -286,9 +299,13 @@
 
     /// Returns the evidence for the next datagram; requests with the most crashes come first.
     pub fn take_pending_reports(&mut self, now: Instant) -> Vec<CrashReport> {
-        let pending = self.evidence.iter_mut().filter(|(_, e)| e.transmissions_left > 0);
+        let pending = self
+            .evidence
+            .iter_mut()
+            .filter(|(_, e)| e.transmissions_left > 0);
         let mut pending = pending.collect::<Vec<_>>();
-        pending.sort_unstable_by_key(|(_, e)| (usize::MAX - e.crashes.len(), now.since(e.last_seen)));
+        pending
+            .sort_unstable_by_key(|(_, e)| (usize::MAX - e.crashes.len(), now.since(e.last_seen)));
         pending.truncate(MAX_REPORTS_PER_DATAGRAM);
         let tell = |(fingerprint, evidence): (&Fingerprint, &mut Evidence)| {
             evidence.transmissions_left -= 1;
--- a/crates/peppercrank-direct/src/quarantine/spread.rs
+++ b/crates/peppercrank-direct/src/quarantine/spread.rs
@@ -69,7 +69,11 @@
 
     /// Returns the reports to send now; `None` if there is nothing to send or the bandwidth limit
     /// is used up.
-    pub fn next_broadcast(&mut self, now: Instant, quarantine: &mut Quarantine,) -> Option<Broadcast> {
+    pub fn next_broadcast(
+        &mut self,
+        now: Instant,
+        quarantine: &mut Quarantine,
+    ) -> Option<Broadcast> {
         self.refill(now);
         quarantine.expire(now);
         if self.allowance == 0 {
@@ -110,11 +114,17 @@
 /// Returns the reports that the sender of `reports` lacks; all quarantined requests if `reports` is
 /// empty, which means that the sender has just started.
 #[must_use]
-pub fn missing_reports(now: Instant, quarantine: &Quarantine, reports: &[CrashReport],) -> Vec<CrashReport> {
+pub fn missing_reports(
+    now: Instant,
+    quarantine: &Quarantine,
+    reports: &[CrashReport],
+) -> Vec<CrashReport> {
     if reports.is_empty() {
         return quarantine.quarantined_reports(now);
     }
-    let missing = reports.iter().filter_map(|r| quarantine.missing_report(now, r));
+    let missing = reports
+        .iter()
+        .filter_map(|r| quarantine.missing_report(now, r));
     missing.collect()
 }
 
--- a/crates/peppercrank-direct/src/ranks.rs
+++ b/crates/peppercrank-direct/src/ranks.rs
@@ -94,7 +94,9 @@
         let Some(pool) = self.pools.get(pool) else {
             return Rank::default();
         };
-        let level = pool.priorities.partition_point(|p| *p < priorities_of(organisation_priority, route));
+        let level = pool
+            .priorities
+            .partition_point(|p| *p < priorities_of(organisation_priority, route));
         let saturate = |count: usize| u8::try_from(count).unwrap_or(u8::MAX);
         Rank {
             level: saturate(level),
@@ -115,7 +117,9 @@
         if route.public || organisation_priorities.is_empty() {
             self.priorities.push(priorities_of(None, route));
         }
-        let keys = organisation_priorities.iter().map(|priority| priorities_of(*priority, route));
+        let keys = organisation_priorities
+            .iter()
+            .map(|priority| priorities_of(*priority, route));
         self.priorities.extend(keys);
         let goal = Some(route.latency_goal).filter(|g| !g.is_zero());
         self.shortest_goal = self.shortest_goal.into_iter().chain(goal).min();
@@ -125,5 +129,7 @@
 /// An organisation without a priority of its own takes that of the route.
 fn priorities_of(organisation_priority: Option<u8>, route: &Route) -> Priorities {
     (
-        organisation_priority.unwrap_or(route.priority), route.priority,)
+        organisation_priority.unwrap_or(route.priority),
+        route.priority,
+    )
 }
--- a/crates/peppercrank-direct/src/retries.rs
+++ b/crates/peppercrank-direct/src/retries.rs
@@ -99,12 +99,14 @@
             extra,
             window,
         } = self.limits;
-        let window_share = now.since(self.started_at).as_secs_f64() / window.as_secs_f64().max(0.001);
+        let window_share =
+            now.since(self.started_at).as_secs_f64() / window.as_secs_f64().max(0.001);
         let extra_share = USABLE_EXTRA * window_share.min(1.0) / as_f64(routers.max(1) as u64);
         let history = self.history(pool);
         prune(&mut history.requests, now, window);
         prune(&mut history.retries, now, window);
-        let allowed = as_f64(history.requests.len() as u64) * share * USABLE_SHARE + extra * extra_share;
+        let allowed =
+            as_f64(history.requests.len() as u64) * share * USABLE_SHARE + extra * extra_share;
         allowed - as_f64(history.retries.len() as u64)
     }
 
--- a/crates/peppercrank-direct/src/silence.rs
+++ b/crates/peppercrank-direct/src/silence.rs
@@ -43,8 +43,10 @@
     #[must_use]
     pub fn new(now: Instant, pause: Option<Duration>) -> Self {
         let limit = pause.map_or(DEFAULT_LIMIT, |p| p.mul_f64(PAUSE_SHARE).max(MIN_LIMIT));
-        Self { limit,
-            last_heard: now, }
+        Self {
+            limit,
+            last_heard: now,
+        }
     }
 
     /// Returns the time since the last part.
--- a/crates/peppercrank-direct/src/stats.rs
+++ b/crates/peppercrank-direct/src/stats.rs
@@ -249,7 +249,8 @@
 
     /// Records the time that an answer took and the time that was predicted, both in milliseconds.
     pub fn record_latency(&mut self, took: f64, predicted: f64) {
-        let sample = (took / predicted.max(1.0)).clamp(LATENCY_RATIO_BOUNDS.0, LATENCY_RATIO_BOUNDS.1);
+        let sample =
+            (took / predicted.max(1.0)).clamp(LATENCY_RATIO_BOUNDS.0, LATENCY_RATIO_BOUNDS.1);
         self.latency_ratio += (sample - self.latency_ratio) * LATENCY_WEIGHT;
     }
 
@@ -271,7 +272,8 @@
     /// request is let through.
     #[must_use]
     pub fn is_ejected(&self, now: Instant) -> bool {
-        self.ejected_until.is_some_and(|until| now < until || self.trial_in_flight)
+        self.ejected_until
+            .is_some_and(|until| now < until || self.trial_in_flight)
     }
 }
 
--- a/crates/peppercrank-direct/src/target.rs
+++ b/crates/peppercrank-direct/src/target.rs
@@ -71,7 +71,12 @@
 
 impl Target {
     /// Applies a new entry of the known start.
-    pub(crate) fn refresh(&mut self, now: Instant, key: TargetKey, entry: Registration,) -> TargetEvent {
+    pub(crate) fn refresh(
+        &mut self,
+        now: Instant,
+        key: TargetKey,
+        entry: Registration,
+    ) -> TargetEvent {
         let left = self.state == State::Leaving;
         let leaving = left || entry.leaving;
         self.cold_until = now + entry.cold_for;
@@ -90,7 +95,12 @@
 
     /// Records an entry of another start, which is accepted once it has been the latest in the
     /// store for long enough.
-    pub(crate) fn record_conflicting(&mut self, now: Instant, key: TargetKey, entry: Registration,) -> TargetEvent {
+    pub(crate) fn record_conflicting(
+        &mut self,
+        now: Instant,
+        key: TargetKey,
+        entry: Registration,
+    ) -> TargetEvent {
         let same = |r: &Registration| r.start == entry.start;
         let from = match &self.conflicting {
             Some((rival, from)) if same(rival) => *from,
@@ -103,7 +113,9 @@
     /// Returns the entry of another start in the store, and the time from which it is accepted.
     #[must_use]
     pub fn conflicting_start(&self) -> Option<(&Registration, Instant)> {
-        self.conflicting.as_ref().map(|(entry, from)| (entry, *from))
+        self.conflicting
+            .as_ref()
+            .map(|(entry, from)| (entry, *from))
     }
 
     /// Returns why its entry keeps it from new work; `None` if it may get some.
--- a/crates/peppercrank-direct/src/warm_up.rs
+++ b/crates/peppercrank-direct/src/warm_up.rs
@@ -126,7 +126,10 @@
         if count <= requests {
             return requests / count;
         }
-        let ranks = self.hashes.iter().map(|name| router_rank(*name, placement_id));
+        let ranks = self
+            .hashes
+            .iter()
+            .map(|name| router_rank(*name, placement_id));
         usize::from(ranks.filter(|r| *r > own).count() < requests)
     }
 }
@@ -165,7 +168,11 @@
 impl SendHistory {
     /// Drops the requests that are older than the window.
     fn expire(&mut self, now: Instant) {
-        while self.times.front().is_some_and(|at| now.since(*at) >= WINDOW) {
+        while self
+            .times
+            .front()
+            .is_some_and(|at| now.since(*at) >= WINDOW)
+        {
             self.times.pop_front();
         }
     }
--- a/crates/peppercrank-direct/tests/verify_confirm.rs
+++ b/crates/peppercrank-direct/tests/verify_confirm.rs
@@ -50,18 +50,27 @@
         // The age counts from the sending of the request, and is rounded up.
         (confirmation(5, 0), Some(5), Verdict::CurrentAsOf(at(9_999))),
         (
-            confirmation(5, 700), Some(5), Verdict::CurrentAsOf(at(9_299)),),
+            confirmation(5, 700),
+            Some(5),
+            Verdict::CurrentAsOf(at(9_299)),
+        ),
         // A router with an older version confirms a newer one here, but not the other way round.
         (
-            confirmation(4, 700), Some(5), Verdict::CurrentAsOf(at(9_299)),),
+            confirmation(4, 700),
+            Some(5),
+            Verdict::CurrentAsOf(at(9_299)),
+        ),
         (confirmation(6, 0), Some(5), Verdict::Outdated),
         (confirmation(5, 0), None, Verdict::Outdated),
         (confirmation(5, 1_300), Some(5), Verdict::Unusable),
         (other, Some(5), Verdict::Unusable),
     ];
     for (answer, version, verdict) in rows {
-        assert_eq!(asked.evaluate(answer, version), verdict,
-            "{answer:?} {version:?}");
+        assert_eq!(
+            asked.evaluate(answer, version),
+            verdict,
+            "{answer:?} {version:?}"
+        );
     }
 }
 
@@ -73,8 +82,14 @@
         request: REQUEST,
         sent_at: at(300),
     };
-    assert_eq!(asked.evaluate(confirmation(5, 700), Some(5)), Verdict::Unusable);
-    assert_eq!(asked.evaluate(confirmation(5, 200), Some(5)), Verdict::CurrentAsOf(at(99)));
+    assert_eq!(
+        asked.evaluate(confirmation(5, 700), Some(5)),
+        Verdict::Unusable
+    );
+    assert_eq!(
+        asked.evaluate(confirmation(5, 200), Some(5)),
+        Verdict::CurrentAsOf(at(99))
+    );
 }
 
 #[test]
--- a/crates/peppercrank-direct/tests/verify_directory.rs
+++ b/crates/peppercrank-direct/tests/verify_directory.rs
@@ -88,10 +88,12 @@
     }
     assert!(matches!(
         send_leaving_notice(&mut directory, "one"),
-        TargetEvent::MarkedLeaving(_)));
+        TargetEvent::MarkedLeaving(_)
+    ));
     assert_eq!(
         send_leaving_notice(&mut directory, "one"),
-        TargetEvent::NoChange);
+        TargetEvent::NoChange
+    );
     assert_eq!(ready(&directory, ZERO), ["two"]);
     directory.apply(ZERO, put("one", false));
     assert_eq!(ready(&directory, ZERO), ["two"]);
@@ -114,7 +116,8 @@
     assert_eq!(ready(&directory, ZERO), ["one"]);
     assert!(matches!(
         send_leaving_notice(&mut directory, "one"),
-        TargetEvent::Gone(_)));
+        TargetEvent::Gone(_)
+    ));
     assert!(directory.is_empty());
     directory.apply(ZERO, put("one", false));
     assert!(ready(&directory, ZERO).is_empty());
@@ -153,7 +156,8 @@
     ));
     assert_eq!(
         send_pause_notice(&mut directory, ZERO, 3),
-        TargetEvent::NoChange);
+        TargetEvent::NoChange
+    );
     let before = Instant::from_millis(4_999);
     let end = Instant::from_millis(5_000);
     assert!(ready(&directory, before).is_empty());
@@ -164,7 +168,8 @@
     ));
     assert_eq!(
         send_pause_notice(&mut directory, end, 0),
-        TargetEvent::NoChange);
+        TargetEvent::NoChange
+    );
     assert!(ready(&directory, end).is_empty());
 }
 
@@ -197,8 +202,10 @@
     let mut directory = Directory::default();
     directory.apply(ZERO, put("one", false));
     let key = directory.find("one").expect("a key");
-    assert_eq!(directory.apply(ZERO, removed("one")),
-        TargetEvent::Gone(key));
+    assert_eq!(
+        directory.apply(ZERO, removed("one")),
+        TargetEvent::Gone(key)
+    );
     assert!(!directory.is_usable(ZERO, key));
     assert!(directory.is_empty());
     assert_eq!(directory.apply(ZERO, removed("one")), TargetEvent::NoChange);
@@ -316,13 +323,17 @@
     directory.apply(ZERO, entry_of_start(Some(5)));
     directory.apply(ZERO, put("two", false));
     let old = directory.find("one").expect("a key");
-    assert_eq!(directory.apply(ZERO, entry_of_start(Some(4))),
-        TargetEvent::InDoubt(old));
+    assert_eq!(
+        directory.apply(ZERO, entry_of_start(Some(4))),
+        TargetEvent::InDoubt(old)
+    );
     assert_eq!(ready(&directory, ZERO), ["two"]);
     // Repeated entries do not postpone its acceptance.
     let later = ZERO + OLDER_START_DELAY / 2;
-    assert_eq!(directory.apply(later, entry_of_start(Some(4))),
-        TargetEvent::InDoubt(old));
+    assert_eq!(
+        directory.apply(later, entry_of_start(Some(4))),
+        TargetEvent::InDoubt(old)
+    );
     assert!(directory.expire(later).is_empty());
     let settled = ZERO + OLDER_START_DELAY;
     let noted = directory.expire(settled);
@@ -346,10 +357,14 @@
         directory.apply(ZERO, unreadable("one")),
         TargetEvent::Unreadable(one)
     );
-    assert_eq!(directory.apply(ZERO, unreadable("two")),
-        TargetEvent::NoChange);
-    assert_eq!(directory.apply(ZERO, unreadable("none")),
-        TargetEvent::NoChange);
+    assert_eq!(
+        directory.apply(ZERO, unreadable("two")),
+        TargetEvent::NoChange
+    );
+    assert_eq!(
+        directory.apply(ZERO, unreadable("none")),
+        TargetEvent::NoChange
+    );
     // Alone in its pool, it gets no work either.
     assert!(ready(&directory, ZERO).is_empty());
     let listed = vec![unreadable("one"), put("two", false)];
--- a/crates/peppercrank-direct/tests/verify_knowledge.rs
+++ b/crates/peppercrank-direct/tests/verify_knowledge.rs
@@ -178,11 +178,15 @@
 #[test]
 fn verify_versions_only_grow() {
     let mut force = ActiveConfiguration::default();
-    assert_eq!(force.apply(Instant::ZERO, desired(5)),
-        ApplyOutcome::Activated);
+    assert_eq!(
+        force.apply(Instant::ZERO, desired(5)),
+        ApplyOutcome::Activated
+    );
     assert_eq!(force.apply(Instant::ZERO, desired(4)), ApplyOutcome::Older);
-    assert_eq!(force.apply(Instant::ZERO, desired(5)),
-        ApplyOutcome::Unchanged);
+    assert_eq!(
+        force.apply(Instant::ZERO, desired(5)),
+        ApplyOutcome::Unchanged
+    );
     let later = Instant::from_millis(7);
     assert_eq!(force.apply(later, desired(900)), ApplyOutcome::Activated);
     assert_eq!(force.activation_time(), Some(later));
@@ -213,7 +217,9 @@
 fn verify_a_prefix_part_counts_only_after_all_preceding_parts() {
     let (one, two) = two_keys();
     let parts = [(1, 100), (2, 200), (3, 300)].map(|(chain, tokens)| PromptPart {
-        prefix_hash: chain, tokens, });
+        prefix_hash: chain,
+        tokens,
+    });
     let mut prefixes = PrefixIndex::default();
     for (target, part) in [(one, 1), (one, 2), (two, 2), (two, 3)] {
         assert!(prefixes.record(at(0), target, part));
@@ -310,8 +316,7 @@
         sequence,
         work: vec![Work {
             target: TargetId(1),
-            in_flight:
-            running,
+            in_flight: running,
             prefill_tokens: 10,
         }],
         hints: Vec::new(),
@@ -373,9 +378,15 @@
     for again in [9, 3] {
         let mut peers = Peers::default();
         assert!(peers.record_summary(at(0), from, &summary(5, 800, 4)));
-        assert!(peers.record_summary(at(100), from, &summary(again, 1, 2)), "{again}");
+        assert!(
+            peers.record_summary(at(100), from, &summary(again, 1, 2)),
+            "{again}"
+        );
         assert_eq!(peers.work_on(TargetId(1)).in_flight, 2);
-        assert!(peers.record_summary(at(200), from, &summary(again, 2, 3)), "{again}");
+        assert!(
+            peers.record_summary(at(200), from, &summary(again, 2, 3)),
+            "{again}"
+        );
         assert_eq!(peers.work_on(TargetId(1)).in_flight, 3);
     }
     // A late datagram of the previous start no longer counts.
@@ -416,8 +427,7 @@
     let mut outbox = HintQueue::default();
     let hint = |chain| PrefixHint {
         target: TargetId(1),
-        prefix_hash:
-        chain,
+        prefix_hash: chain,
     };
     for chain in 0..100 {
         outbox.push(hint(chain), peers);
@@ -453,8 +463,7 @@
     let mut long = summary(1, 1, 5);
     let hint = |chain| PrefixHint {
         target: TargetId(u32::MAX),
-        prefix_hash:
-        chain,
+        prefix_hash: chain,
     };
     long.hints = (0..1_000).map(|n| hint(u64::MAX - n)).collect();
     let bytes = Datagram::Summary(long).encode().expect("bytes");
--- a/crates/peppercrank-direct/tests/verify_place.rs
+++ b/crates/peppercrank-direct/tests/verify_place.rs
@@ -90,9 +90,15 @@
     turned.reverse();
     assert_eq!(choose(&request(), &turned), first);
     // Other prompts have other homes.
-    let homes =
-        (0..64).map(|home_hash| { choose(&PlacementRequest {
-                home_hash, ..request() }, &candidates,).key
+    let homes = (0..64).map(|home_hash| {
+        choose(
+            &PlacementRequest {
+                home_hash,
+                ..request()
+            },
+            &candidates,
+        )
+        .key
     });
     let mut homes = homes.collect::<Vec<_>>();
     homes.sort();
@@ -132,7 +138,8 @@
 /// Returns the candidates with the request's home first.
 fn ranked(count: usize) -> Vec<Candidate> {
     let mut candidates = idle(count);
-    candidates.sort_by_key(|c| std::cmp::Reverse(rendezvous_rank(request().home_hash, c.placement_id)));
+    candidates
+        .sort_by_key(|c| std::cmp::Reverse(rendezvous_rank(request().home_hash, c.placement_id)));
     candidates
 }
 
@@ -413,10 +420,19 @@
     // Later the target's report is too old to count.
     let later = Instant::from_millis(5_000);
     assert_eq!(
-        candidates[1].stats.as_of(later, Duration::ZERO, HOLD_MS).load(),
+        candidates[1]
+            .stats
+            .as_of(later, Duration::ZERO, HOLD_MS)
+            .load(),
         40
     );
-    assert_eq!(candidates[1].stats.as_of(NOW, Duration::ZERO, HOLD_MS).load(), 2);
+    assert_eq!(
+        candidates[1]
+            .stats
+            .as_of(NOW, Duration::ZERO, HOLD_MS)
+            .load(),
+        2
+    );
 }
 
 #[test]
--- a/crates/peppercrank-direct/tests/verify_quarantine.rs
+++ b/crates/peppercrank-direct/tests/verify_quarantine.rs
@@ -38,7 +38,10 @@
 /// Sends the pending reports of one router to another.
 fn exchange(from: &mut Quarantine, to: &mut Quarantine, now: Instant, relay: bool) -> Vec<Update> {
     let reports = from.take_pending_reports(now);
-    reports.iter().map(|r| to.merge_report(now, r, relay)).collect()
+    reports
+        .iter()
+        .map(|r| to.merge_report(now, r, relay))
+        .collect()
 }
 
 #[test]
@@ -108,7 +111,9 @@
     // Merged evidence is sent on as the router's own; the first router has nothing left to send
     // after two datagrams.
     assert_eq!(
-        exchange(third, first, at(100), false), [Update::Quarantined]);
+        exchange(third, first, at(100), false),
+        [Update::Quarantined]
+    );
     assert!(first.refuse(at(100), CRASHING).is_some());
     assert_eq!(exchange(first, second, at(100), false).len(), 1);
     assert_eq!(exchange(first, second, at(200), false).len(), 0);
@@ -122,7 +127,9 @@
     exchange(&mut here, &mut there, at(0), false);
     here.record_success(at(500), CRASHING);
     assert_eq!(
-        exchange(&mut here, &mut there, at(500), false), [Update::NewEvidence]);
+        exchange(&mut here, &mut there, at(500), false),
+        [Update::NewEvidence]
+    );
     // Delayed reports of the crashes are not counted again.
     for report in &late {
         assert_eq!(there.merge_report(at(500), report, true), Update::Unchanged);
@@ -138,8 +145,10 @@
     new.record_crash_of(at(0), CRASHING, TargetId(7));
     let reports = new.take_pending_reports(at(0));
     let answer = missing_reports(at(0), &old, &reports);
-    assert_eq!(new.merge_report(at(0), &answer[0], false),
-        Update::Quarantined);
+    assert_eq!(
+        new.merge_report(at(0), &answer[0], false),
+        Update::Quarantined
+    );
     // After that neither replies, although each knows crashes that the other does not.
     let reports = new.take_pending_reports(at(100));
     assert_eq!(missing_reports(at(100), &old, &reports), []);
@@ -154,8 +163,10 @@
     crash(&mut old, Fingerprint(8), 0..2);
     let answer = missing_reports(at(0), &old, &[]);
     assert_eq!(answer.len(), 1);
-    assert_eq!(new.merge_report(at(0), &answer[0], false),
-        Update::Quarantined);
+    assert_eq!(
+        new.merge_report(at(0), &answer[0], false),
+        Update::Quarantined
+    );
     assert!(new.refuse(at(0), CRASHING).is_some());
 }
 
@@ -168,8 +179,10 @@
     let reminder = quarantine.quarantined_reports(at(0));
     assert_eq!(reminder.len(), 1);
     let mut new = Quarantine::default();
-    assert_eq!(new.merge_report(at(0), &reminder[0], true),
-        Update::Quarantined);
+    assert_eq!(
+        new.merge_report(at(0), &reminder[0], true),
+        Update::Quarantined
+    );
     assert!(new.refuse(at(0), CRASHING).is_some());
 }
 
@@ -238,7 +251,9 @@
         }
     }
     let reports = quarantine.take_pending_reports(at(10_000_000));
-    let bytes = Datagram::CrashReports(reports).encode().expect("a datagram");
+    let bytes = Datagram::CrashReports(reports)
+        .encode()
+        .expect("a datagram");
     assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
 }
 
@@ -247,30 +262,45 @@
     let mut quarantine = Quarantine::default();
     let beside = Fingerprint(8);
     for target in (0..20).map(TargetId) {
-        assert_eq!(quarantine.record_broken_answer(CRASHING, target),
-            ProbeAction::Probe);
-        assert_eq!(quarantine.record_broken_answer(beside, target),
-            ProbeAction::AlreadyProbing);
+        assert_eq!(
+            quarantine.record_broken_answer(CRASHING, target),
+            ProbeAction::Probe
+        );
+        assert_eq!(
+            quarantine.record_broken_answer(beside, target),
+            ProbeAction::AlreadyProbing
+        );
         quarantine.record_alive(target);
         assert_eq!(quarantine.record_crash(at(0), target), []);
     }
     assert!(quarantine.is_empty());
     for target in (20..22).map(TargetId) {
-        assert_eq!(quarantine.record_broken_answer(CRASHING, target),
-            ProbeAction::Probe);
-        assert_eq!(quarantine.record_broken_answer(beside, target),
-            ProbeAction::AlreadyProbing);
-        let updates = [(CRASHING, Update::NewEvidence), (beside, Update::NewEvidence),];
+        assert_eq!(
+            quarantine.record_broken_answer(CRASHING, target),
+            ProbeAction::Probe
+        );
+        assert_eq!(
+            quarantine.record_broken_answer(beside, target),
+            ProbeAction::AlreadyProbing
+        );
+        let updates = [
+            (CRASHING, Update::NewEvidence),
+            (beside, Update::NewEvidence),
+        ];
         assert_eq!(quarantine.record_crash(at(0), target), updates);
         assert_eq!(quarantine.record_crash(at(0), target), []);
     }
     // The next crash may reach the limit, so the target is probed before the request is retried,
     // even if a probe is already under way.
     let last = TargetId(22);
-    assert_eq!(quarantine.record_broken_answer(Fingerprint(9), last),
-        ProbeAction::Probe);
-    assert_eq!(quarantine.record_broken_answer(CRASHING, last),
-        ProbeAction::ProbeFirst);
+    assert_eq!(
+        quarantine.record_broken_answer(Fingerprint(9), last),
+        ProbeAction::Probe
+    );
+    assert_eq!(
+        quarantine.record_broken_answer(CRASHING, last),
+        ProbeAction::ProbeFirst
+    );
     let changes = quarantine.record_crash(at(0), last);
     assert!(changes.contains(&(CRASHING, Update::Quarantined)));
 }
--- a/crates/peppercrank-direct/tests/verify_reports.rs
+++ b/crates/peppercrank-direct/tests/verify_reports.rs
@@ -178,7 +178,12 @@
     let mut stats = counted_stats(4);
     stats.record_relayed_report(ago(100), 14);
     assert_eq!(stats.as_of(now(), SMALL_FLEET_LAG, HOLD_MS).load(), 4);
-    assert!(stats.as_of(now(), SMALL_FLEET_LAG, HOLD_MS).load_deviation() == 0.0);
+    assert!(
+        stats
+            .as_of(now(), SMALL_FLEET_LAG, HOLD_MS)
+            .load_deviation()
+            == 0.0
+    );
     stats.record_relayed_report(ago(50), 2);
     assert_eq!(stats.as_of(now(), SMALL_FLEET_LAG, HOLD_MS).load(), 2);
 }
@@ -207,7 +212,8 @@
         assert!(rounded >= Duration::from_millis(age), "{age}: {rounded:?}");
         assert!(
             rounded < Duration::from_millis(age + 20),
-            "{age}: {rounded:?}");
+            "{age}: {rounded:?}"
+        );
     }
     assert!(LoadReport::new(TargetId(7), 3, Duration::from_millis(1_500)).is_none());
 }
@@ -249,7 +255,11 @@
 #[test]
 fn verify_the_age_of_counts_is_the_mean_age_of_summaries() {
     let mut peers = Peers::default();
-    assert_eq!(peers.mean_age(now()), Duration::ZERO, "a lone router knows all");
+    assert_eq!(
+        peers.mean_age(now()),
+        Duration::ZERO,
+        "a lone router knows all"
+    );
     for (n, sent_at) in [ago(3_000), ago(1_000)].into_iter().enumerate() {
         let summary = Summary {
             incarnation: 1,
--- a/crates/peppercrank-direct/tests/verify_retries.rs
+++ b/crates/peppercrank-direct/tests/verify_retries.rs
@@ -133,8 +133,10 @@
 fn verify_attempts_are_bounded_in_an_outage() {
     let mut plan = RetryPlan::new(true, 9);
     for _ in 0..3 {
-        assert_eq!(plan.record_attempt(ExecutionState::NotRun),
-            RetryWithinBudget);
+        assert_eq!(
+            plan.record_attempt(ExecutionState::NotRun),
+            RetryWithinBudget
+        );
     }
     assert_eq!(plan.record_attempt(ExecutionState::NotRun), Refuse);
 }
--- a/crates/peppercrank-direct/tests/verify_silence.rs
+++ b/crates/peppercrank-direct/tests/verify_silence.rs
@@ -21,8 +21,10 @@
         let silence = SilenceDetector::new(start, pause.map(ms));
         let until = start + ms(limit);
         assert_eq!(silence.state(start), StreamState::ActiveUntil(until));
-        assert_eq!(silence.state(start + ms(limit - 1)),
-            StreamState::ActiveUntil(until));
+        assert_eq!(
+            silence.state(start + ms(limit - 1)),
+            StreamState::ActiveUntil(until)
+        );
         assert_eq!(silence.state(until), StreamState::Silent);
     }
 }
@@ -33,7 +35,9 @@
     let mut silence = SilenceDetector::new(start, Some(ms(800)));
     silence.record_part(start + ms(500));
     let until = start + ms(1_100);
-    assert_eq!(silence.state(start + ms(900)),
-        StreamState::ActiveUntil(until));
+    assert_eq!(
+        silence.state(start + ms(900)),
+        StreamState::ActiveUntil(until)
+    );
     assert_eq!(silence.state(until), StreamState::Silent);
 }
--- a/crates/peppercrank-direct/tests/verify_spread.rs
+++ b/crates/peppercrank-direct/tests/verify_spread.rs
@@ -273,7 +273,9 @@
             if !first && retry {
                 self.send(router, false);
             }
-            let changes = self.routers[router].quarantine.record_crash(self.now, start);
+            let changes = self.routers[router]
+                .quarantine
+                .record_crash(self.now, start);
             if changes.iter().any(|(_, c)| *c != Update::Unchanged) {
                 self.schedule_broadcast(router, BATCH_DELAY);
             }
@@ -301,7 +303,8 @@
         if let Some(broadcast) = router.gossip.next_broadcast(now, &mut router.quarantine) {
             let first = self.draw(self.scenario.routers - 1);
             for n in 0..broadcast.fanout.min(self.scenario.routers - 1) {
-                let to = (from + 1 + (first + n) % (self.scenario.routers - 1)) % self.scenario.routers;
+                let to =
+                    (from + 1 + (first + n) % (self.scenario.routers - 1)) % self.scenario.routers;
                 self.send_datagram(from, to, broadcast.reports.clone());
             }
         }
@@ -359,7 +362,10 @@
 
     /// Records when all routers refuse the request.
     fn record_settled(&mut self) {
-        let Some(third) = self.third_crash.filter(|_| self.results.settled_after.is_none()) else {
+        let Some(third) = self
+            .third_crash
+            .filter(|_| self.results.settled_after.is_none())
+        else {
             return;
         };
         let now = self.now;
@@ -376,15 +382,18 @@
     println!("{scenario:?}: {results:?}");
     assert!(
         results.late_sends <= MAX_LATE_SENDS,
-        "{scenario:?}: {results:?}");
+        "{scenario:?}: {results:?}"
+    );
     // A restarted router serves only some milliseconds after its queries.
     assert!(
         results.startup_sends <= MAX_STARTUP_SENDS,
-        "{scenario:?}: {results:?}");
+        "{scenario:?}: {results:?}"
+    );
     let seconds = usize::try_from(SIMULATED_TIME.as_secs()).expect("short");
     assert!(
         results.max_bytes <= seconds * BYTES_PER_SECOND + BURST_BYTES,
-        "{scenario:?}: {results:?}");
+        "{scenario:?}: {results:?}"
+    );
 }
 
 /// Checks all fleet sizes, rates and seeds.
--- a/crates/peppercrank-gateway/src/admin.rs
+++ b/crates/peppercrank-gateway/src/admin.rs
@@ -39,7 +39,9 @@
         (Some(_), None) => true,
         (Some(age), Some(keys)) => age < keys.revoke.mul_f64(READY_SHARE),
     };
-    let in_touch = state.store_away_since.is_none_or(|since| now.since(since) < MAX_STORE_OUTAGE);
+    let in_touch = state
+        .store_away_since
+        .is_none_or(|since| now.since(since) < MAX_STORE_OUTAGE);
     let listed =
         state.directory.first_listed_at().is_some() && state.directory.evacuations.is_listed();
     keys_fresh && in_touch && listed && !gateway.stop_signal.is_stopping()
--- a/crates/peppercrank-gateway/src/attempt.rs
+++ b/crates/peppercrank-gateway/src/attempt.rs
@@ -102,9 +102,11 @@
         }
     }
 
-    const fn new(execution: ExecutionState,
+    const fn new(
+        execution: ExecutionState,
         cause: &'static str,
-        counts_against_target: bool,) -> Self {
+        counts_against_target: bool,
+    ) -> Self {
         Self {
             execution,
             cause,
@@ -178,7 +180,10 @@
     answer_deadline: Instant,
 ) -> Result<TargetAnswer, AttemptError> {
     match send_result {
-        Ok(answer) => match gateway.timeout_at(answer_deadline, classify_answer(job, flight, answer)).await {
+        Ok(answer) => match gateway
+            .timeout_at(answer_deadline, classify_answer(job, flight, answer))
+            .await
+        {
             Some(classified) => classified,
             None => Err(AttemptError::unknown_outcome("no whole answer in time")),
         },
@@ -225,7 +230,10 @@
     let mut headers = head.headers;
     let status = head.status;
     let answer_head = answer::parse(status, &headers, &job.id);
-    if let Some(load) = answer_head.load.filter(|_| answer_head.kind != AnswerKind::Unverified) {
+    if let Some(load) = answer_head
+        .load
+        .filter(|_| answer_head.kind != AnswerKind::Unverified)
+    {
         flight.record_load(load);
     }
     flight.apply_notice(answer_head.notice);
--- a/crates/peppercrank-gateway/src/choose.rs
+++ b/crates/peppercrank-gateway/src/choose.rs
@@ -51,7 +51,11 @@
 /// # Errors
 ///
 /// Returns the reason and the retry delay when no target can be used.
-pub fn reserve_target(gateway: &Arc<Gateway>, job: &Job, tried: &[TargetKey],) -> Result<Flight, Rejection> {
+pub fn reserve_target(
+    gateway: &Arc<Gateway>,
+    job: &Job,
+    tried: &[TargetKey],
+) -> Result<Flight, Rejection> {
     let mut state = gateway.state();
     let choice = choose(gateway, &mut state, job, tried)?;
     let flight = reserve(gateway, &mut state, job, &choice);
@@ -64,7 +68,6 @@
     choose(gateway, &mut gateway.state(), job, tried).is_ok()
 }
 
-
 fn choose(
     gateway: &Gateway,
     state: &mut State,
@@ -124,8 +127,10 @@
         Decision::Full { retry_after: after } => (Reason::Full, after),
         Decision::NoTarget { retry_after: after } => (Reason::NoTarget, after),
     };
-    Err(Rejection { reason,
-        retry_after, })
+    Err(Rejection {
+        reason,
+        retry_after,
+    })
 }
 
 /// Returns the state of the connections to targets being opened over this router's link.
@@ -139,7 +144,6 @@
     }
 }
 
-
 const fn policy(placement: Placement) -> Policy {
     match placement {
         Placement::Cost => Policy::Cost,
@@ -150,7 +154,12 @@
 }
 
 /// Counts the request toward its target's load. Returns `None` if the target no longer exists.
-fn reserve(gateway: &Arc<Gateway>, state: &mut State, job: &Job, choice: &Choice,) -> Option<Flight> {
+fn reserve(
+    gateway: &Arc<Gateway>,
+    state: &mut State,
+    job: &Job,
+    choice: &Choice,
+) -> Option<Flight> {
     let key = choice.key;
     let now = gateway.now();
     let copy_source = choice
@@ -212,7 +221,10 @@
             held_tokens: state.prefixes.held_tokens(key, &self.job.prompt_parts),
             recently_joined: joined_recently(state, *now, state.directory.joined_at(key)?),
             peers_lag: now.since(state.peers_heard_at),
-            stats: state.board.get(key).as_of(*now, self.peer_lag, self.slot_hold_ms),
+            stats: state
+                .board
+                .get(key)
+                .as_of(*now, self.peer_lag, self.slot_hold_ms),
         })
     }
 
@@ -232,9 +244,14 @@
             state, now, job, ..
         } = self;
         let registration = &state.directory.get(key)?.registration;
-        let counted = counts_in_load.then(|| { state.board.get(key).as_of(*now, self.peer_lag, self.slot_hold_ms)
+        let counted = counts_in_load.then(|| {
+            state
+                .board
+                .get(key)
+                .as_of(*now, self.peer_lag, self.slot_hold_ms)
         });
-        let copies = job.copy_rate.is_some() && eligible::is_allowed(state, job, self.settings, key);
+        let copies =
+            job.copy_rate.is_some() && eligible::is_allowed(state, job, self.settings, key);
         let held = if copies {
             state.prefixes.held_tokens(key, job.shared_parts())
         } else {
@@ -243,12 +260,9 @@
         (counts_in_load || copies).then(|| Holder {
             key,
             placement_id: registration.placement_id(),
-            held_tokens:
-            held,
-            copyable:
-            copies,
-            counted_stats:
-            counted,
+            held_tokens: held,
+            copyable: copies,
+            counted_stats: counted,
         })
     }
 }
--- a/crates/peppercrank-gateway/src/confirm.rs
+++ b/crates/peppercrank-gateway/src/confirm.rs
@@ -113,7 +113,9 @@
 pub fn apply_confirmation(gateway: &Gateway, confirmation: Confirmation) {
     let mut state = gateway.state();
     let version = state.config.index().map(|i| i.desired().version);
-    let verdict = state.pending_question.map(|asked| asked.evaluate(confirmation, version));
+    let verdict = state
+        .pending_question
+        .map(|asked| asked.evaluate(confirmation, version));
     match verdict {
         Some(Verdict::CurrentAsOf(at)) => {
             state.freshness.confirm(at, Source::Router);
--- a/crates/peppercrank-gateway/src/crashes.rs
+++ b/crates/peppercrank-gateway/src/crashes.rs
@@ -76,7 +76,10 @@
 }
 
 /// Returns the next reports and their recipients.
-fn next_reports(gateway: &Gateway, spread: &mut Gossip,) -> Option<(Vec<CrashReport>, Vec<SocketAddr>)> {
+fn next_reports(
+    gateway: &Gateway,
+    spread: &mut Gossip,
+) -> Option<(Vec<CrashReport>, Vec<SocketAddr>)> {
     let now = gateway.now();
     let mut state = gateway.state();
     let Broadcast {
--- a/crates/peppercrank-gateway/src/eligible.rs
+++ b/crates/peppercrank-gateway/src/eligible.rs
@@ -31,8 +31,10 @@
     /// Creates a rejection with the shortest retry delay, for lack of a better estimate.
     pub(crate) const fn with_default_delay(reason: Reason) -> Self {
         let retry_after = MIN_RETRY_AFTER;
-        Self { reason,
-            retry_after, }
+        Self {
+            reason,
+            retry_after,
+        }
     }
 }
 
@@ -98,8 +100,10 @@
     });
     if let Some(retry_after) = pauses.min() {
         let reason = Reason::Paused;
-        return Some(Rejection { reason,
-            retry_after, });
+        return Some(Rejection {
+            reason,
+            retry_after,
+        });
     }
     if excluded_by_region {
         return Some(Rejection::with_default_delay(Reason::NoRegion));
@@ -150,7 +154,10 @@
             continue;
         };
         let name = target.registration.placement_id();
-        match state.warm_up_gate.opens(now, (key, name), request_limit, routers) {
+        match state
+            .warm_up_gate
+            .opens(now, (key, name), request_limit, routers)
+        {
             Opens::Now => eligible.candidates.push(key),
             Opens::After(delay) => {
                 min_delay = min_delay.min(delay);
--- a/crates/peppercrank-gateway/src/flight.rs
+++ b/crates/peppercrank-gateway/src/flight.rs
@@ -44,7 +44,9 @@
     pub fn record_first_part(&mut self) {
         let now = self.gateway.now();
         let took = now.since(self.in_flight.sent_at);
-        self.gateway.metrics.observe_target_answer(&self.instance, took);
+        self.gateway
+            .metrics
+            .observe_target_answer(&self.instance, took);
         let mut state = self.gateway.state();
         let State { board, rates, .. } = &mut *state;
         let rates = rates.entry(Arc::clone(&self.pool)).or_default();
--- a/crates/peppercrank-gateway/src/follow.rs
+++ b/crates/peppercrank-gateway/src/follow.rs
@@ -121,7 +121,10 @@
         let away = self.outage_listener.is_away();
         if away && !matches!(self.role, FollowerRole::ConfirmConfiguration(_)) {
             let _result = timeout(
-                OUTAGE_CHECK_INTERVAL, self.outage_listener.wait_for_return(),).await;
+                OUTAGE_CHECK_INTERVAL,
+                self.outage_listener.wait_for_return(),
+            )
+            .await;
         }
     }
 
@@ -137,7 +140,8 @@
                 }
             }
             // A router that confirms with the store anyway learns of changes that way.
-            FollowerRole::WatchConfiguration(confirmer) if confirmer.asks_store() => { return PollOutcome::Done;
+            FollowerRole::WatchConfiguration(confirmer) if confirmer.asks_store() => {
+                return PollOutcome::Done;
             }
             FollowerRole::ConfirmConfiguration(_)
             | FollowerRole::WatchConfiguration(_)
@@ -204,7 +208,9 @@
     async fn pace(&self) {
         // Do not wait before the first list, except for the watcher, which leaves it to the other
         // follower.
-        if self.known_revision().is_none() && !matches!(self.role, FollowerRole::WatchConfiguration(_)) {
+        if self.known_revision().is_none()
+            && !matches!(self.role, FollowerRole::WatchConfiguration(_))
+        {
             return;
         }
         let routers = self.gateway.state().routers.len() + 1;
@@ -250,7 +256,9 @@
         if self.kind == Kind::Configuration {
             let events = entries.into_iter().map(Event::Put).collect();
             let changes = Changes { events, revision };
-            let proof = self.intake.apply_configurations(asked_at, ReadMode::Snapshot, changes);
+            let proof = self
+                .intake
+                .apply_configurations(asked_at, ReadMode::Snapshot, changes);
             return self.follow_up(proof);
         }
         self.intake.replace(asked_at, entries);
@@ -307,8 +315,10 @@
 
     async fn call(&mut self, path: &str, wait: Duration) -> Result<Bytes, PollOutcome> {
         let answer_timeout = if self.failures == 0 {
-            ANSWER_TIMEOUT } else {
-            PROBE_TIMEOUT };
+            ANSWER_TIMEOUT
+        } else {
+            PROBE_TIMEOUT
+        };
         let asked_at = self.gateway.now();
         let asked_era = self.gateway.state().eras.newest();
         let answer = tokio::select! {
@@ -322,7 +332,9 @@
             Ok(answer) => self.store.read_answer(answer).await,
             Err(outcome) => outcome,
         };
-        self.gateway.metrics.count_store_call(self.kind.as_str(), result.code());
+        self.gateway
+            .metrics
+            .count_store_call(self.kind.as_str(), result.code());
         self.log_configuration_call(wait, asked_at, &result);
         match self.gateway.observe_era(era, asked_era) {
             EraOrder::Same => {}
@@ -339,7 +351,8 @@
             CallResult::Rejected(_) => Err(PollOutcome::Failed("refused")),
             CallResult::NoAnswer => Err(PollOutcome::Failed("no answer")),
             CallResult::Truncated => Err(PollOutcome::Failed("answer broke off")),
-            CallResult::Conflict | CallResult::Missing => { Err(PollOutcome::Failed("unexpected answer"))
+            CallResult::Conflict | CallResult::Missing => {
+                Err(PollOutcome::Failed("unexpected answer"))
             }
         }
     }
--- a/crates/peppercrank-gateway/src/gossip.rs
+++ b/crates/peppercrank-gateway/src/gossip.rs
@@ -61,10 +61,14 @@
         let bytes_per_interval =
             BYTES_PER_SECOND / usize::try_from(1_000 / SUMMARY_INTERVAL.as_millis()).unwrap_or(1);
         let reports = reports::report_bytes(
-            bytes_per_interval, peers, self.last_summary_bytes,
-            BYTES_PER_SECOND,);
+            bytes_per_interval,
+            peers,
+            self.last_summary_bytes,
+            BYTES_PER_SECOND,
+        );
         // Capped so that an idle period does not lead to a burst.
-        self.summary_allowance = (self.summary_allowance + bytes_per_interval - reports).min(2 * bytes_per_interval.max(self.last_summary_bytes));
+        self.summary_allowance = (self.summary_allowance + bytes_per_interval - reports)
+            .min(2 * bytes_per_interval.max(self.last_summary_bytes));
         self.report_allowance = (self.report_allowance + reports).min(2 * bytes_per_interval);
     }
 
@@ -75,7 +79,10 @@
         self.add_allowance(peers.len());
         peers.sort_unstable();
         let count = (self.summary_allowance / self.last_summary_bytes.max(1)).min(peers.len());
-        let rotated = peers.iter().cycle().skip(self.next_peer % peers.len().max(1));
+        let rotated = peers
+            .iter()
+            .cycle()
+            .skip(self.next_peer % peers.len().max(1));
         let to = rotated.take(count).map(|(_, address)| *address);
         let to = to.collect::<Vec<_>>();
         self.next_peer = (self.next_peer + count) % peers.len().max(1);
@@ -143,15 +150,21 @@
         return;
     };
     let bytes = send(gateway, socket, to, Datagram::LoadReports(reports)).await;
-    schedule.report_allowance = schedule.report_allowance.saturating_sub(bytes + DATAGRAM_HEADER_BYTES);
+    schedule.report_allowance = schedule
+        .report_allowance
+        .saturating_sub(bytes + DATAGRAM_HEADER_BYTES);
 }
 
 /// Returns the load reports to relay and a random peer; `None` if there are no reports or peers.
 fn reports_to_relay(now: Instant, state: &State) -> Option<(Vec<LoadReport>, SocketAddr)> {
-    let report =
-        |(name, key): (&TargetId, &TargetKey)| { LoadReport::from_stats(*name, &state.board.get(*key), now)
+    let report = |(name, key): (&TargetId, &TargetKey)| {
+        LoadReport::from_stats(*name, &state.board.get(*key), now)
     };
-    let mut reports = state.keys_by_id.iter().filter_map(report).collect::<Vec<_>>();
+    let mut reports = state
+        .keys_by_id
+        .iter()
+        .filter_map(report)
+        .collect::<Vec<_>>();
     reports::select(&mut reports);
     if reports.is_empty() {
         return None;
@@ -218,10 +231,17 @@
             Ok(Datagram::Summary(summary)) => apply_summary(&gateway, from, &summary),
             Ok(Datagram::ConfirmationRequest(question)) => {
                 if let Some(confirmation) = confirm::answer_question(&gateway, question) {
-                    send(&gateway, &socket, from, Datagram::Confirmation(confirmation),).await;
+                    send(
+                        &gateway,
+                        &socket,
+                        from,
+                        Datagram::Confirmation(confirmation),
+                    )
+                    .await;
                 }
             }
-            Ok(Datagram::Confirmation(confirmation)) => { confirm::apply_confirmation(&gateway, confirmation);
+            Ok(Datagram::Confirmation(confirmation)) => {
+                confirm::apply_confirmation(&gateway, confirmation);
             }
             Ok(Datagram::LoadReports(reports)) => apply_reports(&gateway, &reports),
             Ok(Datagram::CrashReports(reports)) => {
--- a/crates/peppercrank-gateway/src/intake.rs
+++ b/crates/peppercrank-gateway/src/intake.rs
@@ -156,8 +156,12 @@
     /// A malformed configuration must not invalidate the last good one, as that would refuse all
     /// callers.
     #[must_use]
-    pub fn apply_configurations(&mut self,
-        asked_at: Instant, reading: ReadMode, changes: Changes,) -> Proof {
+    pub fn apply_configurations(
+        &mut self,
+        asked_at: Instant,
+        reading: ReadMode,
+        changes: Changes,
+    ) -> Proof {
         self.malformed_entries = 0;
         let versions = changes.events.len();
         let mut newer = false;
@@ -172,7 +176,9 @@
         }
         let mut state = self.gateway.state();
         let revision = changes.revision;
-        let proof = state.catch_up.record_read(reading, revision, versions, newer);
+        let proof = state
+            .catch_up
+            .record_read(reading, revision, versions, newer);
         let era_settled = state.eras.can_prove_newest(asked_at);
         if proof == Proof::Newest && era_settled && state.config.index().is_some() {
             state.freshness.confirm(asked_at, Source::Store);
--- a/crates/peppercrank-gateway/src/job.rs
+++ b/crates/peppercrank-gateway/src/job.rs
@@ -174,9 +174,14 @@
             Access::Member(organisation) => Some(organisation),
             Access::Denied => return Err(Reason::Denied),
         };
-        let pool = route.pool(call_head.id.as_bytes()).ok_or(Reason::NoTarget)?;
+        let pool = route
+            .pool(call_head.id.as_bytes())
+            .ok_or(Reason::NoTarget)?;
         peppercrank_wire::headers::strip(&mut head.headers);
-        let timeout = call_head.timeout.unwrap_or(route.timeout).min(route.timeout);
+        let timeout = call_head
+            .timeout
+            .unwrap_or(route.timeout)
+            .min(route.timeout);
         let RequestHead { id, prompt, .. } = call_head;
         let prompt = prompt.unwrap_or_default();
         let settings = index.pool(pool);
--- a/crates/peppercrank-gateway/src/metrics.rs
+++ b/crates/peppercrank-gateway/src/metrics.rs
@@ -164,7 +164,11 @@
             "Repeats asked of the retry budget, by its answer",
             self.repeats.clone(),
         );
-        r.register("store_calls", "Calls to the store", self.store_calls.clone(),);
+        r.register(
+            "store_calls",
+            "Calls to the store",
+            self.store_calls.clone(),
+        );
         r.register(
             "store_bytes",
             "Bytes of the store's answers, also of those given up",
@@ -249,7 +253,9 @@
     /// Counts an attempt or stream without a complete answer. Malformed datagrams are counted here
     /// too.
     pub fn count_failed_attempt(&self, reason: &'static str) {
-        self.attempts_failed.get_or_create(&ReasonLabel { reason }).inc();
+        self.attempts_failed
+            .get_or_create(&ReasonLabel { reason })
+            .inc();
     }
 
     /// Counts a retry that the budget allowed or denied.
@@ -272,14 +278,18 @@
 
     /// Counts a malformed store entry.
     pub fn count_invalid_entry(&self, kind: &'static str) {
-        self.invalid_entries.get_or_create(&KindLabel { kind }).inc();
+        self.invalid_entries
+            .get_or_create(&KindLabel { kind })
+            .inc();
     }
 
     /// Counts a confirmation of what is known about keys, by whether a router or the store was
     /// asked.
     pub fn count_confirmation(&self, by_router: bool) {
         let reason = if by_router { "router" } else { "store" };
-        self.confirmations.get_or_create(&ReasonLabel { reason }).inc();
+        self.confirmations
+            .get_or_create(&ReasonLabel { reason })
+            .inc();
     }
 
     /// Counts a datagram as sent or failed.
@@ -301,7 +311,9 @@
     pub fn observe_gap(&self, kind: RouteKind, gap: Duration) {
         let kind = kind.code();
         let label = KindLabel { kind };
-        self.gap_seconds.get_or_create(&label).observe(gap.as_secs_f64());
+        self.gap_seconds
+            .get_or_create(&label)
+            .observe(gap.as_secs_f64());
     }
 
     /// Records a target's time to the first part of its answer.
@@ -331,7 +343,9 @@
     }
 
     fn lock_named_targets(&self) -> MutexGuard<'_, HashSet<String>> {
-        self.named_targets.lock().unwrap_or_else(PoisonError::into_inner)
+        self.named_targets
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Removes the series of a target that is gone.
@@ -344,7 +358,8 @@
 
     /// Sets the version of the configuration in force.
     pub fn set_config_version(&self, version: u64) {
-        self.config_version.set(i64::try_from(version).unwrap_or(i64::MAX));
+        self.config_version
+            .set(i64::try_from(version).unwrap_or(i64::MAX));
     }
 
     fn update_retries_left(&self, state: &mut State, now: Instant) {
@@ -353,7 +368,9 @@
         for pool in pools {
             let left = state.retry_budget.remaining(now, &pool, routers);
             let pool = pool.to_string();
-            self.retries_left.get_or_create(&PoolLabel { pool }).set(left);
+            self.retries_left
+                .get_or_create(&PoolLabel { pool })
+                .set(left);
         }
     }
 
@@ -368,13 +385,16 @@
             .activation_time()
             .map(|at| now.since(at).as_millis());
         self.config_age.set(since.map_or(-1, saturating_i64));
-        self.dropped_log_lines.set(saturating_i64(u128::from(gateway.log.dropped())));
+        self.dropped_log_lines
+            .set(saturating_i64(u128::from(gateway.log.dropped())));
         let age = state.freshness.age(now).map(|a| a.as_millis());
         self.keys_age.set(age.map_or(-1, saturating_i64));
         let quarantined = state.quarantine.quarantined_count();
         self.quarantined.set(saturating_i64(quarantined as u128));
-        self.peers.set(saturating_i64(state.peers.alive_count(now) as u128));
-        self.targets.set(saturating_i64(state.directory.len() as u128));
+        self.peers
+            .set(saturating_i64(state.peers.alive_count(now) as u128));
+        self.targets
+            .set(saturating_i64(state.directory.len() as u128));
         drop(state);
         let mut text = String::new();
         // Writing to a string cannot fail.
--- a/crates/peppercrank-gateway/src/register.rs
+++ b/crates/peppercrank-gateway/src/register.rs
@@ -60,7 +60,9 @@
     };
     let path = store::list_path(Kind::Routers, None);
     let created = store.post(&path, body.clone()).await;
-    gateway.metrics.count_store_call("register", created.result.code());
+    gateway
+        .metrics
+        .count_store_call("register", created.result.code());
     let written = match created.result {
         CallResult::Conflict => {
             let path = store::entry_path(Kind::Routers, &entry.name);
--- a/crates/peppercrank-gateway/src/relay.rs
+++ b/crates/peppercrank-gateway/src/relay.rs
@@ -98,12 +98,18 @@
                 }
                 StreamEvent::End if self.is_at_event_boundary() => return self.finish(),
                 StreamEvent::End | StreamEvent::Truncated => {
-                    if !self.fail_over("stream cut", CrashEvidence::ConnectionLost).await {
+                    if !self
+                        .fail_over("stream cut", CrashEvidence::ConnectionLost)
+                        .await
+                    {
                         return self.abort("stream cut");
                     }
                 }
                 StreamEvent::TargetRestarted => {
-                    if !self.fail_over("target started again", CrashEvidence::TargetRestarted).await {
+                    if !self
+                        .fail_over("target started again", CrashEvidence::TargetRestarted)
+                        .await
+                    {
                         return self.abort("target started again");
                     }
                 }
@@ -124,8 +130,10 @@
     }
 
     /// Waits for the next event.
-    async fn next_event(&mut self,
-        deadline_timer: Pin<&mut impl Future<Output = ()>>,) -> StreamEvent {
+    async fn next_event(
+        &mut self,
+        deadline_timer: Pin<&mut impl Future<Output = ()>>,
+    ) -> StreamEvent {
         let Some(upstream) = &mut self.upstream else {
             return StreamEvent::Truncated;
         };
@@ -209,8 +217,14 @@
         let last = self.events.as_ref().and_then(EventBuffer::last_event_id);
         let last = last.map(str::to_owned);
         let first_part_deadline = request.first_part_deadline(&flight);
-        let sent = send(&request.gateway, &request.job, &mut flight,
-            first_part_deadline, last.as_deref(),).await;
+        let sent = send(
+            &request.gateway,
+            &request.job,
+            &mut flight,
+            first_part_deadline,
+            last.as_deref(),
+        )
+        .await;
         match sent {
             Ok(TargetAnswer::Stream { first, rest, .. }) => {
                 if let Some(events) = &mut self.events {
@@ -248,7 +262,8 @@
     /// Ends a complete stream.
     fn finish(self) {
         self.request.record_served();
-        self.request.log_answered(&self.flight, StatusCode::OK, self.first_part_after);
+        self.request
+            .log_answered(&self.flight, StatusCode::OK, self.first_part_after);
         self.downstream.finish();
     }
 
--- a/crates/peppercrank-gateway/src/run.rs
+++ b/crates/peppercrank-gateway/src/run.rs
@@ -120,19 +120,30 @@
         let peer_address = socket.local_addr().map_err(Error::Start)?;
         let hangup = signal(SignalKind::hangup()).map_err(Error::Start)?;
         let (settings_sender, settings) = watch::channel(Arc::new(settings));
-        let gateway = Arc::new(Gateway::new(clock, settings, log,
+        let gateway = Arc::new(Gateway::new(
+            clock,
+            settings,
+            log,
             serve_stop.clone(),
-            peer_address,));
+            peer_address,
+        ));
         let (caller_address, health_address) = (edge.local_addr(), ready.local_addr());
         let address = caller_address.to_string();
         let fields = [("listen", Field::Text(&address))];
         gateway.log.write(Event::Started, &fields);
 
-        let store = Store::new(gateway.settings().store, gateway.metrics.store_byte_counter(),);
+        let store = Store::new(
+            gateway.settings().store,
+            gateway.metrics.store_byte_counter(),
+        );
         let mut tasks = JoinSet::new();
         start_tasks(&mut tasks, &gateway, &store, Arc::new(socket));
-        let reloading = reload::keep_settings_current(Arc::clone(&gateway), path.to_owned(),
-            settings_sender, hangup,);
+        let reloading = reload::keep_settings_current(
+            Arc::clone(&gateway),
+            path.to_owned(),
+            settings_sender,
+            hangup,
+        );
         tasks.spawn(reloading);
         serve_admin(&gateway, ready, &admin_stop).await?;
         tasks.spawn(adjust_idle_connections(Arc::clone(&gateway)));
@@ -196,9 +207,18 @@
     ));
     tasks.spawn(targets::expire_targets(Arc::clone(gateway)));
     tasks.spawn(progress::log_in_progress(Arc::clone(gateway)));
-    tasks.spawn(register::keep_registered(Arc::clone(gateway), store.clone(),));
-    tasks.spawn(gossip::send_summaries(Arc::clone(gateway), Arc::clone(&socket),));
-    tasks.spawn(crashes::send_crash_reports(Arc::clone(gateway), Arc::clone(&socket),));
+    tasks.spawn(register::keep_registered(
+        Arc::clone(gateway),
+        store.clone(),
+    ));
+    tasks.spawn(gossip::send_summaries(
+        Arc::clone(gateway),
+        Arc::clone(&socket),
+    ));
+    tasks.spawn(crashes::send_crash_reports(
+        Arc::clone(gateway),
+        Arc::clone(&socket),
+    ));
     tasks.spawn(gossip::receive(Arc::clone(gateway), socket));
 }
 
@@ -231,7 +251,8 @@
             continue;
         };
         let routers = gateway.state().router_count(gateway.now());
-        let spare = desired::max_idle_connections(&index.desired().pools, routers, MAX_IDLE_PER_TARGET);
+        let spare =
+            desired::max_idle_connections(&index.desired().pools, routers, MAX_IDLE_PER_TARGET);
         gateway.client.set_spare(spare);
     }
 }
--- a/crates/peppercrank-gateway/src/serve.rs
+++ b/crates/peppercrank-gateway/src/serve.rs
@@ -88,14 +88,14 @@
         job,
     };
     loop {
-        if let NextStep::Answer(reply) = request.attempt().await {
+        if let RequestStep::Answer(reply) = request.attempt().await {
             return reply;
         }
     }
 }
 
 /// What follows an attempt.
-enum NextStep {
+enum RequestStep {
     /// Return this answer.
     Answer(Reply),
     /// Make another attempt.
@@ -147,9 +147,9 @@
 }
 
 impl ActiveRequest {
-    async fn attempt(&mut self) -> NextStep {
+    async fn attempt(&mut self) -> RequestStep {
         if self.gateway.now() >= self.job.deadline {
-            return NextStep::Answer(self.give_up(Reason::Late));
+            return RequestStep::Answer(self.give_up(Reason::Late));
         }
         if let Some(next) = self.refuse_if_quarantined() {
             return next;
@@ -158,13 +158,19 @@
             Ok(flight) => flight,
             Err(rejection) => {
                 self.retry_after = rejection.retry_after;
-                return NextStep::Answer(self.give_up(rejection.reason));
+                return RequestStep::Answer(self.give_up(rejection.reason));
             }
         };
         self.tried.push(flight.in_flight.choice.key);
         let first_part_deadline = self.first_part_deadline(&flight);
-        let result = send(&self.gateway, &self.job, &mut flight,
-            first_part_deadline, None,).await;
+        let result = send(
+            &self.gateway,
+            &self.job,
+            &mut flight,
+            first_part_deadline,
+            None,
+        )
+        .await;
         match result {
             Ok(answer) => self.handle_answer(flight, answer),
             Err(error) => self.handle_error(&flight, error).await,
@@ -172,18 +178,20 @@
     }
 
     /// Refuses the request if it is quarantined.
-    fn refuse_if_quarantined(&mut self) -> Option<NextStep> {
+    fn refuse_if_quarantined(&mut self) -> Option<RequestStep> {
         self.retry_after = crashes::quarantine_delay(&self.gateway, &self.job)?;
-        Some(NextStep::Answer(self.give_up(Reason::CrashesTargets)))
+        Some(RequestStep::Answer(self.give_up(Reason::CrashesTargets)))
     }
 
     /// Handles a lost attempt that may indicate a crash of its target.
     pub async fn record_loss(&self, flight: &Flight, crash_evidence: CrashEvidence) {
         match crash_evidence {
             CrashEvidence::None => {}
-            CrashEvidence::ConnectionLost => { crashes::check_for_crash(&self.gateway, &self.job, flight).await;
+            CrashEvidence::ConnectionLost => {
+                crashes::check_for_crash(&self.gateway, &self.job, flight).await;
             }
-            CrashEvidence::TargetRestarted => { crashes::record_restart(&self.gateway, &self.job, flight);
+            CrashEvidence::TargetRestarted => {
+                crashes::record_restart(&self.gateway, &self.job, flight);
             }
         }
     }
@@ -200,26 +208,30 @@
     /// Returns until when this attempt may take to produce the first part of its answer.
     #[must_use]
     pub fn first_part_deadline(&self, flight: &Flight) -> Instant {
-        let may_retry = self.job.kind.is_retryable() && self.plan.sends() + 1 < self.job.max_attempts;
+        let may_retry =
+            self.job.kind.is_retryable() && self.plan.sends() + 1 < self.job.max_attempts;
         // The last attempt gets all remaining time, as its answer may still arrive.
         if !may_retry || !self.can_retry() {
             return self.job.deadline;
         }
         let wanted = self.job.goal.mul_f64(RETRY_AFTER_SHARE);
-        let predicted =
-            Duration::from_secs_f64(flight.in_flight.choice.predicted_first_ms.max(0.0) * PREDICTION_FACTOR / 1_000.0,);
+        let predicted = Duration::from_secs_f64(
+            flight.in_flight.choice.predicted_first_ms.max(0.0) * PREDICTION_FACTOR / 1_000.0,
+        );
         (flight.in_flight.sent_at + wanted.max(predicted)).min(self.job.deadline)
     }
 
     /// Forwards a target's answer, or tries another target after a failure.
-    fn handle_answer(&mut self, flight: Flight, answer: TargetAnswer) -> NextStep {
+    fn handle_answer(&mut self, flight: Flight, answer: TargetAnswer) -> RequestStep {
         match answer {
             TargetAnswer::Whole(whole) => {
                 self.settle_failures(RequestEnd::Served);
                 self.record_served();
-                self.gateway.metrics.observe_answer(self.job.kind, self.elapsed());
+                self.gateway
+                    .metrics
+                    .observe_answer(self.job.kind, self.elapsed());
                 self.log_answered(&flight, whole.status, self.elapsed());
-                NextStep::Answer(whole_reply(whole))
+                RequestStep::Answer(whole_reply(whole))
             }
             TargetAnswer::Failure(whole) => {
                 self.attribution.add_suspect(flight.suspect());
@@ -235,9 +247,11 @@
                 rest,
             } => {
                 self.settle_failures(RequestEnd::Served);
-                self.gateway.metrics.observe_answer(self.job.kind, self.elapsed());
+                self.gateway
+                    .metrics
+                    .observe_answer(self.job.kind, self.elapsed());
                 let body = relay::start(self, flight, first, rest);
-                NextStep::Answer(reply(status, headers, body))
+                RequestStep::Answer(reply(status, headers, body))
             }
         }
     }
@@ -250,7 +264,7 @@
     }
 
     /// Handles an attempt that produced no answer.
-    async fn handle_error(&mut self, flight: &Flight, error: AttemptError) -> NextStep {
+    async fn handle_error(&mut self, flight: &Flight, error: AttemptError) -> RequestStep {
         self.log_failed_attempt(flight, error.cause);
         self.record_loss(flight, error.crash_evidence).await;
         let after = self.plan.record_attempt(error.execution);
@@ -265,12 +279,12 @@
         self.retry_or_give_up(after, reason)
     }
 
-    fn retry_or_give_up(&mut self, after: NextStep, reason: Reason) -> NextStep {
+    fn retry_or_give_up(&mut self, after: NextStep, reason: Reason) -> RequestStep {
         match after {
-            NextStep::Retry => NextStep::Retry,
-            NextStep::RetryWithinBudget if self.spend_retry() => NextStep::Retry,
+            NextStep::Retry => RequestStep::Retry,
+            NextStep::RetryWithinBudget if self.spend_retry() => RequestStep::Retry,
             NextStep::RetryWithinBudget | NextStep::Refuse | NextStep::Fail => {
-                NextStep::Answer(self.give_up(reason))
+                RequestStep::Answer(self.give_up(reason))
             }
         }
     }
@@ -292,8 +306,11 @@
     #[must_use]
     pub fn can_fail_over(&self) -> bool {
         let mut plan = self.plan;
-        let retry_allowed = plan.record_attempt(ExecutionState::Unknown) == NextStep::RetryWithinBudget;
-        retry_allowed && self.can_retry() && can_reserve_target(&self.gateway, &self.job, &self.tried)
+        let retry_allowed =
+            plan.record_attempt(ExecutionState::Unknown) == NextStep::RetryWithinBudget;
+        retry_allowed
+            && self.can_retry()
+            && can_reserve_target(&self.gateway, &self.job, &self.tried)
     }
 
     /// Takes a retry from the fleet's budget, and returns whether there was one.
@@ -394,7 +411,10 @@
             ("status", Field::Number(u64::from(status.as_u16()))),
             ("attempts", Field::Number(u64::from(self.plan.sends()) + 1)),
             ("version", Field::Number(self.job.config_version)),
-            ("reading", Field::Number(flight.in_flight.choice.prefill_tokens),),
+            (
+                "reading",
+                Field::Number(flight.in_flight.choice.prefill_tokens),
+            ),
             (
                 "copy",
                 Field::Number(flight.in_flight.choice.copy.map_or(0, |(_, tokens)| tokens)),
@@ -403,7 +423,10 @@
                 "unknown",
                 Field::Number(u64::from(flight.in_flight.choice.holder_unknown)),
             ),
-            ("home", Field::Number(u64::from(flight.in_flight.choice.is_home)),),
+            (
+                "home",
+                Field::Number(u64::from(flight.in_flight.choice.is_home)),
+            ),
             (
                 "predicted_ms",
                 Field::Number(whole_millis(flight.in_flight.choice.predicted_first_ms)),
--- a/crates/peppercrank-gateway/src/state.rs
+++ b/crates/peppercrank-gateway/src/state.rs
@@ -192,12 +192,20 @@
 
     /// Records that a target was sent these prompt parts, and queues hints to peers about the new
     /// ones.
-    pub fn record_sent_parts(&mut self, now: Instant, choice: &Choice, target: TargetId, parts: &[PromptPart],) {
+    pub fn record_sent_parts(
+        &mut self,
+        now: Instant,
+        choice: &Choice,
+        target: TargetId,
+        parts: &[PromptPart],
+    ) {
         for part in parts {
             if self.prefixes.record(now, choice.key, part.prefix_hash) {
                 let chain = part.prefix_hash;
-                let hint = PrefixHint { target,
-                    prefix_hash: chain, };
+                let hint = PrefixHint {
+                    target,
+                    prefix_hash: chain,
+                };
                 self.outbox.push(hint, self.routers.len());
             }
         }
--- a/crates/peppercrank-gateway/src/targets.rs
+++ b/crates/peppercrank-gateway/src/targets.rs
@@ -101,8 +101,7 @@
     let state = gateway.state();
     let registered = state.directory.get(key);
     let info = registered.map(|t| TargetInfo::from_registration(&t.registration));
-    info
-        .or_else(|| state.target_info.get(key).cloned())
+    info.or_else(|| state.target_info.get(key).cloned())
         .unwrap_or_default()
 }
 
