--- a/crates/peppercrank-direct/src/directory.rs
+++ b/crates/peppercrank-direct/src/directory.rs
@@ -177,13 +177,13 @@
         match target.registration.start.relation(entry.start) {
             Relation::Same => {
                 let pool = Arc::clone(&entry.pool);
-                let before = Arc::clone(&target.registration.pool);
-                let noted = target.refresh(now, key, entry);
-                if pool != before {
-                    self.remove_from_pool(&before, key);
+                let previous = Arc::clone(&target.registration.pool);
+                let event = target.refresh(now, key, entry);
+                if pool != previous {
+                    self.remove_from_pool(&previous, key);
                     self.pools.entry(pool).or_default().push(key);
                 }
-                noted
+                event
             }
             Relation::Newer => self.restart(now, key, entry),
             Relation::Older => target.record_conflicting(now, key, entry),
@@ -357,15 +357,15 @@
         let overdue = |t: &Target| matches!(t.state, State::Missing(until) if now >= until);
         let overdue = self.targets.iter().filter(|(_, t)| overdue(t));
         let overdue = overdue.map(|(k, _)| k).collect::<Vec<_>>();
-        let mut noted = Vec::new();
+        let mut events = Vec::new();
         for key in overdue {
-            noted.push(self.depart(now, key));
+            events.push(self.depart(now, key));
         }
         self.departed
             .retain(|_, d| now.since(d.removed_at) < DEPARTED_RETENTION);
         if self.held_until.is_some_and(|until| now >= until) {
             for (_, entry) in std::mem::take(&mut self.held_entries) {
-                noted.push(self.join(now, entry));
+                events.push(self.join(now, entry));
             }
         }
         let settled = self.targets.iter_mut().filter_map(|(key, target)| {
@@ -373,9 +373,9 @@
             Some((key, entry))
         });
         for (key, entry) in settled.collect::<Vec<_>>() {
-            noted.push(self.restart(now, key, entry));
+            events.push(self.restart(now, key, entry));
         }
-        noted
+        events
     }
 
     /// Returns the time at which the first whole list was read.
--- a/crates/peppercrank-direct/tests/verify_directory.rs
+++ b/crates/peppercrank-direct/tests/verify_directory.rs
@@ -299,17 +299,17 @@
     // A leaving mark belongs to one start.
     directory.mark_replaced(ZERO, old);
     assert_eq!(ready(&directory, ZERO), ["two"]);
-    let noted = directory.apply(ZERO, entry_of_start(Some(6)));
+    let event = directory.apply(ZERO, entry_of_start(Some(6)));
     let new = directory.find("one").expect("a key");
-    assert_eq!(noted, TargetEvent::Restarted { old, new });
+    assert_eq!(event, TargetEvent::Restarted { old, new });
     assert_ne!(old, new);
     assert!(!directory.is_usable(ZERO, old));
     assert_eq!(ready(&directory, ZERO), ["one", "two"]);
     // The same for a start in a list after an outage of the store.
     directory.store_lost();
     directory.store_recovered(ZERO);
-    let noted = directory.replace(ZERO, vec![entry_of_start(Some(7)), put("two", false)]);
-    assert!(matches!(noted[0], TargetEvent::Restarted { old, .. } if old == new));
+    let events = directory.replace(ZERO, vec![entry_of_start(Some(7)), put("two", false)]);
+    assert!(matches!(events[0], TargetEvent::Restarted { old, .. } if old == new));
     // An entry of another writer, without a start, identifies no target.
     directory.apply(ZERO, entry_of_start(None));
     assert_eq!(ready(&directory, ZERO), ["two"]);
@@ -336,8 +336,8 @@
     );
     assert!(directory.expire(later).is_empty());
     let settled = ZERO + OLDER_START_DELAY;
-    let noted = directory.expire(settled);
-    assert!(matches!(noted[..], [TargetEvent::Restarted { old: ended, .. }] if ended == old));
+    let events = directory.expire(settled);
+    assert!(matches!(events[..], [TargetEvent::Restarted { old: ended, .. }] if ended == old));
     assert_eq!(ready(&directory, settled), ["one", "two"]);
     // Alone in its pool, the target is used meanwhile.
     let mut single = Directory::default();
--- a/crates/peppercrank-direct/tests/verify_era.rs
+++ b/crates/peppercrank-direct/tests/verify_era.rs
@@ -93,8 +93,8 @@
     assert_eq!(directory.find("two"), None);
     let until = at(2) + RESTORE_HOLD;
     assert!(directory.expire(at(3)).is_empty());
-    let noted = directory.expire(until);
-    assert!(matches!(noted[..], [TargetEvent::Joined(_)]), "{noted:?}");
+    let events = directory.expire(until);
+    assert!(matches!(events[..], [TargetEvent::Joined(_)]), "{events:?}");
     assert!(is_eligible(&directory, until, "two"));
 }
 
@@ -118,20 +118,20 @@
     let mut directory = directory(&["one"]);
     directory.apply(at(1), Change::Removed(Arc::from("one")));
     directory.store_restored(at(2));
-    let noted = directory.apply(at(2), Change::Put(entry("one", 2)));
-    assert!(matches!(noted, TargetEvent::Joined(_)), "{noted:?}");
+    let event = directory.apply(at(2), Change::Put(entry("one", 2)));
+    assert!(matches!(event, TargetEvent::Joined(_)), "{event:?}");
 }
 
 #[test]
 fn verify_without_a_restore_a_returning_entry_joins_at_once() {
     let mut directory = directory(&["one"]);
     directory.apply(at(1), Change::Removed(Arc::from("one")));
-    let noted = directory.apply(at(2), Change::Put(entry("one", 1)));
-    assert!(matches!(noted, TargetEvent::Joined(_)), "{noted:?}");
+    let event = directory.apply(at(2), Change::Put(entry("one", 1)));
+    assert!(matches!(event, TargetEvent::Joined(_)), "{event:?}");
     directory.apply(at(3), Change::Removed(Arc::from("one")));
     directory.store_restored(at(4));
-    let noted = directory.apply(at(4) + RESTORE_HOLD, Change::Put(entry("one", 1)));
-    assert!(matches!(noted, TargetEvent::Joined(_)), "{noted:?}");
+    let event = directory.apply(at(4) + RESTORE_HOLD, Change::Put(entry("one", 1)));
+    assert!(matches!(event, TargetEvent::Joined(_)), "{event:?}");
 }
 
 #[test]
