--- a/crates/peppercrank-direct/src/quarantine.rs
+++ b/crates/peppercrank-direct/src/quarantine.rs
@@ -314,8 +314,8 @@
         pending.into_iter().map(tell).collect()
     }
 
-    /// Returns reports on all quarantined requests, the most recently seen first, for routers that
-    /// may have missed them.
+    /// Returns reports on quarantined requests for one datagram, the most recently seen first, for
+    /// routers that may have missed them.
     #[must_use]
     pub fn quarantined_reports(&self, now: Moment) -> Vec<CrashReport> {
         let quarantined = self.evidence.iter().filter(|(_, e)| e.is_quarantined());
--- a/crates/peppercrank-direct/src/quarantine/spread.rs
+++ b/crates/peppercrank-direct/src/quarantine/spread.rs
@@ -111,8 +111,8 @@
 /// more times (three seeds in virtual time); with it, not once.
 pub const STARTUP_FANOUT: usize = 4;
 
-/// Returns the reports that the sender of `reports` lacks; all quarantined requests if `reports` is
-/// empty, which means that the sender has just started.
+/// Returns the reports that the sender of `reports` lacks; those of quarantined requests if `reports`
+/// is empty, which means that the sender has just started.
 #[must_use]
 pub fn missing_reports(
     now: Moment,
--- a/crates/peppercrank-direct/src/rates.rs
+++ b/crates/peppercrank-direct/src/rates.rs
@@ -108,7 +108,7 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "the cast saturates, which is what is meant"
+    reason = "the cast saturates, as intended"
 )]
 pub(crate) const fn saturating_u64(number: f64) -> u64 {
     number as u64
--- a/crates/peppercrank-direct/src/stats.rs
+++ b/crates/peppercrank-direct/src/stats.rs
@@ -16,7 +16,8 @@
 /// than this router knows of. A report still says more than peer counts that are older than it.
 const REPORT_TTL: Duration = Duration::from_secs(1);
 
-/// Time for which a load report is used when the peers' counts are older than [`REPORT_TTL`].
+/// Longest time for which a load report is used, where the peers' counts are older than
+/// [`REPORT_TTL`].
 const MAX_REPORT_TTL: Duration = Duration::from_secs(2);
 
 /// Age up to which peers' counts are treated as current: in a small fleet each router sends its
@@ -247,7 +248,7 @@
         true
     }
 
-    /// Records the time that an answer took and the time that was predicted, both in milliseconds.
+    /// Records the time to the first part of an answer and its prediction, both in milliseconds.
     pub fn record_latency(&mut self, took: f64, predicted: f64) {
         let sample =
             (took / predicted.max(1.0)).clamp(LATENCY_RATIO_BOUNDS.0, LATENCY_RATIO_BOUNDS.1);
--- a/crates/peppercrank-direct/tests/verify_attribution.rs
+++ b/crates/peppercrank-direct/tests/verify_attribution.rs
@@ -36,7 +36,7 @@
         assert_eq!(settled.len(), *against, "{failed} failed, {end:?}");
         assert!(
             attribution.resolve(RequestEnd::Served).is_empty(),
-            "settled once"
+            "resolved once"
         );
     }
 }
--- a/crates/peppercrank-direct/tests/verify_confirm.rs
+++ b/crates/peppercrank-direct/tests/verify_confirm.rs
@@ -25,7 +25,7 @@
 
 fn confirmation(version: u64, age: u64) -> Confirmation {
     let age = Some(Duration::from_millis(age));
-    Confirmation::new(REQUEST, key_state(Some(version), age)).expect("knowledge")
+    Confirmation::new(REQUEST, key_state(Some(version), age)).expect("the key state is known")
 }
 
 fn key_state(version: Option<u64>, age: Option<Duration>) -> KeyState {
@@ -111,7 +111,8 @@
         // ms.
         let (sent, answered) = (common + 60, common + 120);
         let age = freshness.age(at(offsets[hop - 1] + answered));
-        let answer = Confirmation::new(REQUEST, key_state(Some(1), age)).expect("knowledge");
+        let answer =
+            Confirmation::new(REQUEST, key_state(Some(1), age)).expect("the key state is known");
         let asked = PendingRequest {
             request: REQUEST,
             sent_at: at(offsets[hop] + sent),
@@ -161,5 +162,5 @@
     // A shorter confirmation from an earlier version does not decode, so the store is queried
     // instead.
     let shorter = Datagram::decode(&bytes[..bytes.len() - 1]);
-    shorter.expect_err("no datagram");
+    shorter.expect_err("a truncated datagram");
 }
--- a/crates/peppercrank-direct/tests/verify_overcount.rs
+++ b/crates/peppercrank-direct/tests/verify_overcount.rs
@@ -113,7 +113,7 @@
     let Decision::Send(choice) = decision else {
         panic!("{decision:?}");
     };
-    assert_ne!(choice.key, candidates[0].key, "it holds {HOT_LOAD}");
+    assert_ne!(choice.key, candidates[0].key, "its load is {HOT_LOAD}");
 }
 
 #[test]
--- a/crates/peppercrank-direct/tests/verify_reports.rs
+++ b/crates/peppercrank-direct/tests/verify_reports.rs
@@ -55,7 +55,7 @@
 }
 
 fn report(target: u32, load: u32, age: u64) -> LoadReport {
-    LoadReport::new(TargetId(target), load, Duration::from_millis(age)).expect("a young report")
+    LoadReport::new(TargetId(target), load, Duration::from_millis(age)).expect("a recent report")
 }
 
 /// A pool whose first target holds the prompt; `count` and `reported` are its counted and its
@@ -108,7 +108,7 @@
 fn verify_a_target_over_the_cap_by_a_relayed_report_gets_nothing() {
     assert!(
         is_sent_to_first(&pool(6, None, LARGE_FLEET_LAG)),
-        "six of nine are allowed"
+        "a load of six is below the cap of nine"
     );
     assert!(!is_sent_to_first(&pool(6, Some(12), LARGE_FLEET_LAG)));
     assert!(!is_sent_to_first(&pool(14, Some(64), LARGE_FLEET_LAG)));
@@ -168,9 +168,9 @@
     let load = |stats: Stats| stats.as_of(now(), LARGE_FLEET_LAG, 1e9).load();
     assert_eq!(load(stats), 10, "an older report changes nothing");
     stats.record_relayed_report(ago(250), 11);
-    assert_eq!(load(stats), 12, "it was sent after that");
+    assert_eq!(load(stats), 12, "the request was sent after the report");
     stats.record_relayed_report(ago(100), 11);
-    assert_eq!(load(stats), 11, "the report shows it");
+    assert_eq!(load(stats), 11, "the report includes the request");
 }
 
 #[test]
@@ -258,7 +258,7 @@
     assert_eq!(
         peers.mean_age(now()),
         Duration::ZERO,
-        "a lone router knows all"
+        "a single router has no unknown work"
     );
     for (n, sent_at) in [ago(3_000), ago(1_000)].into_iter().enumerate() {
         let summary = Summary {
--- a/crates/peppercrank-direct/tests/verify_spread.rs
+++ b/crates/peppercrank-direct/tests/verify_spread.rs
@@ -40,7 +40,7 @@
 const MAX_LATE_SENDS: usize = 3;
 
 /// Shortest time between a starting router's queries and its first requests, in which it reads the
-/// configuration and the targets and registers with the balancer.
+/// configuration and the targets and notifies the balancer.
 const STARTUP_TIME: Duration = Duration::from_millis(20);
 
 /// Maximum number of sends after that by routers that have just started: a router that waits for
