--- a/crates/peppercrank-cli/src/verbs/daemon.rs
+++ b/crates/peppercrank-cli/src/verbs/daemon.rs
@@ -11,7 +11,7 @@
 use peppercrank_settings::AgentSettings;
 use peppercrank_settings::FleetSettings;
 use peppercrank_settings::RouterSettings;
-use peppercrank_wire::edge::Finished;
+use peppercrank_wire::edge::ServeSummary;
 use peppercrank_wire::stop;
 use peppercrank_wire::stop::Stopper;
 use serde_json::json;
@@ -77,8 +77,8 @@
     started.map(drop).map_err(Error::Process)
 }
 
-fn ended(daemon: &str, finished: Finished) -> Report {
-    let Finished { calls, cut } = finished;
+fn ended(daemon: &str, finished: ServeSummary) -> Report {
+    let ServeSummary { calls, cut } = finished;
     let text = format!("{daemon} stopped after {calls} calls, {cut} cut");
     Report::done(
         text,
--- a/crates/peppercrank-cli/src/verbs/objects.rs
+++ b/crates/peppercrank-cli/src/verbs/objects.rs
@@ -12,7 +12,7 @@
 use peppercrank_core::names::ObjectName;
 use peppercrank_core::objects::ObjectKey;
 use peppercrank_core::objects::ObjectKind;
-use peppercrank_wire::platform::Named;
+use peppercrank_wire::platform::NamedObject;
 use serde_json::Value;
 use serde_json::json;
 
@@ -39,7 +39,7 @@
     Ok(report(&store))
 }
 
-fn own(kind: ObjectKind, named: &Named) -> Option<Object> {
+fn own(kind: ObjectKind, named: &NamedObject) -> Option<Object> {
     let name = ObjectName::new(&named.name).ok()?;
     let body = named.body.as_ref().map(|b| Arc::from(b.to_string()));
     Some(Object {
--- a/crates/peppercrank-cli/src/verbs/order.rs
+++ b/crates/peppercrank-cli/src/verbs/order.rs
@@ -23,7 +23,7 @@
 use peppercrank_lease::store::Version;
 use peppercrank_settings::keys;
 use peppercrank_wire::control::ControlClient;
-use peppercrank_wire::control::ControlTimes;
+use peppercrank_wire::control::ControlClientConfig;
 use peppercrank_wire::control::Order;
 use peppercrank_wire::seal::Identity;
 use peppercrank_wire::seal::KeyRing;
@@ -136,10 +136,10 @@
 fn client(vm: &VmName, ring: KeyRing) -> ControlClient {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let boot = u64::try_from(since.unwrap_or_default().as_micros()).unwrap_or(u64::MAX);
-    let sender = SenderId::of(vm);
-    let times = ControlTimes {
+    let sender = SenderId::for_vm(vm);
+    let times = ControlClientConfig {
         call: CALL,
-        ..ControlTimes::default()
+        ..ControlClientConfig::default()
     };
     ControlClient::new(Identity { sender, boot }, ring, times)
 }
@@ -227,7 +227,7 @@
             seq: SEQ,
             order: self.order.clone(),
         };
-        Fate::of(self.client.order(to, order).await)
+        Fate::of(self.client.send_order(to, order).await)
     }
 }
 
--- a/crates/peppercrank-cli/tests/verify_pages.rs
+++ b/crates/peppercrank-cli/tests/verify_pages.rs
@@ -19,8 +19,8 @@
 use peppercrank_settings::AgentSettings;
 use peppercrank_settings::RouterSettings;
 use peppercrank_wire::control::ControlLimits;
+use peppercrank_wire::control::ControlResponse;
 use peppercrank_wire::control::ControlServer;
-use peppercrank_wire::control::Told;
 use peppercrank_wire::edge::Refused;
 use peppercrank_wire::seal::Identity;
 use peppercrank_wire::seal::Key;
@@ -113,7 +113,7 @@
     let server = ControlServer::bind(any, None, identity, ring, ControlLimits::default()).await;
     let server = server.expect("a server");
     let address = server.address();
-    let obeyed = |_, _| async { Told::Order(r#"{"Passed":"Obeyed"}"#.to_owned()) };
+    let obeyed = |_, _| async { ControlResponse::Order(r#"{"Passed":"Obeyed"}"#.to_owned()) };
     tokio::spawn(server.serve(stop, obeyed));
     address
 }
--- a/crates/peppercrank-daemon/examples/fleet_cost.rs
+++ b/crates/peppercrank-daemon/examples/fleet_cost.rs
@@ -31,11 +31,11 @@
 use peppercrank_settings::RouterSettings;
 use peppercrank_standin::platform;
 use peppercrank_standin::platform::PlatformSettings;
-use peppercrank_wire::platform::Ending;
+use peppercrank_wire::platform::CallOutcome;
 use peppercrank_wire::platform::Operation;
 use peppercrank_wire::stop::Stop;
 use peppercrank_wire::stop::stop;
-use peppercrank_wire::traffic::Volume;
+use peppercrank_wire::traffic::TrafficCounts;
 use serde_json::json;
 
 use crate::support::core_time;
@@ -81,7 +81,7 @@
 struct Counts {
     at: Instant,
     core: Duration,
-    volumes: BTreeMap<&'static str, Volume>,
+    volumes: BTreeMap<&'static str, TrafficCounts>,
     calls: BTreeMap<&'static str, u64>,
 }
 
@@ -219,7 +219,7 @@
 }
 
 fn counts(daemons: &[Daemon]) -> Counts {
-    let mut volumes: BTreeMap<&'static str, Volume> = BTreeMap::new();
+    let mut volumes: BTreeMap<&'static str, TrafficCounts> = BTreeMap::new();
     let mut calls = BTreeMap::new();
     for (fleet, _) in daemons {
         for (kind, volume) in fleet.volumes() {
@@ -230,7 +230,7 @@
         }
         let made = fleet.platform.calls();
         for operation in Operation::ALL {
-            let all = Ending::ALL.iter().map(|e| made.get(*operation, *e));
+            let all = CallOutcome::ALL.iter().map(|e| made.get(*operation, *e));
             *calls.entry(operation.code()).or_default() += all.sum::<u64>();
         }
     }
@@ -247,7 +247,7 @@
     let span = (ended.at - begun.at).as_secs_f64();
     let daemon = span * count as f64;
     let core = ended.core.saturating_sub(begun.core).as_secs_f64() / daemon;
-    let none = Volume::default();
+    let none = TrafficCounts::default();
     let (mut sent, mut received, mut messages) = (0.0, 0.0, 0.0);
     let mut kinds = Vec::new();
     for (kind, volume) in &ended.volumes {
--- a/crates/peppercrank-daemon/examples/path_cost/main.rs
+++ b/crates/peppercrank-daemon/examples/path_cost/main.rs
@@ -18,8 +18,8 @@
 use std::time::Instant;
 
 use peppercrank_wire::client::Client;
+use peppercrank_wire::client::ClientConfig;
 use peppercrank_wire::client::Reuse;
-use peppercrank_wire::client::Times;
 use tokio::runtime::Runtime;
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
@@ -82,10 +82,10 @@
 }
 
 fn client() -> Client {
-    Client::new(Times {
+    Client::new(ClientConfig {
         connect: CONNECT,
         spare: usize::try_from(CALLERS).expect("few"),
-        ..Times::default()
+        ..ClientConfig::default()
     })
 }
 
@@ -202,7 +202,7 @@
     all
 }
 
-async fn read(mut body: peppercrank_wire::client::AnswerBody, origin: Instant) -> Seen {
+async fn read(mut body: peppercrank_wire::client::ResponseBody, origin: Instant) -> Seen {
     let mut seen = Seen::default();
     let mut last = None;
     while let Some(part) = next(&mut body).await {
--- a/crates/peppercrank-daemon/examples/path_cost/path.rs
+++ b/crates/peppercrank-daemon/examples/path_cost/path.rs
@@ -28,8 +28,8 @@
 use peppercrank_standin::platform::PlatformSettings;
 use peppercrank_wire::body;
 use peppercrank_wire::body::Body;
-use peppercrank_wire::client::AnswerBody;
 use peppercrank_wire::client::Client;
+use peppercrank_wire::client::ResponseBody;
 use peppercrank_wire::client::Reuse;
 use peppercrank_wire::edge::Call;
 use peppercrank_wire::edge::Edge;
@@ -247,7 +247,7 @@
     to: SocketAddr,
     request: Request<Body>,
     reuse: Reuse,
-) -> AnswerBody {
+) -> ResponseBody {
     let answer = client.send(to, request, reuse).await.expect("an answer");
     let headers: &HeaderMap = answer.headers();
     assert_eq!(answer.status(), 200, "{headers:?}");
@@ -255,7 +255,7 @@
 }
 
 /// `next` is the next part of a body, or none at its end.
-pub async fn next(body: &mut AnswerBody) -> Option<Bytes> {
+pub async fn next(body: &mut ResponseBody) -> Option<Bytes> {
     let frame = body.frame().await?;
     Some(frame.expect("a whole part").into_data().expect("data"))
 }
--- a/crates/peppercrank-daemon/src/agent/desk.rs
+++ b/crates/peppercrank-daemon/src/agent/desk.rs
@@ -183,7 +183,7 @@
             match wake {
                 None => news.await,
                 Some(at) => {
-                    let at = self.clock.instant(at).into();
+                    let at = self.clock.timer_instant(at).into();
                     tokio::select! {
                         () = news => {}
                         () = sleep_until(at) => self.put(Input::Tick),
--- a/crates/peppercrank-daemon/src/agent/mod.rs
+++ b/crates/peppercrank-daemon/src/agent/mod.rs
@@ -39,9 +39,9 @@
 use peppercrank_settings::AgentSettings;
 use peppercrank_settings::agent::TargetKind;
 use peppercrank_wire::client::Client;
-use peppercrank_wire::client::Times;
+use peppercrank_wire::client::ClientConfig;
 use peppercrank_wire::edge::Edge;
-use peppercrank_wire::edge::Finished;
+use peppercrank_wire::edge::ServeSummary;
 use peppercrank_wire::stop::Stop;
 use tokio::sync::watch;
 use tokio::time::timeout;
@@ -120,7 +120,7 @@
     /// # Errors
     ///
     /// Returns [`crate::errors::Error::Start`] when its task failed.
-    pub async fn finished(self) -> Result<Finished> {
+    pub async fn finished(self) -> Result<ServeSummary> {
         self.process.finished().await
     }
 }
@@ -175,7 +175,7 @@
     })
 }
 
-async fn serve(edge: Edge, agent: Arc<Agent>, stop: Stop) -> Finished {
+async fn serve(edge: Edge, agent: Arc<Agent>, stop: Stop) -> ServeSummary {
     let limits = process::limits(&agent.settings.limits, agent.settings.stop_time);
     let desk = Arc::clone(&agent.desk);
     let stopping = move || desk.put(Input::Stopping);
@@ -233,9 +233,9 @@
             .get(&settings.target.name)
             .copied()
             .unwrap_or_default();
-        let times = Times {
+        let times = ClientConfig {
             first_byte: settings.limits.total_time,
-            ..Times::default()
+            ..ClientConfig::default()
         };
         let mut pointers = Pointers::new(own, settings.pointers);
         // The agent knows of no context yet, and its target may have joined just now.
--- a/crates/peppercrank-daemon/src/agent/orders.rs
+++ b/crates/peppercrank-daemon/src/agent/orders.rs
@@ -77,7 +77,7 @@
         let wake = desk
             .gate
             .wake()
-            .map(|at| desk.agent.clock.instant(at).into());
+            .map(|at| desk.agent.clock.timer_instant(at).into());
         let timer = async {
             match wake {
                 Some(at) => sleep_until(at).await,
--- a/crates/peppercrank-daemon/src/agent/relay.rs
+++ b/crates/peppercrank-daemon/src/agent/relay.rs
@@ -17,9 +17,9 @@
 use peppercrank_route::resume::Input;
 use peppercrank_route::resume::Stream;
 use peppercrank_wire::body;
-use peppercrank_wire::body::Feed;
-use peppercrank_wire::client::AnswerBody;
+use peppercrank_wire::body::BodySender;
 use peppercrank_wire::client::Client;
+use peppercrank_wire::client::ResponseBody;
 use peppercrank_wire::client::Reuse;
 use tokio::time::sleep_until;
 
@@ -80,7 +80,7 @@
 }
 
 /// `plain` passes an answer on as it comes; one that breaks off breaks the copy off too.
-pub async fn plain(mut from: AnswerBody, to: Feed, work: &Work) -> Ending {
+pub async fn plain(mut from: ResponseBody, to: BodySender, work: &Work) -> Ending {
     loop {
         match next(&mut from, &to, work).await {
             Step::Frame(bytes) => {
@@ -104,7 +104,11 @@
 /// # Errors
 ///
 /// Returns why the answer is none.
-pub async fn whole(from: AnswerBody, work: &Work, attempt: AttemptId) -> Result<Bytes, MayHaveRun> {
+pub async fn whole(
+    from: ResponseBody,
+    work: &Work,
+    attempt: AttemptId,
+) -> Result<Bytes, MayHaveRun> {
     let read = Limited::new(from, MAX_WHOLE).collect();
     let read = tokio::select! {
         read = read => read,
@@ -124,8 +128,8 @@
 ///
 /// A stream that cannot be made whole ends with an error event, so that it never looks whole.
 pub async fn streamed(
-    mut from: AnswerBody,
-    to: Feed,
+    mut from: ResponseBody,
+    to: BodySender,
     work: &Work,
     source: &Source<'_>,
     resumed: impl Fn(),
@@ -168,7 +172,7 @@
                 }
             }
             resume::Step::Wait { until } => {
-                sleep_until(source.clock.instant(until).into()).await;
+                sleep_until(source.clock.timer_instant(until).into()).await;
                 input = Some(Input::Tick);
             }
             end => return finish(end, to, source, &events).await,
@@ -181,7 +185,7 @@
     events: &mut Events,
     stream: &mut Stream,
     source: &Source<'_>,
-    to: &Feed,
+    to: &BodySender,
 ) -> Option<resume::Step> {
     let mut batch = BytesMut::new();
     let mut end = None;
@@ -213,7 +217,7 @@
 }
 
 /// Ends a stream as its state machine said.
-async fn finish(end: resume::Step, to: Feed, source: &Source<'_>, events: &Events) -> Ending {
+async fn finish(end: resume::Step, to: BodySender, source: &Source<'_>, events: &Events) -> Ending {
     match end {
         resume::Step::Finish => {
             to.finish();
@@ -227,7 +231,7 @@
     }
 }
 
-async fn next(from: &mut AnswerBody, to: &Feed, work: &Work) -> Step {
+async fn next(from: &mut ResponseBody, to: &BodySender, work: &Work) -> Step {
     tokio::select! {
         biased;
         () = work.cancelled() => Step::Cancelled,
@@ -241,7 +245,7 @@
 }
 
 /// Ends a stream with an error event in place of the events that are missing.
-async fn fail(to: Feed, source: &Source<'_>, reason: MayHaveRun) {
+async fn fail(to: BodySender, source: &Source<'_>, reason: MayHaveRun) {
     let event = reply::error_event(reason, Some(source.request));
     if to.send(event.into()).await.is_ok() {
         to.finish();
@@ -249,7 +253,7 @@
 }
 
 /// Asks the engine for the rest of a stream.
-async fn ask_again(source: &Source<'_>, from: u64) -> Result<AnswerBody, Input> {
+async fn ask_again(source: &Source<'_>, from: u64) -> Result<ResponseBody, Input> {
     let path = format!("/v1/streams/{}?from={from}", source.attempt);
     let Ok(request) = Request::get(path).body(body::empty()) else {
         return Err(Input::Gone);
--- a/crates/peppercrank-daemon/src/agent/serve.rs
+++ b/crates/peppercrank-daemon/src/agent/serve.rs
@@ -21,15 +21,15 @@
 use peppercrank_route::Place;
 use peppercrank_settings::agent::TargetKind;
 use peppercrank_wire::body;
-use peppercrank_wire::client::Answer;
-use peppercrank_wire::client::AnswerBody;
+use peppercrank_wire::client::ClientResponse;
 use peppercrank_wire::client::Framing;
+use peppercrank_wire::client::ResponseBody;
 use peppercrank_wire::client::Reuse;
 use peppercrank_wire::client::SendError;
 use peppercrank_wire::edge::Call;
 use peppercrank_wire::edge::Reply;
 use peppercrank_wire::edge::refuse_body;
-use peppercrank_wire::headers::strip;
+use peppercrank_wire::headers::strip_hop_by_hop;
 
 use crate::agent::Agent;
 use crate::agent::attempt::Attempt;
@@ -188,7 +188,7 @@
 }
 
 /// What speaks against passing an answer on.
-fn fault(agent: &Agent, attempt: &Attempt, answer: &Answer) -> Option<MayHaveRun> {
+fn fault(agent: &Agent, attempt: &Attempt, answer: &ClientResponse) -> Option<MayHaveRun> {
     let echo = answer.headers().contains_key(headers::REQUEST_ID);
     let right = relay::echoes(answer.headers(), attempt.id);
     let engine = agent.settings.target.kind == TargetKind::Engine;
@@ -214,7 +214,7 @@
     *request.uri_mut() = target_uri(head);
     let to = request.headers_mut();
     *to = head.headers.clone();
-    strip(to);
+    strip_hop_by_hop(to);
     to.remove(http::header::HOST);
     to.remove(http::header::CONTENT_LENGTH);
     strip_attempt(to);
@@ -261,10 +261,10 @@
     attempt: &Attempt,
     ask: Option<Ask>,
     work: Work,
-    answer: Answer,
+    answer: ClientResponse,
 ) -> Reply {
     let (mut head, from) = answer.into_parts();
-    strip(&mut head.headers);
+    strip_hop_by_hop(&mut head.headers);
     headers::strip_ours(&mut head.headers);
     let target = agent.settings.target.name.as_str();
     headers::put(&mut head.headers, headers::TARGET, target);
@@ -287,7 +287,7 @@
     attempt: Attempt,
     mut work: Work,
     head: response::Parts,
-    from: AnswerBody,
+    from: ResponseBody,
 ) -> Reply {
     let (feed, body) = body::channel(relay::DEPTH);
     tokio::spawn(async move {
@@ -305,7 +305,7 @@
     ask: Option<Ask>,
     mut work: Work,
     head: response::Parts,
-    from: AnswerBody,
+    from: ResponseBody,
 ) -> Reply {
     let (feed, body) = body::channel(relay::DEPTH);
     let deadline = agent.clock.now() + attempt.left;
@@ -340,7 +340,7 @@
     ask: Option<Ask>,
     mut work: Work,
     head: response::Parts,
-    from: AnswerBody,
+    from: ResponseBody,
 ) -> Reply {
     match relay::whole(from, &work, attempt.id).await {
         Ok(bytes) => {
--- a/crates/peppercrank-daemon/src/fleet/control.rs
+++ b/crates/peppercrank-daemon/src/fleet/control.rs
@@ -9,10 +9,10 @@
 use peppercrank_config::message::Message;
 use peppercrank_config::relay;
 use peppercrank_core::names::VmName;
-use peppercrank_wire::control::Ask;
+use peppercrank_wire::control::ControlRequest;
+use peppercrank_wire::control::ControlResponse;
 use peppercrank_wire::control::ControlServer;
 use peppercrank_wire::control::Order;
-use peppercrank_wire::control::Told;
 use peppercrank_wire::seal::SenderId;
 use peppercrank_wire::stop::Stop;
 use tokio::sync::mpsc;
@@ -41,19 +41,24 @@
     server.serve(stop, answer).await;
 }
 
-async fn answer(fleet: Weak<Fleet>, orders: mpsc::Sender<Given>, from: SenderId, ask: Ask) -> Told {
+async fn answer(
+    fleet: Weak<Fleet>,
+    orders: mpsc::Sender<Given>,
+    from: SenderId,
+    ask: ControlRequest,
+) -> ControlResponse {
     match ask {
-        Ask::Config(bytes) => {
+        ControlRequest::Config(bytes) => {
             if let Some(fleet) = fleet.upgrade() {
                 take(&fleet, from, &bytes);
             }
-            Told::Received
+            ControlResponse::Received
         }
-        Ask::Order(order) => {
+        ControlRequest::Order(order) => {
             let (told, reply) = oneshot::channel();
             // A process without a target drops the order, and so tells that it was not passed.
             drop(orders.send(Given { order, told }).await);
-            Told::Order(reply.await.unwrap_or_else(|_| r#""no_target""#.to_owned()))
+            ControlResponse::Order(reply.await.unwrap_or_else(|_| r#""no_target""#.to_owned()))
         }
     }
 }
@@ -78,7 +83,7 @@
         let client = self.client.clone();
         self.runtime.spawn(async move {
             // What is lost is asked for again by the relay itself.
-            let _told = client.config(address, bytes).await;
+            let _told = client.send_config(address, bytes).await;
         });
     }
 
--- a/crates/peppercrank-daemon/src/fleet/join.rs
+++ b/crates/peppercrank-daemon/src/fleet/join.rs
@@ -28,11 +28,11 @@
 use peppercrank_route::Note;
 use peppercrank_settings::FleetSettings;
 use peppercrank_wire::control::ControlClient;
+use peppercrank_wire::control::ControlClientConfig;
 use peppercrank_wire::control::ControlLimits;
 use peppercrank_wire::control::ControlServer;
-use peppercrank_wire::control::ControlTimes;
+use peppercrank_wire::datagram::DatagramConfig;
 use peppercrank_wire::datagram::Datagrams;
-use peppercrank_wire::datagram::Place;
 use peppercrank_wire::seal::Identity;
 use peppercrank_wire::seal::SenderId;
 use peppercrank_wire::stop::Stop;
@@ -113,14 +113,14 @@
         let mut draws = ChaCha8Rng::from_seed(seed_of(&settings.vm, started));
         let ring = rotate::ring(&settings)?;
         let identity = Identity {
-            sender: SenderId::of(&settings.vm),
+            sender: SenderId::for_vm(&settings.vm),
             boot,
         };
-        let place = Place {
+        let place = DatagramConfig {
             bind: settings.gossip,
             advertised: None,
             identity,
-            room: SENDERS,
+            max_senders: SENDERS,
         };
         let bound = Datagrams::bind(place, ring.clone(), kind_of).await;
         let datagrams = bound.map_err(|e| errors::wire("gossip", e))?;
@@ -128,7 +128,7 @@
         let bound =
             ControlServer::bind(settings.control, None, identity, ring.clone(), limits).await;
         let server = bound.map_err(|e| errors::wire("control", e))?;
-        let client = ControlClient::new(identity, ring.clone(), ControlTimes::default());
+        let client = ControlClient::new(identity, ring.clone(), ControlClientConfig::default());
         let description = Description {
             vm: settings.vm.clone(),
             zone: settings.zone.clone(),
@@ -172,7 +172,7 @@
                 outbox,
                 datagrams: datagrams.clone(),
                 client,
-                served: server.desk(),
+                served: server.codec(),
                 runtime: Handle::current(),
                 workers: Mutex::default(),
                 notes,
--- a/crates/peppercrank-daemon/src/fleet/mod.rs
+++ b/crates/peppercrank-daemon/src/fleet/mod.rs
@@ -51,15 +51,15 @@
 use peppercrank_route::Ranking;
 use peppercrank_settings::FleetSettings;
 use peppercrank_wire::control::ControlClient;
-use peppercrank_wire::control::Desk;
+use peppercrank_wire::control::ControlCodec;
 use peppercrank_wire::datagram::Datagrams;
 use peppercrank_wire::platform::Platform;
 use peppercrank_wire::seal::KeyRing;
 use peppercrank_wire::seal::MAC_HEADER;
 use peppercrank_wire::seal::Rejected;
-use peppercrank_wire::seal::check_head;
 use peppercrank_wire::seal::sign_head;
-use peppercrank_wire::traffic::Volume;
+use peppercrank_wire::seal::verify_head;
+use peppercrank_wire::traffic::TrafficCounts;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use tokio::runtime::Handle;
@@ -103,7 +103,7 @@
     outbox: mpsc::Sender<(SocketAddr, Box<Message>)>,
     datagrams: Datagrams<Message>,
     client: ControlClient,
-    served: Arc<Desk>,
+    served: Arc<ControlCodec>,
     runtime: Handle,
     workers: Mutex<Vec<Worker>>,
     notes: mpsc::Sender<Note>,
@@ -240,7 +240,7 @@
     #[must_use]
     pub fn is_authentic(&self, head: &Parts) -> bool {
         let ring = read(&self.ring);
-        check_head(&ring, self.listen, &head.method, &head.uri, &head.headers).is_ok()
+        verify_head(&ring, self.listen, &head.method, &head.uri, &head.headers).is_ok()
     }
 
     /// `sign` signs a request's head for an agent.
@@ -264,11 +264,11 @@
 
     /// `volumes` is the control traffic by kind, datagrams and calls together.
     #[must_use]
-    pub fn volumes(&self) -> BTreeMap<&'static str, Volume> {
-        let mut volumes = self.datagrams.traffic().volumes();
-        for desk in [self.client.desk(), &self.served] {
-            for (kind, volume) in desk.traffic().volumes() {
-                let sum: &mut Volume = volumes.entry(kind).or_default();
+    pub fn volumes(&self) -> BTreeMap<&'static str, TrafficCounts> {
+        let mut volumes = self.datagrams.traffic().by_kind();
+        for desk in [self.client.codec(), &self.served] {
+            for (kind, volume) in desk.traffic().by_kind() {
+                let sum: &mut TrafficCounts = volumes.entry(kind).or_default();
                 sum.sent += volume.sent;
                 sum.received += volume.received;
                 sum.sent_bytes += volume.sent_bytes;
@@ -281,7 +281,7 @@
     /// How many control messages were rejected for a reason.
     fn rejected(&self, reason: Rejected) -> u64 {
         self.datagrams.rejected(reason)
-            + self.client.desk().rejected(reason)
+            + self.client.codec().rejected(reason)
             + self.served.rejected(reason)
     }
 
--- a/crates/peppercrank-daemon/src/fleet/pages.rs
+++ b/crates/peppercrank-daemon/src/fleet/pages.rs
@@ -22,10 +22,10 @@
 use peppercrank_wire::edge::Refused;
 use peppercrank_wire::pages::Page;
 use peppercrank_wire::pages::Pages;
-use peppercrank_wire::pages::Serving;
-use peppercrank_wire::platform::Ending;
+use peppercrank_wire::pages::PagesServer;
+use peppercrank_wire::platform::CallOutcome;
 use peppercrank_wire::platform::Operation;
-use peppercrank_wire::seal::Bearers;
+use peppercrank_wire::seal::BearerTokens;
 use peppercrank_wire::seal::Rejected;
 
 use crate::errors;
@@ -70,7 +70,7 @@
 /// # Errors
 ///
 /// Returns an error when the address cannot be bound or the thread not be started.
-pub fn serve(fleet: &Arc<Fleet>, shown: Shown) -> Result<Serving> {
+pub fn serve(fleet: &Arc<Fleet>, shown: Shown) -> Result<PagesServer> {
     let shown = Arc::new(shown);
     let last = Arc::new(Last::default());
     let (metrics, counted) = (Arc::clone(fleet), Arc::clone(&shown));
@@ -96,7 +96,7 @@
         }),
         status: Box::new(move || json(&self::status(&status, &shown))),
         objects: Box::new(move |rest| held(&objects, rest)),
-        bearers: Some(Bearers::new(
+        tokens: Some(BearerTokens::new(
             fleet.settings.tokens.iter().map(Secret::reveal),
         )),
     };
@@ -190,7 +190,7 @@
     };
     let calls = fleet.platform.calls();
     for operation in Operation::ALL {
-        for ending in Ending::ALL {
+        for ending in CallOutcome::ALL {
             let (kind, outcome) = (operation.code(), ending.code());
             let more = since(
                 "platform",
--- a/crates/peppercrank-daemon/src/fleet/platform.rs
+++ b/crates/peppercrank-daemon/src/fleet/platform.rs
@@ -22,7 +22,7 @@
 use peppercrank_wire::platform::Access;
 use peppercrank_wire::platform::Failure;
 use peppercrank_wire::platform::Listing;
-use peppercrank_wire::platform::Named;
+use peppercrank_wire::platform::NamedObject;
 use peppercrank_wire::platform::Platform;
 use peppercrank_wire::platform::Role;
 use peppercrank_wire::platform::Vm;
@@ -169,7 +169,7 @@
             Err(failure) => failed(failure),
         },
         Call::Watch { since, wait, .. } => match platform.watch(kind.code(), since.0, wait) {
-            Ok(Watched::News(listing)) => objects(kind, listing),
+            Ok(Watched::Changes(listing)) => objects(kind, listing),
             Ok(Watched::TooOld) => Answer::TooOld,
             Err(failure) => failed(failure),
         },
@@ -178,7 +178,7 @@
 
 fn objects(kind: ObjectKind, listing: Listing) -> Answer {
     // A name that is none cannot have been published by our tools, and nothing could use it.
-    let object = |named: Named| {
+    let object = |named: NamedObject| {
         let name = ObjectName::new(&named.name).ok()?;
         Some(Object {
             key: ObjectKey { kind, name },
--- a/crates/peppercrank-daemon/src/fleet/rotate.rs
+++ b/crates/peppercrank-daemon/src/fleet/rotate.rs
@@ -76,7 +76,7 @@
     /// `rotate` puts another key ring in place of the present one.
     pub fn rotate(&self, ring: KeyRing) {
         self.datagrams.rotate(&ring);
-        self.client.desk().rotate(&ring);
+        self.client.codec().rotate(&ring);
         self.served.rotate(&ring);
         *write(&self.ring) = ring;
         self.log.write_about(Event::KeysRotated, "");
--- a/crates/peppercrank-daemon/src/metrics.rs
+++ b/crates/peppercrank-daemon/src/metrics.rs
@@ -9,7 +9,7 @@
 use peppercrank_core::refusal::MayHaveRun;
 use peppercrank_core::refusal::NotRun;
 use peppercrank_wire::edge::Refused;
-use peppercrank_wire::platform::Ending;
+use peppercrank_wire::platform::CallOutcome;
 use peppercrank_wire::platform::Operation;
 use peppercrank_wire::seal::Rejected;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -249,7 +249,7 @@
             drop(self.rejected.get_or_create(&refused(reason.code())));
         }
         for operation in Operation::ALL {
-            for ending in Ending::ALL {
+            for ending in CallOutcome::ALL {
                 drop(self.platform.get_or_create(&call(*operation, *ending)));
             }
         }
@@ -297,7 +297,7 @@
 
 /// `call` is the label of a call to the platform.
 #[must_use]
-pub fn call(operation: Operation, ending: Ending) -> PlatformCall {
+pub fn call(operation: Operation, ending: CallOutcome) -> PlatformCall {
     PlatformCall {
         kind: operation.code(),
         outcome: ending.code(),
--- a/crates/peppercrank-daemon/src/process.rs
+++ b/crates/peppercrank-daemon/src/process.rs
@@ -10,10 +10,10 @@
 use peppercrank_settings::Limits as Settings;
 use peppercrank_wire::edge::Call;
 use peppercrank_wire::edge::Edge;
-use peppercrank_wire::edge::Finished;
 use peppercrank_wire::edge::Limits;
 use peppercrank_wire::edge::Reply;
-use peppercrank_wire::pages::Serving;
+use peppercrank_wire::edge::ServeSummary;
+use peppercrank_wire::pages::PagesServer;
 use peppercrank_wire::stop::Stop;
 use tokio::task::JoinHandle;
 
@@ -25,9 +25,9 @@
 #[derive(Debug)]
 pub struct Process {
     /// The operators' pages, served until the end.
-    pub pages: Serving,
+    pub pages: PagesServer,
     /// The task that serves.
-    pub serving: JoinHandle<Finished>,
+    pub serving: JoinHandle<ServeSummary>,
 }
 
 impl Process {
@@ -36,7 +36,7 @@
     /// # Errors
     ///
     /// Returns [`Error::Start`] when its task failed.
-    pub async fn finished(self) -> Result<Finished> {
+    pub async fn finished(self) -> Result<ServeSummary> {
         let ended = self.serving.await;
         drop(self.pages);
         ended.map_err(|e| Error::Start {
@@ -55,7 +55,7 @@
     mut stop: Stop,
     stopping: impl FnOnce() + Send + 'static,
     answer: F,
-) -> Finished
+) -> ServeSummary
 where
     F: Fn(Call) -> R + Send + Sync + 'static,
     R: Future<Output = Reply> + Send + 'static,
@@ -74,7 +74,7 @@
 }
 
 /// `end` tells the peers and the log that a daemon has ended.
-pub fn end(fleet: &Fleet, finished: Finished) {
+pub fn end(fleet: &Fleet, finished: ServeSummary) {
     fleet.leave();
     if finished.cut > 0 {
         fleet
--- a/crates/peppercrank-daemon/src/router/claims.rs
+++ b/crates/peppercrank-daemon/src/router/claims.rs
@@ -136,7 +136,7 @@
             None => now.news.notified().await,
             Some(at) => tokio::select! {
                 () = now.news.notified() => {}
-                () = sleep_until(now.clock.instant(at).into()) => now.put(Input::Tick),
+                () = sleep_until(now.clock.timer_instant(at).into()) => now.put(Input::Tick),
             },
         }
     }
--- a/crates/peppercrank-daemon/src/router/deliver.rs
+++ b/crates/peppercrank-daemon/src/router/deliver.rs
@@ -12,10 +12,10 @@
 use peppercrank_core::refusal::MayHaveRun;
 use peppercrank_route::Event;
 use peppercrank_wire::body;
-use peppercrank_wire::body::Feed;
-use peppercrank_wire::client::AnswerBody;
+use peppercrank_wire::body::BodySender;
+use peppercrank_wire::client::ResponseBody;
 use peppercrank_wire::edge::Reply;
-use peppercrank_wire::headers::strip;
+use peppercrank_wire::headers::strip_hop_by_hop;
 use tokio::time::sleep_until;
 
 use crate::agent::relay::DEPTH;
@@ -45,7 +45,7 @@
     course.on(Event::FirstByte { attempt });
     let waited = course.router.clock.now().since(course.begun);
     course.router.metrics.first.observe(waited.as_secs_f64());
-    strip(&mut head.headers);
+    strip_hop_by_hop(&mut head.headers);
     let target = head.headers.get(headers::TARGET).cloned();
     headers::strip_ours(&mut head.headers);
     if let Some(target) = target {
@@ -74,8 +74,8 @@
     mut course: Course,
     attempt: AttemptId,
     first: Bytes,
-    mut rest: AnswerBody,
-    to: Feed,
+    mut rest: ResponseBody,
+    to: BodySender,
 ) {
     let mut events = Events::default();
     let mut step = Step::Part(first);
@@ -122,8 +122,8 @@
     mut course: Course,
     attempt: AttemptId,
     first: Bytes,
-    mut rest: AnswerBody,
-    to: Feed,
+    mut rest: ResponseBody,
+    to: BodySender,
 ) {
     let mut step = Step::Part(first);
     loop {
@@ -144,8 +144,12 @@
     }
 }
 
-async fn next(course: &Course, rest: &mut AnswerBody, to: &Feed) -> Step {
-    let end = course.router.clock.instant(course.job.deadline).into();
+async fn next(course: &Course, rest: &mut ResponseBody, to: &BodySender) -> Step {
+    let end = course
+        .router
+        .clock
+        .timer_instant(course.job.deadline)
+        .into();
     tokio::select! {
         biased;
         () = to.closed() => Step::CallerGone,
--- a/crates/peppercrank-daemon/src/router/job.rs
+++ b/crates/peppercrank-daemon/src/router/job.rs
@@ -227,7 +227,7 @@
 impl Sent {
     fn of(head: Parts, body: Bytes) -> Self {
         let mut headers = head.headers;
-        peppercrank_wire::headers::strip(&mut headers);
+        peppercrank_wire::headers::strip_hop_by_hop(&mut headers);
         headers::strip_ours(&mut headers);
         // The key is ours to check; targets must not see it.
         headers.remove(http::header::AUTHORIZATION);
--- a/crates/peppercrank-daemon/src/router/mod.rs
+++ b/crates/peppercrank-daemon/src/router/mod.rs
@@ -24,9 +24,9 @@
 use peppercrank_route::routes::Room;
 use peppercrank_settings::RouterSettings;
 use peppercrank_wire::client::Client;
-use peppercrank_wire::client::Times;
+use peppercrank_wire::client::ClientConfig;
 use peppercrank_wire::edge::Edge;
-use peppercrank_wire::edge::Finished;
+use peppercrank_wire::edge::ServeSummary;
 use peppercrank_wire::stop::Stop;
 
 use crate::clock::Clock;
@@ -90,7 +90,7 @@
     /// # Errors
     ///
     /// Returns [`crate::errors::Error::Start`] when its task failed.
-    pub async fn finished(self) -> Result<Finished> {
+    pub async fn finished(self) -> Result<ServeSummary> {
         self.process.finished().await
     }
 }
@@ -115,9 +115,9 @@
     };
     // Notes and orders are for agents; a router drops what reaches it by mistake.
     let (fleet, _inbox) = Fleet::join(settings.fleet.clone(), setup).await?;
-    let times = Times {
+    let times = ClientConfig {
         first_byte: settings.limits.total_time,
-        ..Times::default()
+        ..ClientConfig::default()
     };
     let seed = u64::try_from(fleet.draw() >> 64).unwrap_or_default();
     let claims = Claiming::start(&settings.claims, &fleet.platform, fleet.clock, seed)?;
@@ -145,7 +145,7 @@
     })
 }
 
-async fn serve(edge: Edge, router: Arc<Router>, stop: Stop) -> Finished {
+async fn serve(edge: Edge, router: Arc<Router>, stop: Stop) -> ServeSummary {
     let limits = process::limits(&router.settings.limits, router.settings.stop_time);
     let shared = Arc::clone(&router);
     let answer = move |call| serve::answer(Arc::clone(&shared), call);
--- a/crates/peppercrank-daemon/src/router/request.rs
+++ b/crates/peppercrank-daemon/src/router/request.rs
@@ -112,7 +112,7 @@
                 }
             }
             Next::Wait { until } => {
-                sleep_until(course.router.clock.instant(until).into()).await;
+                sleep_until(course.router.clock.timer_instant(until).into()).await;
                 course.on(Event::Tick)
             }
             Next::Refuse {
@@ -173,7 +173,7 @@
 
     async fn attempt(&mut self, target: TargetKey, attempt: AttemptId, allow: Allow) -> Step {
         self.count_retry();
-        let end = self.router.clock.instant(self.job.deadline).into();
+        let end = self.router.clock.timer_instant(self.job.deadline).into();
         let spilled = self.trip.is_spilled();
         let sending = try_once::send(&self.router, &self.job, target, attempt, allow, spilled);
         let tried = tokio::select! {
--- a/crates/peppercrank-daemon/src/router/try_once.rs
+++ b/crates/peppercrank-daemon/src/router/try_once.rs
@@ -16,8 +16,8 @@
 use peppercrank_core::refusal::NotRun;
 use peppercrank_route::rank::TargetHash;
 use peppercrank_wire::body;
-use peppercrank_wire::client::Answer;
-use peppercrank_wire::client::AnswerBody;
+use peppercrank_wire::client::ClientResponse;
+use peppercrank_wire::client::ResponseBody;
 use peppercrank_wire::client::Reuse;
 use peppercrank_wire::client::SendError;
 
@@ -63,7 +63,7 @@
     /// The first part.
     pub first: Bytes,
     /// What follows; none when the first part is all.
-    pub rest: Option<AnswerBody>,
+    pub rest: Option<ResponseBody>,
 }
 
 /// `send` makes one attempt.
@@ -134,7 +134,7 @@
 }
 
 /// Reads an answer up to its first part; an answer to another attempt is thrown away.
-async fn read(job: &Job, id: AttemptId, answer: Answer) -> Tried {
+async fn read(job: &Job, id: AttemptId, answer: ClientResponse) -> Tried {
     if headers::parsed(answer.headers(), &headers::ATTEMPT) != Some(id) {
         return Tried::MayHaveRun(MayHaveRun::WrongAnswer);
     }
@@ -179,7 +179,7 @@
 }
 
 /// Reads an agent's refusal; one that cannot be understood leaves the fate unknown.
-fn refusal(answer: &Answer) -> Tried {
+fn refusal(answer: &ClientResponse) -> Tried {
     let run = headers::text(answer.headers(), &headers::RUN);
     let code = headers::text(answer.headers(), &headers::REASON).unwrap_or_default();
     match run {
@@ -198,7 +198,7 @@
     }
 }
 
-fn hint(answer: &Answer) -> Option<TargetHash> {
+fn hint(answer: &ClientResponse) -> Option<TargetHash> {
     let text = headers::text(answer.headers(), &headers::HINT)?;
     u64::from_str_radix(text, 16).ok().map(TargetHash)
 }
--- a/crates/peppercrank-daemon/tests/bench/mod.rs
+++ b/crates/peppercrank-daemon/tests/bench/mod.rs
@@ -27,7 +27,7 @@
 use peppercrank_standin::platform::PlatformSettings;
 use peppercrank_standin::service;
 use peppercrank_standin::service::ServiceSettings;
-use peppercrank_wire::edge::Finished;
+use peppercrank_wire::edge::ServeSummary;
 use peppercrank_wire::stop::Stopper;
 use peppercrank_wire::stop::stop;
 use serde_json::Value;
@@ -82,7 +82,7 @@
 
 impl Daemon<router::Running> {
     /// Waits for its end.
-    pub fn finished(self) -> Finished {
+    pub fn finished(self) -> ServeSummary {
         self.runtime
             .block_on(self.running.finished())
             .expect("an end")
@@ -91,7 +91,7 @@
 
 impl Daemon<agent::Running> {
     /// Waits for its end.
-    pub fn finished(self) -> Finished {
+    pub fn finished(self) -> ServeSummary {
         self.runtime
             .block_on(self.running.finished())
             .expect("an end")
--- a/crates/peppercrank-daemon/tests/verify_orders.rs
+++ b/crates/peppercrank-daemon/tests/verify_orders.rs
@@ -17,8 +17,8 @@
 use peppercrank_standin::service;
 use peppercrank_standin::service::ServiceSettings;
 use peppercrank_wire::control::ControlClient;
+use peppercrank_wire::control::ControlClientConfig;
 use peppercrank_wire::control::ControlError;
-use peppercrank_wire::control::ControlTimes;
 use peppercrank_wire::control::Order;
 use peppercrank_wire::seal::Identity;
 use peppercrank_wire::seal::Key;
@@ -42,10 +42,10 @@
         let key = Key::from_hex(1, secret).expect("a key");
         let ring = KeyRing::new(vec![key]).expect("a ring");
         let sender = SenderId(sender);
-        let times = ControlTimes {
+        let times = ControlClientConfig {
             // An agent that starts holds orders for an engine that ignores numbers for a while.
             call: Duration::from_secs(60),
-            ..ControlTimes::default()
+            ..ControlClientConfig::default()
         };
         Self {
             client: ControlClient::new(Identity { sender, boot: 1 }, ring, times),
@@ -61,7 +61,7 @@
             seq: 1,
             order,
         };
-        self.runtime.block_on(self.client.order(to, order))
+        self.runtime.block_on(self.client.send_order(to, order))
     }
 }
 
--- a/crates/peppercrank-gateway/src/attempt.rs
+++ b/crates/peppercrank-gateway/src/attempt.rs
@@ -19,8 +19,8 @@
 use peppercrank_platform::call;
 use peppercrank_platform::call::Sent;
 use peppercrank_wire::body;
-use peppercrank_wire::client::Answer;
-use peppercrank_wire::client::AnswerBody;
+use peppercrank_wire::client::ClientResponse;
+use peppercrank_wire::client::ResponseBody;
 use peppercrank_wire::client::Reuse;
 use peppercrank_wire::client::SendError;
 
@@ -60,7 +60,7 @@
         /// What came of it.
         first: Bytes,
         /// What follows.
-        rest: AnswerBody,
+        rest: ResponseBody,
     },
 }
 
@@ -170,7 +170,7 @@
     gateway: &Gateway,
     job: &Job,
     flight: &mut Flight,
-    sent: Result<Answer, SendError>,
+    sent: Result<ClientResponse, SendError>,
     until: Instant,
 ) -> Result<TargetAnswer, AttemptError> {
     match sent {
@@ -215,7 +215,7 @@
 async fn judge(
     job: &Job,
     flight: &mut Flight,
-    answer: Answer,
+    answer: ClientResponse,
 ) -> Result<TargetAnswer, AttemptError> {
     let (head, mut body) = answer.into_parts();
     let mut headers = head.headers;
@@ -248,7 +248,7 @@
         }
         Kind::Success | Kind::Failure => {}
     }
-    peppercrank_wire::headers::strip(&mut headers);
+    peppercrank_wire::headers::strip_hop_by_hop(&mut headers);
     answer::pass_on(&mut headers);
     let cut = AttemptError::broken_off("answer cut");
     if said.kind == Kind::Success && matches!(job.kind, RouteKind::Stream { .. }) {
@@ -277,7 +277,7 @@
 }
 
 /// Reads a refusal's body, so that its connection is kept.
-async fn drain(body: AnswerBody) {
+async fn drain(body: ResponseBody) {
     /// Time for a refusal's body, which comes with its head.
     const REST: Duration = Duration::from_millis(20);
     // A body that fails or does not come only costs its connection.
@@ -289,7 +289,7 @@
 /// # Errors
 ///
 /// Fails when the body breaks off.
-pub async fn next(body: &mut AnswerBody) -> Result<Option<Bytes>, ()> {
+pub async fn next(body: &mut ResponseBody) -> Result<Option<Bytes>, ()> {
     loop {
         match body.frame().await {
             None => return Ok(None),
--- a/crates/peppercrank-gateway/src/choose.rs
+++ b/crates/peppercrank-gateway/src/choose.rs
@@ -129,11 +129,15 @@
 /// `link_state` is how connections to targets fare on this router's link.
 #[must_use]
 pub fn link_state(gateway: &Gateway) -> LinkState {
-    let openings = gateway.client.openings();
+    let openings = gateway.client.pending_connections();
     LinkState {
         opening: openings.count(),
-        longest: openings.oldest().map_or(Duration::ZERO, |o| o.elapsed()),
-        last: openings.last().map(|made| (made.at.elapsed(), made.took)),
+        longest: openings
+            .oldest_start()
+            .map_or(Duration::ZERO, |o| o.elapsed()),
+        last: openings
+            .last_established()
+            .map(|made| (made.at.elapsed(), made.took)),
     }
 }
 
--- a/crates/peppercrank-gateway/src/gateway.rs
+++ b/crates/peppercrank-gateway/src/gateway.rs
@@ -24,7 +24,7 @@
 use peppercrank_log::Log;
 use peppercrank_settings::GatewaySettings;
 use peppercrank_wire::client::Client;
-use peppercrank_wire::client::Times;
+use peppercrank_wire::client::ClientConfig;
 use peppercrank_wire::clock::Clock;
 use peppercrank_wire::edge::Limits;
 use peppercrank_wire::stop::Stop;
@@ -130,7 +130,7 @@
     ) -> Self {
         let state = State::new(clock.now(), &settings.borrow());
         let limits = edge_limits(&settings.borrow(), FIRST_BOUNDS);
-        let times = Times {
+        let times = ClientConfig {
             connect: CONNECT,
             first_byte: LONGEST,
             idle: LONGEST,
--- a/crates/peppercrank-gateway/src/job.rs
+++ b/crates/peppercrank-gateway/src/job.rs
@@ -172,7 +172,7 @@
             Allowed::Denied => return Err(Reason::Denied),
         };
         let pool = route.pool(said.id.as_bytes()).ok_or(Reason::NoTarget)?;
-        peppercrank_wire::headers::strip(&mut head.headers);
+        peppercrank_wire::headers::strip_hop_by_hop(&mut head.headers);
         let wait = said.wait.unwrap_or(route.timeout).min(route.timeout);
         let CallHead { id, prompt, .. } = said;
         let prompt = prompt.unwrap_or_default();
--- a/crates/peppercrank-gateway/src/relay.rs
+++ b/crates/peppercrank-gateway/src/relay.rs
@@ -20,8 +20,8 @@
 use peppercrank_log::Field;
 use peppercrank_wire::body;
 use peppercrank_wire::body::Body;
-use peppercrank_wire::body::Feed;
-use peppercrank_wire::client::AnswerBody;
+use peppercrank_wire::body::BodySender;
+use peppercrank_wire::client::ResponseBody;
 
 use crate::attempt::FAILURE;
 use crate::attempt::Loss;
@@ -42,8 +42,8 @@
     run: Run,
     flight: Flight,
     /// What follows; none once it was given up for another run.
-    rest: Option<AnswerBody>,
-    feed: Feed,
+    rest: Option<ResponseBody>,
+    feed: BodySender,
     /// When the first part came, since the request did.
     began: Duration,
     /// Whole events only, of streams that may be resumed.
@@ -64,7 +64,7 @@
 
 /// `start` passes a stream on from a task of its own.
 #[must_use]
-pub fn start(run: &Run, flight: Flight, first: Bytes, rest: AnswerBody) -> Body {
+pub fn start(run: &Run, flight: Flight, first: Bytes, rest: ResponseBody) -> Body {
     let (feed, body) = body::channel(DEPTH);
     let resumable = matches!(run.job.kind, RouteKind::Stream { resumable: true });
     let relay = Relay {
--- a/crates/peppercrank-gateway/src/run.rs
+++ b/crates/peppercrank-gateway/src/run.rs
@@ -15,8 +15,8 @@
 use peppercrank_settings::GatewaySettings;
 use peppercrank_wire::clock::Clock;
 use peppercrank_wire::edge::Edge;
-use peppercrank_wire::edge::Finished;
 use peppercrank_wire::edge::Limits;
+use peppercrank_wire::edge::ServeSummary;
 use peppercrank_wire::stop::Stop;
 use peppercrank_wire::stop::Stopper;
 use peppercrank_wire::stop::stop;
@@ -84,7 +84,7 @@
     stopper: Stopper,
     /// The balancer and the metrics are answered until the process ends.
     ending: Stopper,
-    serving: JoinHandle<Finished>,
+    serving: JoinHandle<ServeSummary>,
     tasks: JoinSet<()>,
 }
 
--- a/crates/peppercrank-gateway/src/store.rs
+++ b/crates/peppercrank-gateway/src/store.rs
@@ -17,11 +17,11 @@
 use peppercrank_direct::era::Era;
 use peppercrank_platform::store;
 use peppercrank_wire::body;
-use peppercrank_wire::client::Answer;
-use peppercrank_wire::client::AnswerBody;
 use peppercrank_wire::client::Client;
+use peppercrank_wire::client::ClientConfig;
+use peppercrank_wire::client::ClientResponse;
+use peppercrank_wire::client::ResponseBody;
 use peppercrank_wire::client::Reuse;
-use peppercrank_wire::client::Times;
 use prometheus_client::metrics::counter::Counter;
 use tokio::time::timeout;
 
@@ -113,7 +113,7 @@
     /// `new` makes a client of the store at this address, which counts the bytes that it reads.
     #[must_use]
     pub fn new(address: SocketAddr, bytes: Counter) -> Self {
-        let times = Times {
+        let times = ClientConfig {
             connect: CONNECT,
             first_byte: Duration::from_secs(60),
             idle: PART,
@@ -138,7 +138,7 @@
     /// # Errors
     ///
     /// Returns the outcome of a call without an answer.
-    pub async fn ask(&self, path: &str, within: Duration) -> Result<Answer, Outcome> {
+    pub async fn ask(&self, path: &str, within: Duration) -> Result<ClientResponse, Outcome> {
         self.open(Method::GET, path, Bytes::new(), within).await
     }
 
@@ -170,7 +170,7 @@
         path: &str,
         body: Bytes,
         within: Duration,
-    ) -> Result<Answer, Outcome> {
+    ) -> Result<ClientResponse, Outcome> {
         let mut request = Request::new(body::full(body));
         *request.method_mut() = method;
         let Ok(uri) = path.parse() else {
@@ -191,7 +191,7 @@
     ///
     /// A bound on the time of the whole call made routers on slow links give up answers half read, and
     /// begin again at the first byte, for 8 s.
-    pub async fn finish(&self, answer: Answer) -> Outcome {
+    pub async fn finish(&self, answer: ClientResponse) -> Outcome {
         let (head, body) = answer.into_parts();
         let era = store::era(&head.headers);
         let whole = timeout(WHOLE, self.whole(body)).await;
@@ -203,7 +203,7 @@
     }
 
     /// The whole body of an answer; none where it broke off.
-    async fn whole(&self, mut body: AnswerBody) -> Option<Bytes> {
+    async fn whole(&self, mut body: ResponseBody) -> Option<Bytes> {
         let mut whole = BytesMut::new();
         while let Some(frame) = body.frame().await {
             let Ok(part) = frame.ok()?.into_data() else {
--- a/crates/peppercrank-standin/src/engine/tell.rs
+++ b/crates/peppercrank-standin/src/engine/tell.rs
@@ -9,7 +9,7 @@
 use http::HeaderValue;
 use http::header;
 use peppercrank_wire::body;
-use peppercrank_wire::body::Feed;
+use peppercrank_wire::body::BodySender;
 use peppercrank_wire::edge::Reply;
 
 use crate::Error;
@@ -108,7 +108,7 @@
 }
 
 /// Writes the events; tells whether that was the whole answer.
-async fn tell(shared: &Shared, view: &View, mut from: u32, feed: &Feed) -> bool {
+async fn tell(shared: &Shared, view: &View, mut from: u32, feed: &BodySender) -> bool {
     loop {
         let Ok(part) = shared.part(view.key, from).await else {
             return false;
@@ -128,7 +128,7 @@
 }
 
 /// Writes what follows the last piece.
-async fn tell_end(view: &View, from: u32, usage: Usage, feed: &Feed) -> bool {
+async fn tell_end(view: &View, from: u32, usage: Usage, feed: &BodySender) -> bool {
     // The last event is numbered `made`; who resumes after it has it already.
     if from <= usage.made {
         let last = answer::last_event(&view.id, usage);
--- a/crates/peppercrank-standin/tests/verify_client.rs
+++ b/crates/peppercrank-standin/tests/verify_client.rs
@@ -56,7 +56,7 @@
     let listed = client.list("pool").expect("a list");
     assert_eq!((listed.revision, listed.objects.len()), (2, 1));
     let watched = client.watch("pool", 1, Duration::ZERO);
-    assert_eq!(watched, Ok(Watched::News(listed)));
+    assert_eq!(watched, Ok(Watched::Changes(listed)));
     assert_eq!(client.watch("pool", 3, Duration::ZERO), Ok(Watched::TooOld));
     let vms = client.vms().expect("a list");
     assert_eq!(
--- a/crates/peppercrank-wire/examples/control_cost.rs
+++ b/crates/peppercrank-wire/examples/control_cost.rs
@@ -7,13 +7,13 @@
 use std::net::Ipv4Addr;
 use std::time::Instant;
 
-use peppercrank_wire::control::Ask;
 use peppercrank_wire::control::ControlClient;
+use peppercrank_wire::control::ControlClientConfig;
 use peppercrank_wire::control::ControlLimits;
+use peppercrank_wire::control::ControlRequest;
+use peppercrank_wire::control::ControlResponse;
 use peppercrank_wire::control::ControlServer;
-use peppercrank_wire::control::ControlTimes;
 use peppercrank_wire::control::Order;
-use peppercrank_wire::control::Told;
 use peppercrank_wire::seal::Channel;
 use peppercrank_wire::seal::Identity;
 use peppercrank_wire::seal::Key;
@@ -89,8 +89,8 @@
     let (_stopper, stop) = stop();
     tokio::spawn(server.serve(stop, |_, ask| async move {
         match ask {
-            Ask::Config(_) => Told::Received,
-            Ask::Order(order) => Told::Order(order.order),
+            ControlRequest::Config(_) => ControlResponse::Received,
+            ControlRequest::Order(order) => ControlResponse::Order(order.order),
         }
     }));
     println!("### Control calls on a kept connection, {CALLS} one after the other\n");
@@ -102,18 +102,21 @@
         order: r#"{"load_model":"galley-large"}"#.to_owned(),
     };
     let asks = [
-        ("config of 300 bytes", Ask::Config(vec![0; 300])),
-        ("config of 30,000 bytes", Ask::Config(vec![0; 30_000])),
-        ("order of 29 bytes", Ask::Order(order)),
+        ("config of 300 bytes", ControlRequest::Config(vec![0; 300])),
+        (
+            "config of 30,000 bytes",
+            ControlRequest::Config(vec![0; 30_000]),
+        ),
+        ("order of 29 bytes", ControlRequest::Order(order)),
     ];
     for (sender, (name, ask)) in (2..).zip(asks) {
-        let client = ControlClient::new(identity(sender), ring(), ControlTimes::default());
+        let client = ControlClient::new(identity(sender), ring(), ControlClientConfig::default());
         let begun = Instant::now();
         for _ in 0..CALLS {
-            client.ask(to, &ask).await.expect("an answer");
+            client.call(to, &ask).await.expect("an answer");
         }
         let time = begun.elapsed() / CALLS;
-        let (sent, received) = client.desk().carried();
+        let (sent, received) = client.codec().bytes_transferred();
         let calls = u64::from(CALLS);
         println!(
             "| {name} | {} | {} | {time:.0?} |",
--- a/crates/peppercrank-wire/examples/edge_cost.rs
+++ b/crates/peppercrank-wire/examples/edge_cost.rs
@@ -17,15 +17,15 @@
 use http::Request;
 use http_body_util::BodyExt;
 use peppercrank_wire::body;
-use peppercrank_wire::client::AnswerBody;
 use peppercrank_wire::client::Client;
+use peppercrank_wire::client::ClientConfig;
+use peppercrank_wire::client::ResponseBody;
 use peppercrank_wire::client::Reuse;
-use peppercrank_wire::client::Times;
 use peppercrank_wire::edge::Call;
 use peppercrank_wire::edge::Edge;
 use peppercrank_wire::edge::Limits;
 use peppercrank_wire::edge::Reply;
-use peppercrank_wire::headers::strip;
+use peppercrank_wire::headers::strip_hop_by_hop;
 use peppercrank_wire::stop::Stopper;
 use peppercrank_wire::stop::stop;
 use tokio::task::JoinSet;
@@ -82,9 +82,9 @@
 async fn run() {
     let origin = Instant::now();
     let (direct, first) = start(move |call| answer(call, origin)).await;
-    let client = Client::new(Times {
+    let client = Client::new(ClientConfig {
         spare: CALLERS,
-        ..Times::default()
+        ..ClientConfig::default()
     });
     let (hop, second) = start(move |call| relay(call, client.clone(), direct)).await;
     let ways = Ways {
@@ -138,12 +138,12 @@
 /// The hop: reads the call and passes the answer through.
 async fn relay(call: Call, client: Client, to: SocketAddr) -> Reply {
     let (mut head, body) = (call.head, call.body);
-    strip(&mut head.headers);
+    strip_hop_by_hop(&mut head.headers);
     let bytes = body.read().await.unwrap_or_default();
     let request = Request::from_parts(head, body::full(bytes));
     let sent = client.send(to, request, Reuse::Allowed).await;
     let mut answer = sent.expect("an answer");
-    strip(answer.headers_mut());
+    strip_hop_by_hop(answer.headers_mut());
     answer.map(BodyExt::boxed_unsync)
 }
 
@@ -161,7 +161,7 @@
 async fn latency(ways: &Ways) {
     println!("### One call at a time, {BODY} bytes each way, {CALLS} by each way in turn\n");
     println!("| way | median | 99th of 100 |\n| --- | ---: | ---: |");
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     let mut times = [Vec::with_capacity(CALLS), Vec::with_capacity(CALLS)];
     // In turn, so that what else the machine does falls on both ways alike.
     for _ in 0..CALLS {
@@ -177,9 +177,9 @@
 async fn throughput(ways: &Ways) {
     println!("### {CALLERS} callers at once, {ROUNDS} rounds of {ROUND:?} by each way in turn\n");
     println!("| way | calls/s | core-time a call |\n| --- | ---: | ---: |");
-    let client = Client::new(Times {
+    let client = Client::new(ClientConfig {
         spare: CALLERS,
-        ..Times::default()
+        ..ClientConfig::default()
     });
     let mut calls = [0_u32; 2];
     let mut spent = [0.0; 2];
@@ -219,7 +219,7 @@
 async fn events(ways: &Ways) {
     println!("### First event of a stream, {FIRSTS} streams by each way in turn\n");
     println!("| way | median | 99th of 100 |\n| --- | ---: | ---: |");
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     let mut times = [Vec::new(), Vec::new()];
     for _ in 0..FIRSTS {
         for (times, to) in times.iter_mut().zip([ways.direct, ways.hop]) {
@@ -270,7 +270,7 @@
     // Each case holds more than the one before, so what that one freed is used again.
     for streams in STREAMS {
         for (name, to) in [("direct", ways.direct), ("one hop", ways.hop)] {
-            let client = Arc::new(Client::new(Times::default()));
+            let client = Arc::new(Client::new(ClientConfig::default()));
             let mut readers = JoinSet::new();
             for _ in 0..streams {
                 let body = open(&client, to, "/slow").await;
@@ -293,7 +293,7 @@
     println!();
 }
 
-async fn read(mut body: AnswerBody) -> Bytes {
+async fn read(mut body: ResponseBody) -> Bytes {
     let mut last = Bytes::new();
     while let Some(Ok(frame)) = body.frame().await {
         last = frame.into_data().unwrap_or_default();
@@ -301,7 +301,7 @@
     last
 }
 
-async fn open(client: &Client, to: SocketAddr, path: &str) -> AnswerBody {
+async fn open(client: &Client, to: SocketAddr, path: &str) -> ResponseBody {
     let request = Request::get(path).body(body::empty());
     let request = request.expect("a good path");
     let sent = client.send(to, request, Reuse::Never).await;
--- a/crates/peppercrank-wire/src/body.rs
+++ b/crates/peppercrank-wire/src/body.rs
@@ -38,7 +38,7 @@
     Empty::new().map_err(|never| match never {}).boxed_unsync()
 }
 
-/// `channel` is a body that its [`Feed`] writes, at most `depth` frames ahead of the reader.
+/// `channel` is a body that its [`BodySender`] writes, at most `depth` frames ahead of the reader.
 ///
 /// # Panics
 ///
@@ -67,28 +67,34 @@
 /// # }
 /// ```
 #[must_use]
-pub fn channel(depth: usize) -> (Feed, Body) {
+pub fn channel(depth: usize) -> (BodySender, Body) {
     let (tx, rx) = mpsc::channel(depth);
     let whole = Arc::new(AtomicBool::new(false));
-    let fed = Fed {
+    let fed = ChannelBody {
         rx,
-        whole: Arc::clone(&whole),
-        over: false,
+        finished: Arc::clone(&whole),
+        ended: false,
     };
-    (Feed { tx, whole }, fed.boxed_unsync())
+    (
+        BodySender {
+            tx,
+            finished: whole,
+        },
+        fed.boxed_unsync(),
+    )
 }
 
 /// `Feed` writes a body frame by frame.
 ///
-/// Dropping it without [`Feed::finish`] breaks the message off, so that the reader never takes
+/// Dropping it without [`BodySender::finish`] breaks the message off, so that the reader never takes
 /// the part for the whole.
 #[derive(Debug)]
-pub struct Feed {
+pub struct BodySender {
     tx: mpsc::Sender<Bytes>,
-    whole: Arc<AtomicBool>,
+    finished: Arc<AtomicBool>,
 }
 
-impl Feed {
+impl BodySender {
     /// `send` writes one frame, waiting while the reader is behind.
     ///
     /// # Errors
@@ -112,17 +118,17 @@
 
     /// `finish` ends the body properly.
     pub fn finish(self) {
-        self.whole.store(true, Ordering::Release);
+        self.finished.store(true, Ordering::Release);
     }
 }
 
-struct Fed {
+struct ChannelBody {
     rx: mpsc::Receiver<Bytes>,
-    whole: Arc<AtomicBool>,
-    over: bool,
+    finished: Arc<AtomicBool>,
+    ended: bool,
 }
 
-impl HttpBody for Fed {
+impl HttpBody for ChannelBody {
     type Data = Bytes;
     type Error = Error;
 
@@ -130,7 +136,7 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>>>> {
-        if self.over {
+        if self.ended {
             return Poll::Ready(None);
         }
         let next = match self.rx.poll_recv(cx) {
@@ -140,8 +146,8 @@
         if let Some(bytes) = next {
             return Poll::Ready(Some(Ok(Frame::data(bytes))));
         }
-        self.over = true;
-        if self.whole.load(Ordering::Acquire) {
+        self.ended = true;
+        if self.finished.load(Ordering::Acquire) {
             return Poll::Ready(None);
         }
         Poll::Ready(Some(Err(Error::Aborted)))
--- a/crates/peppercrank-wire/src/client/answer.rs
+++ b/crates/peppercrank-wire/src/client/answer.rs
@@ -27,7 +27,7 @@
 use crate::Error;
 use crate::Result;
 
-use super::link::Link;
+use super::link::Connection;
 use super::pool::Pool;
 
 /// `Framing` is how an answer's body ends.
@@ -42,7 +42,7 @@
 }
 
 impl Framing {
-    pub(super) fn of(answer: &Response<Incoming>) -> Self {
+    pub(super) fn of_response(answer: &Response<Incoming>) -> Self {
         let headers = answer.headers();
         if headers.contains_key(header::TRANSFER_ENCODING) {
             return Self::Chunked;
@@ -59,7 +59,7 @@
     }
 
     /// Whether the connection can take another request after this answer.
-    pub(super) fn keeps(self, answer: &Response<Incoming>) -> bool {
+    pub(super) fn allows_reuse(self, answer: &Response<Incoming>) -> bool {
         let values = answer.headers().get_all(header::CONNECTION);
         let closes = values.iter().any(|v| {
             let text = v.to_str().unwrap_or("close");
@@ -72,36 +72,36 @@
 
 /// `AnswerBody` reads an answer's body; dropped before its end, it closes the connection.
 #[derive(Debug)]
-pub struct AnswerBody {
+pub struct ResponseBody {
     inner: Incoming,
     framing: Framing,
-    link: Option<Link>,
-    home: Option<(Arc<Pool>, SocketAddr)>,
+    connection: Option<Connection>,
+    return_to: Option<(Arc<Pool>, SocketAddr)>,
     idle: Duration,
     /// Since when the reader has waited for the next part.
-    since: Option<Instant>,
+    waiting_since: Option<Instant>,
     sleep: Option<Pin<Box<Sleep>>>,
 }
 
-impl AnswerBody {
+impl ResponseBody {
     pub(super) fn new(
         inner: Incoming,
         framing: Framing,
-        link: Link,
-        home: Option<(Arc<Pool>, SocketAddr)>,
+        connection: Connection,
+        return_to: Option<(Arc<Pool>, SocketAddr)>,
         idle: Duration,
     ) -> Self {
         let mut body = Self {
             inner,
             framing,
-            link: Some(link),
-            home,
+            connection: Some(connection),
+            return_to,
             idle,
-            since: None,
+            waiting_since: None,
             sleep: None,
         };
         if body.inner.is_end_stream() {
-            body.give_back();
+            body.release_connection();
         }
         body
     }
@@ -113,15 +113,15 @@
     }
 
     /// Gives the connection back after the body's end.
-    fn give_back(&mut self) {
-        let link = self.link.take();
-        if let (Some(link), Some((pool, to))) = (link, self.home.take()) {
-            pool.put(to, link);
+    fn release_connection(&mut self) {
+        let connection = self.connection.take();
+        if let (Some(connection), Some((pool, to))) = (connection, self.return_to.take()) {
+            pool.put(to, connection);
         }
     }
 
     fn poll_idle(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        let end = *self.since.get_or_insert_with(Instant::now) + self.idle;
+        let end = *self.waiting_since.get_or_insert_with(Instant::now) + self.idle;
         let sleep = self.sleep.get_or_insert_with(|| Box::pin(sleep_until(end)));
         if sleep.deadline() != end {
             sleep.as_mut().reset(end);
@@ -131,13 +131,13 @@
 
     /// Ends the body early and closes the connection.
     fn fail(&mut self, error: Error) -> Poll<Option<Result<Frame<Bytes>>>> {
-        self.link = None;
-        self.home = None;
+        self.connection = None;
+        self.return_to = None;
         Poll::Ready(Some(Err(error)))
     }
 }
 
-impl HttpBody for AnswerBody {
+impl HttpBody for ResponseBody {
     type Data = Bytes;
     type Error = Error;
 
@@ -148,18 +148,18 @@
         let body = &mut *self;
         let Poll::Ready(next) = Pin::new(&mut body.inner).poll_frame(cx) else {
             ready!(body.poll_idle(cx));
-            return body.fail(Error::AnswerIdle);
+            return body.fail(Error::ResponseIdle);
         };
-        body.since = None;
+        body.waiting_since = None;
         match next {
             None => {
-                body.give_back();
+                body.release_connection();
                 Poll::Ready(None)
             }
-            Some(Err(_)) => body.fail(Error::AnswerCut),
+            Some(Err(_)) => body.fail(Error::ResponseCut),
             Some(Ok(frame)) => {
                 if body.inner.is_end_stream() {
-                    body.give_back();
+                    body.release_connection();
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
--- a/crates/peppercrank-wire/src/client/link.rs
+++ b/crates/peppercrank-wire/src/client/link.rs
@@ -18,7 +18,7 @@
 use super::Cause;
 
 /// Most bytes buffered of a connection's answers, and so of an answer's head.
-const BUFFER: usize = 64 * 1_024;
+const MAX_BUFFER_BYTES: usize = 64 * 1_024;
 
 /// `Driver` runs a connection; dropping it closes the connection at once.
 #[derive(Debug)]
@@ -32,12 +32,12 @@
 
 /// `Link` is one open connection; dropping it closes the connection.
 #[derive(Debug)]
-pub(super) struct Link {
+pub(super) struct Connection {
     pub(super) sender: SendRequest<Body>,
     _driver: Driver,
 }
 
-impl Link {
+impl Connection {
     /// Connects within a time.
     pub(super) async fn open(to: SocketAddr, within: Duration) -> Result<Self, Cause> {
         let Ok(connected) = timeout(within, TcpStream::connect(to)).await else {
@@ -47,7 +47,7 @@
         // Without it only the latency suffers.
         let _set = io.set_nodelay(true);
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(BUFFER);
+        builder.max_buf_size(MAX_BUFFER_BYTES);
         let Ok((sender, conn)) = builder.handshake(TokioIo::new(io)).await else {
             return Err(Cause::Closed);
         };
--- a/crates/peppercrank-wire/src/client/mod.rs
+++ b/crates/peppercrank-wire/src/client/mod.rs
@@ -27,27 +27,27 @@
 
 use crate::body::Body;
 
-pub use answer::AnswerBody;
 pub use answer::Framing;
+pub use answer::ResponseBody;
 pub use counters::Count;
 pub use counters::Counters;
-pub use openings::Made;
-pub use openings::Openings;
+pub use openings::EstablishedConnection;
+pub use openings::PendingConnections;
 
-use link::Link;
+use link::Connection;
 use pool::Pool;
 
 /// Time for a kept connection to take a request: its driver has but to look at it once more. One whose
 /// server answered before it had read the whole request is not ready until that has gone out,
 /// and a request must not wait for it.
-const READY: Duration = Duration::from_millis(5);
+const READY_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// `Answer` is the head of an answer with the body that follows.
-pub type Answer = Response<AnswerBody>;
+pub type ClientResponse = Response<ResponseBody>;
 
 /// `Times` are the client's limits.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Times {
+pub struct ClientConfig {
     /// Time for a connection to be made.
     pub connect: Duration,
     /// Time from the request's hand-over to the answer's head.
@@ -60,7 +60,7 @@
     pub spare: usize,
 }
 
-impl Default for Times {
+impl Default for ClientConfig {
     fn default() -> Self {
         Self {
             connect: Duration::from_millis(500),
@@ -124,29 +124,29 @@
 /// `Client` sends requests and keeps a few connections for each address.
 #[derive(Debug, Clone)]
 pub struct Client {
-    times: Arc<Times>,
+    config: Arc<ClientConfig>,
     pool: Arc<Pool>,
     counters: Arc<Counters>,
-    openings: Arc<Openings>,
+    pending_connections: Arc<PendingConnections>,
 }
 
 impl Client {
     /// `new` makes a client with no connections yet.
     #[must_use]
-    pub fn new(times: Times) -> Self {
+    pub fn new(times: ClientConfig) -> Self {
         let pool = Pool::new(times.keep, times.spare);
         Self {
-            times: Arc::new(times),
+            config: Arc::new(times),
             pool: Arc::new(pool),
             counters: Arc::default(),
-            openings: Arc::default(),
+            pending_connections: Arc::default(),
         }
     }
 
     /// `openings` are the connections that are being made, and the last one that was.
     #[must_use]
-    pub fn openings(&self) -> &Openings {
-        &self.openings
+    pub fn pending_connections(&self) -> &PendingConnections {
+        &self.pending_connections
     }
 
     /// `counters` are the client's counters.
@@ -176,24 +176,24 @@
     ///
     /// Returns why there is no connection.
     pub async fn connect(&self, to: SocketAddr) -> Result<(), Cause> {
-        let link = self.open(to).await?;
-        self.pool.put(to, link);
+        let connection = self.open(to).await?;
+        self.pool.put(to, connection);
         Ok(())
     }
 
     /// Makes a connection.
-    async fn open(&self, to: SocketAddr) -> Result<Link, Cause> {
-        let opening = self.openings.begin();
-        let link = Link::open(to, self.times.connect).await?;
-        opening.made();
+    async fn open(&self, to: SocketAddr) -> Result<Connection, Cause> {
+        let pending = self.pending_connections.start();
+        let connection = Connection::open(to, self.config.connect).await?;
+        pending.established();
         self.counters.add(Count::Connected);
-        Ok(link)
+        Ok(connection)
     }
 
     /// `kept` is how many open connections wait for their next request.
     #[must_use]
-    pub fn kept(&self) -> usize {
-        self.pool.open()
+    pub fn idle_connections(&self) -> usize {
+        self.pool.open_connections()
     }
 
     /// `send` sends a request and returns the head of its answer.
@@ -208,8 +208,8 @@
         to: SocketAddr,
         mut request: Request<Body>,
         reuse: Reuse,
-    ) -> Result<Answer, SendError> {
-        address(&mut request, to);
+    ) -> Result<ClientResponse, SendError> {
+        set_destination(&mut request, to);
         let sent = self.attempt(to, request, reuse).await;
         if let Err(error) = &sent {
             self.counters.failed(*error);
@@ -222,67 +222,78 @@
         to: SocketAddr,
         mut request: Request<Body>,
         reuse: Reuse,
-    ) -> Result<Answer, SendError> {
+    ) -> Result<ClientResponse, SendError> {
         if reuse == Reuse::Allowed {
-            while let Some(link) = self.pool.take(to) {
-                match self.try_on(link, to, request, READY).await {
+            while let Some(connection) = self.pool.take(to) {
+                match self.send_on(connection, to, request, READY_TIMEOUT).await {
                     // The kept connection had closed unseen, so the request is still ours.
-                    Tried::Back(unsent, _) => request = unsent,
-                    Tried::Answer(answer) => {
+                    SendOutcome::Unsent(unsent, _) => request = unsent,
+                    SendOutcome::Response(answer) => {
                         self.counters.add(Count::Reused);
                         return Ok(answer);
                     }
-                    Tried::Failed(cause) => return Err(SendError::MayHaveBeenSent(cause)),
+                    SendOutcome::Failed(cause) => return Err(SendError::MayHaveBeenSent(cause)),
                 }
             }
         }
-        let link = self.open(to).await.map_err(SendError::NotSent)?;
-        match self.try_on(link, to, request, self.times.connect).await {
-            Tried::Answer(answer) => Ok(answer),
-            Tried::Back(_, cause) => Err(SendError::NotSent(cause)),
-            Tried::Failed(cause) => Err(SendError::MayHaveBeenSent(cause)),
+        let connection = self.open(to).await.map_err(SendError::NotSent)?;
+        match self
+            .send_on(connection, to, request, self.config.connect)
+            .await
+        {
+            SendOutcome::Response(answer) => Ok(answer),
+            SendOutcome::Unsent(_, cause) => Err(SendError::NotSent(cause)),
+            SendOutcome::Failed(cause) => Err(SendError::MayHaveBeenSent(cause)),
         }
     }
 
     /// Sends a request on a connection that is `ready` for it within this time.
-    async fn try_on(
+    async fn send_on(
         &self,
-        mut link: Link,
+        mut connection: Connection,
         to: SocketAddr,
         request: Request<Body>,
         ready: Duration,
-    ) -> Tried {
-        let Ok(Ok(())) = timeout(ready, link.sender.ready()).await else {
-            return Tried::Back(request, Cause::Closed);
+    ) -> SendOutcome {
+        let Ok(Ok(())) = timeout(ready, connection.sender.ready()).await else {
+            return SendOutcome::Unsent(request, Cause::Closed);
         };
-        let sending = link.sender.try_send_request(request);
-        let Ok(sent) = timeout(self.times.first_byte, sending).await else {
-            return Tried::Failed(Cause::FirstByte);
+        let sending = connection.sender.try_send_request(request);
+        let Ok(sent) = timeout(self.config.first_byte, sending).await else {
+            return SendOutcome::Failed(Cause::FirstByte);
         };
         match sent {
-            Ok(answer) => Tried::Answer(self.wrap(answer, link, to)),
+            Ok(answer) => SendOutcome::Response(self.wrap_response(answer, connection, to)),
             Err(mut e) => match e.take_message() {
-                Some(request) => Tried::Back(request, Cause::Closed),
-                None => Tried::Failed(cause(e.error())),
+                Some(request) => SendOutcome::Unsent(request, Cause::Closed),
+                None => SendOutcome::Failed(cause_of(e.error())),
             },
         }
     }
 
-    fn wrap(&self, answer: Response<Incoming>, link: Link, to: SocketAddr) -> Answer {
-        let framing = Framing::of(&answer);
-        let home = framing.keeps(&answer).then(|| (Arc::clone(&self.pool), to));
-        answer.map(|inner| AnswerBody::new(inner, framing, link, home, self.times.idle))
+    fn wrap_response(
+        &self,
+        answer: Response<Incoming>,
+        connection: Connection,
+        to: SocketAddr,
+    ) -> ClientResponse {
+        let framing = Framing::of_response(&answer);
+        let return_to = framing
+            .allows_reuse(&answer)
+            .then(|| (Arc::clone(&self.pool), to));
+        answer
+            .map(|inner| ResponseBody::new(inner, framing, connection, return_to, self.config.idle))
     }
 }
 
 /// `Tried` is how a request fared on one connection.
-enum Tried {
-    Answer(Answer),
-    Back(Request<Body>, Cause),
+enum SendOutcome {
+    Response(ClientResponse),
+    Unsent(Request<Body>, Cause),
     Failed(Cause),
 }
 
-fn cause(error: &hyper::Error) -> Cause {
+fn cause_of(error: &hyper::Error) -> Cause {
     if error.is_user() {
         return Cause::Aborted;
     }
@@ -293,7 +304,7 @@
 }
 
 /// Writes the request's first line and host as a server wants them of a client that is no proxy.
-fn address(request: &mut Request<Body>, to: SocketAddr) {
+fn set_destination(request: &mut Request<Body>, to: SocketAddr) {
     let path = request.uri().path_and_query().cloned();
     *request.uri_mut() = path.map_or_else(Uri::default, Uri::from);
     if request.headers().contains_key(header::HOST) {
--- a/crates/peppercrank-wire/src/client/openings.rs
+++ b/crates/peppercrank-wire/src/client/openings.rs
@@ -13,7 +13,7 @@
 
 /// `Made` is a connection that was made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Made {
+pub struct EstablishedConnection {
     /// When it was there.
     pub at: Instant,
     /// Time that it took.
@@ -25,21 +25,21 @@
     /// When each was begun, with its number.
     pending: BTreeSet<(Instant, u64)>,
     next: u64,
-    last: Option<Made>,
+    last: Option<EstablishedConnection>,
 }
 
 /// `Openings` are the connections that a client is making.
 #[derive(Debug, Default)]
-pub struct Openings(Mutex<Inner>);
+pub struct PendingConnections(Mutex<Inner>);
 
 /// `Opening` is a connection that is being made, until it is dropped.
 #[derive(Debug)]
-pub(super) struct Opening<'a> {
-    all: &'a Openings,
+pub(super) struct PendingConnection<'a> {
+    all: &'a PendingConnections,
     key: (Instant, u64),
 }
 
-impl Openings {
+impl PendingConnections {
     fn inner(&self) -> MutexGuard<'_, Inner> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -52,35 +52,35 @@
 
     /// `oldest` is when the one that takes longest was begun.
     #[must_use]
-    pub fn oldest(&self) -> Option<Instant> {
+    pub fn oldest_start(&self) -> Option<Instant> {
         self.inner().pending.first().map(|(begun, _)| *begun)
     }
 
     /// `last` is the last one that was made.
     #[must_use]
-    pub fn last(&self) -> Option<Made> {
+    pub fn last_established(&self) -> Option<EstablishedConnection> {
         self.inner().last
     }
 
-    pub(super) fn begin(&self) -> Opening<'_> {
+    pub(super) fn start(&self) -> PendingConnection<'_> {
         let mut inner = self.inner();
         let key = (Instant::now(), inner.next);
         inner.next += 1;
         inner.pending.insert(key);
-        Opening { all: self, key }
+        PendingConnection { all: self, key }
     }
 }
 
-impl Opening<'_> {
+impl PendingConnection<'_> {
     /// `made` notes that the connection is there.
-    pub(super) fn made(self) {
+    pub(super) fn established(self) {
         let at = Instant::now();
         let took = at.duration_since(self.key.0);
-        self.all.inner().last = Some(Made { at, took });
+        self.all.inner().last = Some(EstablishedConnection { at, took });
     }
 }
 
-impl Drop for Opening<'_> {
+impl Drop for PendingConnection<'_> {
     fn drop(&mut self) {
         self.all.inner().pending.remove(&self.key);
     }
--- a/crates/peppercrank-wire/src/client/pool.rs
+++ b/crates/peppercrank-wire/src/client/pool.rs
@@ -14,12 +14,12 @@
 
 use tokio::time::Instant;
 
-use super::link::Link;
+use super::link::Connection;
 
 #[derive(Debug)]
-struct Kept {
-    links: HashMap<SocketAddr, Vec<(Instant, Link)>>,
-    swept: Instant,
+struct IdleConnections {
+    by_address: HashMap<SocketAddr, Vec<(Instant, Connection)>>,
+    last_sweep: Instant,
 }
 
 /// `Pool` keeps a few unused connections for each address.
@@ -27,19 +27,19 @@
 pub(super) struct Pool {
     keep: Duration,
     spare: AtomicUsize,
-    kept: Mutex<Kept>,
+    idle: Mutex<IdleConnections>,
 }
 
 impl Pool {
     pub(super) fn new(keep: Duration, spare: usize) -> Self {
-        let kept = Kept {
-            links: HashMap::new(),
-            swept: Instant::now(),
+        let idle = IdleConnections {
+            by_address: HashMap::new(),
+            last_sweep: Instant::now(),
         };
         Self {
             keep,
             spare: AtomicUsize::new(spare),
-            kept: Mutex::new(kept),
+            idle: Mutex::new(idle),
         }
     }
 
@@ -49,57 +49,65 @@
     }
 
     /// Takes the connection that was used last, if one is young enough.
-    pub(super) fn take(&self, to: SocketAddr) -> Option<Link> {
-        let mut kept = self.kept();
-        let links = kept.links.get_mut(&to)?;
-        while let Some((since, link)) = links.pop() {
-            if since.elapsed() < self.keep && !link.sender.is_closed() {
-                return Some(link);
+    pub(super) fn take(&self, to: SocketAddr) -> Option<Connection> {
+        let mut idle = self.lock_idle();
+        let connections = idle.by_address.get_mut(&to)?;
+        while let Some((since, connection)) = connections.pop() {
+            if since.elapsed() < self.keep && !connection.sender.is_closed() {
+                return Some(connection);
             }
         }
         None
     }
 
     /// Keeps a connection whose answer was read to its end.
-    pub(super) fn put(&self, to: SocketAddr, link: Link) {
+    pub(super) fn put(&self, to: SocketAddr, connection: Connection) {
         let now = Instant::now();
-        let mut kept = self.kept();
-        if now.duration_since(kept.swept) > self.keep {
-            kept.swept = now;
-            sweep(&mut kept.links, now, self.keep);
+        let mut idle = self.lock_idle();
+        if now.duration_since(idle.last_sweep) > self.keep {
+            idle.last_sweep = now;
+            sweep(&mut idle.by_address, now, self.keep);
         }
-        let links = kept.links.entry(to).or_default();
-        if links.len() < self.spare.load(Ordering::Relaxed) {
-            links.push((now, link));
+        let connections = idle.by_address.entry(to).or_default();
+        if connections.len() < self.spare.load(Ordering::Relaxed) {
+            connections.push((now, connection));
         }
     }
 
     /// Closes the connections to an address.
     pub(super) fn close(&self, to: SocketAddr) {
-        drop(self.kept().links.remove(&to));
+        drop(self.lock_idle().by_address.remove(&to));
     }
 
     /// Closes all connections.
     pub(super) fn close_all(&self) {
-        self.kept().links.clear();
+        self.lock_idle().by_address.clear();
     }
 
     /// How many of the kept connections are open.
-    pub(super) fn open(&self) -> usize {
-        let kept = self.kept();
-        let links = kept.links.values().flatten();
-        links.filter(|(_, link)| !link.sender.is_closed()).count()
+    pub(super) fn open_connections(&self) -> usize {
+        let idle = self.lock_idle();
+        let connections = idle.by_address.values().flatten();
+        connections
+            .filter(|(_, connection)| !connection.sender.is_closed())
+            .count()
     }
 
-    fn kept(&self) -> MutexGuard<'_, Kept> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_idle(&self) -> MutexGuard<'_, IdleConnections> {
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Closes what nobody took, so that addresses which are gone leave nothing behind.
-fn sweep(links: &mut HashMap<SocketAddr, Vec<(Instant, Link)>>, now: Instant, keep: Duration) {
-    for list in links.values_mut() {
-        list.retain(|(since, link)| now.duration_since(*since) < keep && !link.sender.is_closed());
+fn sweep(
+    connections: &mut HashMap<SocketAddr, Vec<(Instant, Connection)>>,
+    now: Instant,
+    keep: Duration,
+) {
+    for list in connections.values_mut() {
+        list.retain(|(since, connection)| {
+            now.duration_since(*since) < keep && !connection.sender.is_closed()
+        });
     }
-    links.retain(|_, list| !list.is_empty());
+    connections.retain(|_, list| !list.is_empty());
 }
--- a/crates/peppercrank-wire/src/clock.rs
+++ b/crates/peppercrank-wire/src/clock.rs
@@ -22,9 +22,9 @@
     /// The time since the machine's boot at the start.
     origin: Duration,
     /// The start on the clock of timers.
-    steady: StdInstant,
+    timer_origin: StdInstant,
     /// Milliseconds of suspensions that are played.
-    played: Option<&'static AtomicU64>,
+    simulated_suspension_ms: Option<&'static AtomicU64>,
 }
 
 impl Clock {
@@ -33,17 +33,17 @@
     pub fn start() -> Self {
         Self {
             origin: since_boot(),
-            steady: StdInstant::now(),
-            played: None,
+            timer_origin: StdInstant::now(),
+            simulated_suspension_ms: None,
         }
     }
 
     /// `start_played` starts a clock that also counts these milliseconds, as if the machine had been suspended for them: to be
     /// raised while it runs, where a machine cannot be suspended to see what follows.
     #[must_use]
-    pub fn start_played(played: &'static AtomicU64) -> Self {
+    pub fn start_with_simulated_suspension(played: &'static AtomicU64) -> Self {
         Self {
-            played: Some(played),
+            simulated_suspension_ms: Some(played),
             ..Self::start()
         }
     }
@@ -52,13 +52,15 @@
     #[must_use]
     pub fn now(&self) -> Instant {
         let counted = since_boot().saturating_sub(self.origin);
-        let played = self.played.map_or(0, |p| p.load(Ordering::Relaxed));
+        let played = self
+            .simulated_suspension_ms
+            .map_or(0, |p| p.load(Ordering::Relaxed));
         Instant::from_origin(counted + Duration::from_millis(played))
     }
 
     /// `instant` is when a timer has to fire for a moment, unless the machine is suspended before it.
     #[must_use]
-    pub fn instant(&self, at: Instant) -> StdInstant {
+    pub fn timer_instant(&self, at: Instant) -> StdInstant {
         StdInstant::now() + at.since(self.now())
     }
 
@@ -66,7 +68,7 @@
     #[must_use]
     pub fn suspended(&self) -> Duration {
         let counted = self.now().since_origin();
-        counted.saturating_sub(self.steady.elapsed())
+        counted.saturating_sub(self.timer_origin.elapsed())
     }
 }
 
--- a/crates/peppercrank-wire/src/control/client.rs
+++ b/crates/peppercrank-wire/src/control/client.rs
@@ -24,21 +24,21 @@
 
 use crate::seal::Identity;
 use crate::seal::KeyRing;
-use crate::seal::OVERHEAD;
 use crate::seal::Rejected;
+use crate::seal::SEAL_OVERHEAD;
 
 use super::MAX_FRAME;
-use super::desk::Desk;
-use super::desk::Reply;
-use super::desk::Sealed;
-use super::messages::Ask;
+use super::desk::ControlCodec;
+use super::desk::SealedReply;
+use super::desk::SealedRequest;
+use super::messages::ControlRequest;
+use super::messages::ControlResponse;
 use super::messages::Order;
-use super::messages::Told;
-use super::transport::wrap;
+use super::transport::rpc_transport;
 
 /// `ControlTimes` are the limits of a client of control calls.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ControlTimes {
+pub struct ControlClientConfig {
     /// Time for a connection to be made.
     pub connect: Duration,
     /// Time for a whole call.
@@ -49,7 +49,7 @@
     pub frame: usize,
 }
 
-impl Default for ControlTimes {
+impl Default for ControlClientConfig {
     fn default() -> Self {
         Self {
             connect: Duration::from_millis(500),
@@ -75,9 +75,9 @@
     /// The other side says that the call is not authentic.
     Refused(Rejected),
     /// The answer is not authentic.
-    Forged(Rejected),
+    ResponseRejected(Rejected),
     /// The call, or its answer, is longer than a message may be.
-    TooBig,
+    TooLarge,
     /// The answer is to another kind of call.
     Unexpected,
 }
@@ -90,8 +90,8 @@
             Self::Closed => f.write_str("the connection closed"),
             Self::Busy => f.write_str("too many calls in progress"),
             Self::Refused(reason) => write!(f, "call refused: {reason}"),
-            Self::Forged(reason) => write!(f, "answer rejected: {reason}"),
-            Self::TooBig => f.write_str("message too long"),
+            Self::ResponseRejected(reason) => write!(f, "answer rejected: {reason}"),
+            Self::TooLarge => f.write_str("message too long"),
             Self::Unexpected => f.write_str("answer of another kind"),
         }
     }
@@ -101,8 +101,8 @@
 
 /// `Link` is one connection; its calls share it.
 #[derive(Debug, Clone)]
-struct Link {
-    channel: Channel<Sealed, Reply>,
+struct Connection {
+    channel: Channel<SealedRequest, SealedReply>,
     driver: Arc<Driver>,
 }
 
@@ -119,9 +119,9 @@
 /// `ControlClient` makes control calls; its clones share connections and counts.
 #[derive(Debug, Clone)]
 pub struct ControlClient {
-    times: ControlTimes,
-    desk: Arc<Desk>,
-    links: Arc<Mutex<HashMap<SocketAddr, (Instant, Link)>>>,
+    config: ControlClientConfig,
+    codec: Arc<ControlCodec>,
+    connections: Arc<Mutex<HashMap<SocketAddr, (Instant, Connection)>>>,
 }
 
 impl ControlClient {
@@ -130,18 +130,18 @@
     /// A process makes one and clones it: the calls of two with one identity would look like
     /// replays of each other's.
     #[must_use]
-    pub fn new(identity: Identity, ring: KeyRing, times: ControlTimes) -> Self {
+    pub fn new(identity: Identity, ring: KeyRing, times: ControlClientConfig) -> Self {
         Self {
-            times,
-            desk: Arc::new(Desk::asking(identity, ring)),
-            links: Arc::default(),
+            config: times,
+            codec: Arc::new(ControlCodec::for_client(identity, ring)),
+            connections: Arc::default(),
         }
     }
 
     /// `desk` rotates the client's keys and tells its counts.
     #[must_use]
-    pub fn desk(&self) -> &Desk {
-        &self.desk
+    pub fn codec(&self) -> &ControlCodec {
+        &self.codec
     }
 
     /// `config` sends a message of the configuration relay, which the other side takes in.
@@ -149,10 +149,10 @@
     /// # Errors
     ///
     /// Returns a [`ControlError`].
-    pub async fn config(&self, to: SocketAddr, message: Vec<u8>) -> Result<(), ControlError> {
-        match self.ask(to, &Ask::Config(message)).await? {
-            Told::Received => Ok(()),
-            other => Err(unexpected(&other)),
+    pub async fn send_config(&self, to: SocketAddr, message: Vec<u8>) -> Result<(), ControlError> {
+        match self.call(to, &ControlRequest::Config(message)).await? {
+            ControlResponse::Received => Ok(()),
+            other => Err(unexpected_response(&other)),
         }
     }
 
@@ -162,10 +162,10 @@
     ///
     /// Returns a [`ControlError`]; after all but `Connect`, `Busy` and `Refused` the
     /// order may have been passed on.
-    pub async fn order(&self, to: SocketAddr, order: Order) -> Result<String, ControlError> {
-        match self.ask(to, &Ask::Order(order)).await? {
-            Told::Order(reply) => Ok(reply),
-            other => Err(unexpected(&other)),
+    pub async fn send_order(&self, to: SocketAddr, order: Order) -> Result<String, ControlError> {
+        match self.call(to, &ControlRequest::Order(order)).await? {
+            ControlResponse::Order(reply) => Ok(reply),
+            other => Err(unexpected_response(&other)),
         }
     }
 
@@ -174,102 +174,118 @@
     /// # Errors
     ///
     /// Returns a [`ControlError`].
-    pub async fn ask(&self, to: SocketAddr, ask: &Ask) -> Result<Told, ControlError> {
-        let asked = timeout(self.times.call, self.attempts(to, ask)).await;
-        asked.unwrap_or(Err(ControlError::Timeout))
+    pub async fn call(
+        &self,
+        to: SocketAddr,
+        request: &ControlRequest,
+    ) -> Result<ControlResponse, ControlError> {
+        let result = timeout(self.config.call, self.call_with_reconnect(to, request)).await;
+        result.unwrap_or(Err(ControlError::Timeout))
     }
 
-    async fn attempts(&self, to: SocketAddr, ask: &Ask) -> Result<Told, ControlError> {
-        if let Some(link) = self.kept(to) {
-            let told = self.attempt(to, &link, ask).await;
-            if told.is_err() {
-                self.forget(to, &link);
+    async fn call_with_reconnect(
+        &self,
+        to: SocketAddr,
+        request: &ControlRequest,
+    ) -> Result<ControlResponse, ControlError> {
+        if let Some(connection) = self.kept_connection(to) {
+            let response = self.call_on(to, &connection, request).await;
+            if response.is_err() {
+                self.remove_connection(to, &connection);
             }
             // A kept connection may have closed unseen; a new one tells more.
-            if told != Err(ControlError::Closed) || !ask.repeats() {
-                return told;
+            if response != Err(ControlError::Closed) || !request.is_idempotent() {
+                return response;
             }
         }
-        let link = self.open(to).await?;
-        let told = self.attempt(to, &link, ask).await;
-        if told.is_ok() {
-            self.keep(to, link);
+        let connection = self.connect(to).await?;
+        let response = self.call_on(to, &connection, request).await;
+        if response.is_ok() {
+            self.keep_connection(to, connection);
         }
-        told
+        response
     }
 
-    async fn attempt(&self, to: SocketAddr, link: &Link, ask: &Ask) -> Result<Told, ControlError> {
-        let sealed = self.desk.seal_ask(&to.to_string(), ask);
-        let (caller, sealed) = sealed.map_err(|_fault| ControlError::TooBig)?;
-        if sealed.0.len() > self.times.frame.saturating_sub(OVERHEAD) {
-            return Err(ControlError::TooBig);
+    async fn call_on(
+        &self,
+        to: SocketAddr,
+        connection: &Connection,
+        request: &ControlRequest,
+    ) -> Result<ControlResponse, ControlError> {
+        let sealed = self.codec.seal_request(&to.to_string(), request);
+        let (caller, sealed) = sealed.map_err(|_error| ControlError::TooLarge)?;
+        if sealed.0.len() > self.config.frame.saturating_sub(SEAL_OVERHEAD) {
+            return Err(ControlError::TooLarge);
         }
         let mut context = context::current();
-        context.deadline = std::time::Instant::now() + self.times.call;
-        let reply = link.channel.call(context, sealed).await;
-        match reply.map_err(|e| failed(&e))? {
-            Reply::Rejected(reason) => Err(ControlError::Refused(reason)),
-            Reply::Sealed(bytes) => {
-                let told = self.desk.open_told(caller, ask.kind(), &bytes);
-                told.map_err(ControlError::Forged)
+        context.deadline = std::time::Instant::now() + self.config.call;
+        let reply = connection.channel.call(context, sealed).await;
+        match reply.map_err(|e| map_rpc_error(&e))? {
+            SealedReply::Rejected(reason) => Err(ControlError::Refused(reason)),
+            SealedReply::Sealed(bytes) => {
+                let response = self.codec.open_response(caller, request.kind(), &bytes);
+                response.map_err(ControlError::ResponseRejected)
             }
         }
     }
 
-    async fn open(&self, to: SocketAddr) -> Result<Link, ControlError> {
-        let connecting = timeout(self.times.connect, TcpStream::connect(to)).await;
+    async fn connect(&self, to: SocketAddr) -> Result<Connection, ControlError> {
+        let connecting = timeout(self.config.connect, TcpStream::connect(to)).await;
         let Ok(connected) = connecting else {
             return Err(ControlError::Timeout);
         };
         let io = connected.map_err(|e| ControlError::Connect(e.kind()))?;
-        let (wire, _) = wrap(io, self.times.frame, Arc::clone(&self.desk.carried));
-        let new = client::new(client::Config::default(), wire);
+        let (transport, _) =
+            rpc_transport(io, self.config.frame, Arc::clone(&self.codec.byte_counters));
+        let new = client::new(client::Config::default(), transport);
         let dispatch = new.dispatch;
         let driver = tokio::spawn(async move {
             // Each call hears of the connection's end by itself.
             let _ended = dispatch.await;
         });
-        Ok(Link {
+        Ok(Connection {
             channel: new.client,
             driver: Arc::new(Driver(driver)),
         })
     }
 
-    fn kept(&self, to: SocketAddr) -> Option<Link> {
-        let mut links = self.links();
-        let (used, link) = links.get_mut(&to)?;
-        if used.elapsed() < self.times.keep {
+    fn kept_connection(&self, to: SocketAddr) -> Option<Connection> {
+        let mut connections = self.lock_connections();
+        let (used, connection) = connections.get_mut(&to)?;
+        if used.elapsed() < self.config.keep {
             *used = Instant::now();
-            return Some(link.clone());
+            return Some(connection.clone());
         }
-        links.remove(&to);
+        connections.remove(&to);
         None
     }
 
-    fn keep(&self, to: SocketAddr, link: Link) {
+    fn keep_connection(&self, to: SocketAddr, connection: Connection) {
         let now = Instant::now();
-        let keep = self.times.keep;
-        let mut links = self.links();
+        let keep = self.config.keep;
+        let mut connections = self.lock_connections();
         // Addresses that are gone leave nothing behind.
-        links.retain(|_, (used, _)| now.duration_since(*used) < keep);
-        links.insert(to, (now, link));
+        connections.retain(|_, (used, _)| now.duration_since(*used) < keep);
+        connections.insert(to, (now, connection));
     }
 
     /// Forgets a connection that failed, unless another has taken its place.
-    fn forget(&self, to: SocketAddr, link: &Link) {
-        let mut links = self.links();
-        let same = |(_, l): &(Instant, Link)| Arc::ptr_eq(&l.driver, &link.driver);
-        if links.get(&to).is_some_and(same) {
-            links.remove(&to);
+    fn remove_connection(&self, to: SocketAddr, connection: &Connection) {
+        let mut connections = self.lock_connections();
+        let same = |(_, l): &(Instant, Connection)| Arc::ptr_eq(&l.driver, &connection.driver);
+        if connections.get(&to).is_some_and(same) {
+            connections.remove(&to);
         }
     }
 
-    fn links(&self) -> MutexGuard<'_, HashMap<SocketAddr, (Instant, Link)>> {
-        self.links.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_connections(&self) -> MutexGuard<'_, HashMap<SocketAddr, (Instant, Connection)>> {
+        self.connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn failed(error: &RpcError) -> ControlError {
+fn map_rpc_error(error: &RpcError) -> ControlError {
     match error {
         RpcError::DeadlineExceeded => ControlError::Timeout,
         RpcError::Server(_) => ControlError::Busy,
@@ -277,9 +293,9 @@
     }
 }
 
-const fn unexpected(told: &Told) -> ControlError {
-    match told {
-        Told::TooBig => ControlError::TooBig,
+const fn unexpected_response(response: &ControlResponse) -> ControlError {
+    match response {
+        ControlResponse::TooLarge => ControlError::TooLarge,
         _ => ControlError::Unexpected,
     }
 }
--- a/crates/peppercrank-wire/src/control/desk.rs
+++ b/crates/peppercrank-wire/src/control/desk.rs
@@ -23,15 +23,15 @@
 use crate::seal::SenderId;
 use crate::traffic::Traffic;
 
-use super::messages::Ask;
-use super::messages::Told;
-use super::transport::Carried;
+use super::messages::ControlRequest;
+use super::messages::ControlResponse;
+use super::transport::ByteCounters;
 
 /// `Sealed` is a control call as tarpc carries it.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) struct Sealed(pub(super) Vec<u8>);
+pub(super) struct SealedRequest(pub(super) Vec<u8>);
 
-impl RequestName for Sealed {
+impl RequestName for SealedRequest {
     fn name(&self) -> &'static str {
         "peppercrank.ask"
     }
@@ -39,8 +39,8 @@
 
 /// `Reply` is an answer as tarpc carries it.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) enum Reply {
-    /// A sealed [`Told`].
+pub(super) enum SealedReply {
+    /// A sealed [`ControlResponse`].
     Sealed(Vec<u8>),
     /// The call was not authentic. This is not authentic either, and only explains.
     Rejected(Rejected),
@@ -65,31 +65,49 @@
 
 /// `Desk` seals and opens control calls, and counts them.
 #[derive(Debug)]
-pub struct Desk {
+pub struct ControlCodec {
     identity: Identity,
     sealer: Mutex<Sealer>,
     opener: Mutex<Opener>,
     traffic: Traffic,
-    pub(super) carried: Arc<Carried>,
+    pub(super) byte_counters: Arc<ByteCounters>,
 }
 
-impl Desk {
-    pub(super) fn asking(identity: Identity, ring: KeyRing) -> Self {
+impl ControlCodec {
+    pub(super) fn for_client(identity: Identity, ring: KeyRing) -> Self {
         // An answer's audience is its one call, so nothing is remembered of who answers.
-        Self::new(Channel::Ask, Channel::Told, identity, ring, 1)
+        Self::new(
+            Channel::ControlRequest,
+            Channel::ControlResponse,
+            identity,
+            ring,
+            1,
+        )
     }
 
-    pub(super) fn answering(identity: Identity, ring: KeyRing, room: usize) -> Self {
-        Self::new(Channel::Told, Channel::Ask, identity, ring, room)
+    pub(super) fn for_server(identity: Identity, ring: KeyRing, max_senders: usize) -> Self {
+        Self::new(
+            Channel::ControlResponse,
+            Channel::ControlRequest,
+            identity,
+            ring,
+            max_senders,
+        )
     }
 
-    fn new(out: Channel, back: Channel, identity: Identity, ring: KeyRing, room: usize) -> Self {
+    fn new(
+        out: Channel,
+        back: Channel,
+        identity: Identity,
+        ring: KeyRing,
+        max_senders: usize,
+    ) -> Self {
         Self {
             identity,
             sealer: Mutex::new(Sealer::new(out, identity, ring.clone())),
-            opener: Mutex::new(Opener::new(back, ring, room)),
+            opener: Mutex::new(Opener::new(back, ring, max_senders)),
             traffic: Traffic::default(),
-            carried: Arc::default(),
+            byte_counters: Arc::default(),
         }
     }
 
@@ -109,8 +127,8 @@
     ///
     /// The headers of TCP and IP come on top, 52 bytes a segment.
     #[must_use]
-    pub fn carried(&self) -> (u64, u64) {
-        self.carried.totals()
+    pub fn bytes_transferred(&self) -> (u64, u64) {
+        self.byte_counters.totals()
     }
 
     /// `traffic` is what was sent and received, sealed, by kind of call.
@@ -119,65 +137,71 @@
         &self.traffic
     }
 
-    pub(super) fn seal_ask(&self, to: &str, ask: &Ask) -> Result<(Caller, Sealed)> {
-        let payload = postcard::to_stdvec(ask).map_err(|_fault| Error::Encode)?;
+    pub(super) fn seal_request(
+        &self,
+        to: &str,
+        request: &ControlRequest,
+    ) -> Result<(Caller, SealedRequest)> {
+        let payload = postcard::to_stdvec(request).map_err(|_error| Error::Encode)?;
         let (counter, bytes) = lock(&self.sealer).seal(to.as_bytes(), &payload);
-        self.traffic.sent(ask.kind(), bytes.len());
+        self.traffic.sent(request.kind(), bytes.len());
         let identity = self.identity;
-        Ok((Caller { identity, counter }, Sealed(bytes)))
+        Ok((Caller { identity, counter }, SealedRequest(bytes)))
     }
 
-    pub(super) fn open_ask(
+    pub(super) fn open_request(
         &self,
-        here: &str,
+        address: &str,
         bytes: &[u8],
-    ) -> std::result::Result<(Caller, Ask), Rejected> {
+    ) -> std::result::Result<(Caller, ControlRequest), Rejected> {
         let mut opener = lock(&self.opener);
-        let found = opener.open(here.as_bytes(), bytes)?;
-        let Ok(ask) = postcard::from_bytes::<Ask>(found.payload) else {
+        let message = opener.open(address.as_bytes(), bytes)?;
+        let Ok(request) = postcard::from_bytes::<ControlRequest>(message.payload) else {
             opener.reject(Rejected::Malformed);
             return Err(Rejected::Malformed);
         };
-        self.traffic.received(ask.kind(), bytes.len());
-        let sender = SenderId(found.sender.0);
-        let boot = found.boot;
+        self.traffic.received(request.kind(), bytes.len());
+        let sender = SenderId(message.sender.0);
+        let boot = message.boot;
         let caller = Caller {
             identity: Identity { sender, boot },
-            counter: found.counter,
+            counter: message.counter,
         };
-        Ok((caller, ask))
+        Ok((caller, request))
     }
 
     /// Seals an answer of at most `most` bytes, or that it is longer.
-    pub(super) fn seal_told(
+    pub(super) fn seal_response(
         &self,
         caller: Caller,
         kind: &'static str,
-        told: &Told,
-        most: usize,
+        response: &ControlResponse,
+        max_len: usize,
     ) -> Vec<u8> {
-        let fits = postcard::to_stdvec(told).ok().filter(|p| p.len() <= most);
-        let payload = fits.or_else(|| postcard::to_stdvec(&Told::TooBig).ok());
+        let encoded = postcard::to_stdvec(response)
+            .ok()
+            .filter(|p| p.len() <= max_len);
+        let payload = encoded.or_else(|| postcard::to_stdvec(&ControlResponse::TooLarge).ok());
         let audience = caller.audience();
         let (_, bytes) = lock(&self.sealer).seal(&audience, &payload.unwrap_or_default());
         self.traffic.sent(kind, bytes.len());
         bytes
     }
 
-    pub(super) fn open_told(
+    pub(super) fn open_response(
         &self,
         caller: Caller,
         kind: &'static str,
         bytes: &[u8],
-    ) -> std::result::Result<Told, Rejected> {
+    ) -> std::result::Result<ControlResponse, Rejected> {
         self.traffic.received(kind, bytes.len());
         let mut opener = lock(&self.opener);
-        let found = opener.open_once(&caller.audience(), bytes)?;
-        let Ok(told) = postcard::from_bytes(found.payload) else {
+        let message = opener.open_once(&caller.audience(), bytes)?;
+        let Ok(response) = postcard::from_bytes(message.payload) else {
             opener.reject(Rejected::Malformed);
             return Err(Rejected::Malformed);
         };
-        Ok(told)
+        Ok(response)
     }
 }
 
--- a/crates/peppercrank-wire/src/control/messages.rs
+++ b/crates/peppercrank-wire/src/control/messages.rs
@@ -21,14 +21,14 @@
 
 /// `Ask` is one control call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum ControlRequest {
     /// Take this message of the configuration relay, in the encoding of its crate.
     Config(Vec<u8>),
     /// Pass this order to the target.
     Order(Order),
 }
 
-impl Ask {
+impl ControlRequest {
     /// `kind` names the call in metrics.
     #[must_use]
     pub const fn kind(&self) -> &'static str {
@@ -39,7 +39,7 @@
     }
 
     /// `repeats` tells whether asking twice does no more than asking once.
-    pub(super) const fn repeats(&self) -> bool {
+    pub(super) const fn is_idempotent(&self) -> bool {
         // An order is repeated by its sender, which knows whether its lease still holds.
         !matches!(self, Self::Order(_))
     }
@@ -47,11 +47,11 @@
 
 /// `Told` is the answer to one control call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Told {
+pub enum ControlResponse {
     /// The message was taken.
     Received,
     /// What became of the order, as JSON.
     Order(String),
     /// The answer is longer than a message may be: ask for less.
-    TooBig,
+    TooLarge,
 }
--- a/crates/peppercrank-wire/src/control/mod.rs
+++ b/crates/peppercrank-wire/src/control/mod.rs
@@ -13,12 +13,12 @@
 mod transport;
 
 pub use client::ControlClient;
+pub use client::ControlClientConfig;
 pub use client::ControlError;
-pub use client::ControlTimes;
-pub use desk::Desk;
-pub use messages::Ask;
+pub use desk::ControlCodec;
+pub use messages::ControlRequest;
+pub use messages::ControlResponse;
 pub use messages::Order;
-pub use messages::Told;
 pub use server::ControlLimits;
 pub use server::ControlServer;
 
--- a/crates/peppercrank-wire/src/control/server.rs
+++ b/crates/peppercrank-wire/src/control/server.rs
@@ -25,23 +25,23 @@
 use crate::errors::Step;
 use crate::seal::Identity;
 use crate::seal::KeyRing;
-use crate::seal::OVERHEAD;
+use crate::seal::SEAL_OVERHEAD;
 use crate::seal::SenderId;
 use crate::stop::Stop;
 
 use super::MAX_FRAME;
-use super::desk::Desk;
-use super::desk::Reply;
-use super::desk::Sealed;
-use super::messages::Ask;
-use super::messages::Told;
-use super::transport::wrap;
+use super::desk::ControlCodec;
+use super::desk::SealedReply;
+use super::desk::SealedRequest;
+use super::messages::ControlRequest;
+use super::messages::ControlResponse;
+use super::transport::rpc_transport;
 
 /// Pause after a failed accept, so that a full descriptor table is not polled in a tight loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Once stopping, a connection closes when it has carried nothing for so long and no call runs.
-const QUIET: Duration = Duration::from_millis(100);
+const STOP_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// `ControlLimits` are what a server of control calls allows.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -55,7 +55,7 @@
     /// Time that a connection may carry nothing.
     pub idle: Duration,
     /// Senders remembered against replays.
-    pub room: usize,
+    pub max_senders: usize,
     /// Once stopping, the time left to calls in progress.
     pub drain: Duration,
 }
@@ -68,7 +68,7 @@
             frame: MAX_FRAME,
             idle: Duration::from_secs(60),
             // More than twice the fleet of 1,670 processes.
-            room: 4_096,
+            max_senders: 4_096,
             // Longer than a call's deadline.
             drain: Duration::from_secs(3),
         }
@@ -82,7 +82,7 @@
     local: SocketAddr,
     address: SocketAddr,
     limits: ControlLimits,
-    desk: Arc<Desk>,
+    codec: Arc<ControlCodec>,
 }
 
 impl ControlServer {
@@ -105,13 +105,13 @@
         let listener = bound.map_err(|e| errors::io(Step::Bind, &e))?;
         let local = listener.local_addr();
         let local = local.map_err(|e| errors::io(Step::Bind, &e))?;
-        let desk = Desk::answering(identity, ring, limits.room);
+        let codec = ControlCodec::for_server(identity, ring, limits.max_senders);
         Ok(Self {
             listener,
             local,
             address: advertised.unwrap_or(local),
             limits,
-            desk: Arc::new(desk),
+            codec: Arc::new(codec),
         })
     }
 
@@ -129,8 +129,8 @@
 
     /// `desk` rotates the server's keys and tells its counts; it outlives the server.
     #[must_use]
-    pub fn desk(&self) -> Arc<Desk> {
-        Arc::clone(&self.desk)
+    pub fn codec(&self) -> Arc<ControlCodec> {
+        Arc::clone(&self.codec)
     }
 
     /// `serve` answers calls until told to stop, then finishes those in progress.
@@ -139,10 +139,10 @@
     /// away.
     pub async fn serve<F, R>(self, mut stop: Stop, answer: F)
     where
-        F: Fn(SenderId, Ask) -> R + Clone + Send + Sync + 'static,
-        R: Future<Output = Told> + Send + 'static,
+        F: Fn(SenderId, ControlRequest) -> R + Clone + Send + Sync + 'static,
+        R: Future<Output = ControlResponse> + Send + 'static,
     {
-        let here: Arc<str> = self.address.to_string().into();
+        let address: Arc<str> = self.address.to_string().into();
         let mut tasks = JoinSet::new();
         loop {
             tokio::select! {
@@ -155,10 +155,10 @@
                     if tasks.len() >= self.limits.connections {
                         continue;
                     }
-                    let desk = Arc::clone(&self.desk);
-                    let here = Arc::clone(&here);
+                    let codec = Arc::clone(&self.codec);
+                    let address = Arc::clone(&address);
                     let limits = self.limits.clone();
-                    tasks.spawn(run(io, here, desk, limits, stop.clone(), answer.clone()));
+                    tasks.spawn(serve_connection(io, address, codec, limits, stop.clone(), answer.clone()));
                 }
                 Some(_) = tasks.join_next(), if !tasks.is_empty() => {}
             }
@@ -170,30 +170,34 @@
     }
 }
 
-async fn run<F, R>(
+async fn serve_connection<F, R>(
     io: TcpStream,
-    here: Arc<str>,
-    desk: Arc<Desk>,
+    address: Arc<str>,
+    codec: Arc<ControlCodec>,
     limits: ControlLimits,
     mut stop: Stop,
     answer: F,
 ) where
-    F: Fn(SenderId, Ask) -> R + Clone + Send + Sync + 'static,
-    R: Future<Output = Told> + Send + 'static,
+    F: Fn(SenderId, ControlRequest) -> R + Clone + Send + Sync + 'static,
+    R: Future<Output = ControlResponse> + Send + 'static,
 {
-    let (wire, activity) = wrap(io, limits.frame, Arc::clone(&desk.carried));
-    let most = limits.frame.saturating_sub(OVERHEAD);
-    let handler = serve(move |_: Context, sealed: Sealed| async move {
-        Ok(reply(&desk, &here, most, &sealed, answer).await)
+    let (transport, activity) = rpc_transport(io, limits.frame, Arc::clone(&codec.byte_counters));
+    let max_len = limits.frame.saturating_sub(SEAL_OVERHEAD);
+    let handler = serve(move |_: Context, sealed: SealedRequest| async move {
+        Ok(handle_call(&codec, &address, max_len, &sealed, answer).await)
     });
-    let channel = BaseChannel::with_defaults(wire).max_concurrent_requests(limits.calls);
+    let channel = BaseChannel::with_defaults(transport).max_concurrent_requests(limits.calls);
     let mut requests = pin!(channel.execute(handler));
     let mut calls = FuturesUnordered::new();
     let mut stopping = false;
     // Calls run within this task, so that they end when their connection does.
     loop {
-        let quiet = stopping && calls.is_empty();
-        let time = if quiet { QUIET } else { limits.idle };
+        let is_draining_idle = stopping && calls.is_empty();
+        let time = if is_draining_idle {
+            STOP_IDLE_TIMEOUT
+        } else {
+            limits.idle
+        };
         tokio::select! {
             // Answers go out when the requests are polled, so the time is looked at last.
             biased;
@@ -202,23 +206,29 @@
                 Some(call) => calls.push(call),
                 None => return,
             },
-            () = activity.ended() => return,
+            () = activity.closed_by_peer() => return,
             () = stop.wait(), if !stopping => stopping = true,
-            () = activity.idle(time) => return,
+            () = activity.idle_for(time) => return,
         }
     }
 }
 
-async fn reply<F, R>(desk: &Desk, here: &str, most: usize, sealed: &Sealed, answer: F) -> Reply
+async fn handle_call<F, R>(
+    codec: &ControlCodec,
+    address: &str,
+    max_len: usize,
+    sealed: &SealedRequest,
+    answer: F,
+) -> SealedReply
 where
-    F: Fn(SenderId, Ask) -> R,
-    R: Future<Output = Told>,
+    F: Fn(SenderId, ControlRequest) -> R,
+    R: Future<Output = ControlResponse>,
 {
-    let (caller, ask) = match desk.open_ask(here, &sealed.0) {
+    let (caller, request) = match codec.open_request(address, &sealed.0) {
         Ok(opened) => opened,
-        Err(reason) => return Reply::Rejected(reason),
+        Err(reason) => return SealedReply::Rejected(reason),
     };
-    let kind = ask.kind();
-    let told = answer(caller.identity.sender, ask).await;
-    Reply::Sealed(desk.seal_told(caller, kind, &told, most))
+    let kind = request.kind();
+    let response = answer(caller.identity.sender, request).await;
+    SealedReply::Sealed(codec.seal_response(caller, kind, &response, max_len))
 }
--- a/crates/peppercrank-wire/src/control/transport.rs
+++ b/crates/peppercrank-wire/src/control/transport.rs
@@ -28,45 +28,51 @@
 use tokio::time::sleep_until;
 
 /// Bytes that tarpc adds to a sealed message: ids, trace, deadline and lengths.
-const ENVELOPE: usize = 256;
+const RPC_OVERHEAD: usize = 256;
 
 /// `Wire` is tarpc's transport of `In` and `Out`.
-pub(super) type Wire<In, Out> = Transport<Watched, In, Out, Bincode<In, Out>>;
+pub(super) type RpcTransport<In, Out> = Transport<MonitoredStream, In, Out, Bincode<In, Out>>;
 
 /// `Activity` is when a connection last carried a byte, and whether its peer ended it.
 #[derive(Debug, Clone)]
 pub(super) struct Activity {
-    last: Arc<Mutex<Instant>>,
-    ended: Arc<Notify>,
+    last_active: Arc<Mutex<Instant>>,
+    closed_by_peer: Arc<Notify>,
 }
 
 impl Activity {
     fn new() -> Self {
         Self {
-            last: Arc::new(Mutex::new(Instant::now())),
-            ended: Arc::default(),
+            last_active: Arc::new(Mutex::new(Instant::now())),
+            closed_by_peer: Arc::default(),
         }
     }
 
-    fn note(&self) {
-        *self.last.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
+    fn record(&self) {
+        *self
+            .last_active
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = Instant::now();
     }
 
-    fn last(&self) -> Instant {
-        *self.last.lock().unwrap_or_else(PoisonError::into_inner)
+    fn last_active(&self) -> Instant {
+        *self
+            .last_active
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns once the peer has ended the connection.
     ///
     /// tarpc itself waits for the calls in progress first, whose answers nobody hears any more.
-    pub(super) async fn ended(&self) {
-        self.ended.notified().await;
+    pub(super) async fn closed_by_peer(&self) {
+        self.closed_by_peer.notified().await;
     }
 
     /// Returns once nothing was carried for as long as this.
-    pub(super) async fn idle(&self, time: Duration) {
+    pub(super) async fn idle_for(&self, time: Duration) {
         loop {
-            let end = self.last() + time;
+            let end = self.last_active() + time;
             if end <= Instant::now() {
                 return;
             }
@@ -77,12 +83,12 @@
 
 /// `Carried` counts the bytes of all connections of a client or server.
 #[derive(Debug, Default)]
-pub(super) struct Carried {
+pub(super) struct ByteCounters {
     sent: AtomicU64,
     received: AtomicU64,
 }
 
-impl Carried {
+impl ByteCounters {
     /// Bytes sent and received.
     pub(super) fn totals(&self) -> (u64, u64) {
         let sent = self.sent.load(Ordering::Relaxed);
@@ -92,18 +98,18 @@
 
 /// `Watched` is a connection that notes when it carries bytes, and how many.
 #[derive(Debug)]
-pub(super) struct Watched {
+pub(super) struct MonitoredStream {
     io: TcpStream,
     activity: Activity,
-    carried: Arc<Carried>,
+    byte_counters: Arc<ByteCounters>,
 }
 
 /// Wraps a connection for tarpc.
-pub(super) fn wrap<In, Out>(
+pub(super) fn rpc_transport<In, Out>(
     io: TcpStream,
     frame: usize,
-    carried: Arc<Carried>,
-) -> (Wire<In, Out>, Activity)
+    carried: Arc<ByteCounters>,
+) -> (RpcTransport<In, Out>, Activity)
 where
     In: DeserializeOwned,
     Out: Serialize,
@@ -111,19 +117,19 @@
     // Without it only the latency suffers.
     let _set = io.set_nodelay(true);
     let activity = Activity::new();
-    let watched = Watched {
+    let stream = MonitoredStream {
         io,
         activity: activity.clone(),
-        carried,
+        byte_counters: carried,
     };
     let framed = LengthDelimitedCodec::builder()
-        .max_frame_length(frame.saturating_add(ENVELOPE))
-        .new_framed(watched);
-    let wire = tarpc::serde_transport::new(framed, Bincode::default());
-    (wire, activity)
+        .max_frame_length(frame.saturating_add(RPC_OVERHEAD))
+        .new_framed(stream);
+    let transport = tarpc::serde_transport::new(framed, Bincode::default());
+    (transport, activity)
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for MonitoredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -131,31 +137,33 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let read = Pin::new(&mut self.io).poll_read(cx, buf);
-        let came = buf.filled().len() - before;
+        let received = buf.filled().len() - before;
         match &read {
             Poll::Pending => {}
-            Poll::Ready(Ok(())) if came > 0 => {
-                self.activity.note();
-                self.carried
+            Poll::Ready(Ok(())) if received > 0 => {
+                self.activity.record();
+                self.byte_counters
                     .received
-                    .fetch_add(came as u64, Ordering::Relaxed);
+                    .fetch_add(received as u64, Ordering::Relaxed);
             }
-            Poll::Ready(_) => self.activity.ended.notify_one(),
+            Poll::Ready(_) => self.activity.closed_by_peer.notify_one(),
         }
         read
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for MonitoredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let wrote = Pin::new(&mut self.io).poll_write(cx, buf);
-        if let Poll::Ready(Ok(went)) = &wrote {
-            self.activity.note();
-            self.carried.sent.fetch_add(*went as u64, Ordering::Relaxed);
+        if let Poll::Ready(Ok(sent)) = &wrote {
+            self.activity.record();
+            self.byte_counters
+                .sent
+                .fetch_add(*sent as u64, Ordering::Relaxed);
         }
         wrote
     }
--- a/crates/peppercrank-wire/src/datagram.rs
+++ b/crates/peppercrank-wire/src/datagram.rs
@@ -25,9 +25,9 @@
 use crate::seal::Channel;
 use crate::seal::Identity;
 use crate::seal::KeyRing;
-use crate::seal::OVERHEAD;
 use crate::seal::Opener;
 use crate::seal::Rejected;
+use crate::seal::SEAL_OVERHEAD;
 use crate::seal::Sealer;
 use crate::seal::SenderId;
 use crate::traffic::Traffic;
@@ -36,17 +36,17 @@
 pub const MAX_DATAGRAM: usize = 1_200;
 
 /// The longest encoded message that fits a datagram, in bytes.
-pub const MAX_MESSAGE: usize = MAX_DATAGRAM - OVERHEAD;
+pub const MAX_MESSAGE: usize = MAX_DATAGRAM - SEAL_OVERHEAD;
 
 /// Bytes of the IPv4 and UDP headers, which count as control traffic too.
-const PACKET: usize = 28;
+const PACKET_HEADER_BYTES: usize = 28;
 
 /// Pause after a failed read, so that a broken socket is not polled in a tight loop.
 const READ_PAUSE: Duration = Duration::from_millis(50);
 
 /// `Place` is where a process takes datagrams, and as whom it sends them.
 #[derive(Debug, Clone, Copy)]
-pub struct Place {
+pub struct DatagramConfig {
     /// The address to bind; port 0 takes a free one.
     pub bind: SocketAddr,
     /// The address that others send to, if it is not the bound one.
@@ -54,7 +54,7 @@
     /// Who sends.
     pub identity: Identity,
     /// How many senders are remembered against replays.
-    pub room: usize,
+    pub max_senders: usize,
 }
 
 /// `Received` is one authentic message.
@@ -101,13 +101,17 @@
     /// # Errors
     ///
     /// Returns [`Error::Io`] when the address cannot be bound.
-    pub async fn bind(place: Place, ring: KeyRing, kind: fn(&M) -> &'static str) -> Result<Self> {
+    pub async fn bind(
+        place: DatagramConfig,
+        ring: KeyRing,
+        kind: fn(&M) -> &'static str,
+    ) -> Result<Self> {
         let bound = UdpSocket::bind(place.bind).await;
         let socket = bound.map_err(|e| errors::io(Step::Bind, &e))?;
         let local = socket.local_addr();
         let local = local.map_err(|e| errors::io(Step::Bind, &e))?;
         let sealer = Sealer::new(Channel::Datagram, place.identity, ring.clone());
-        let opener = Opener::new(Channel::Datagram, ring, place.room);
+        let opener = Opener::new(Channel::Datagram, ring, place.max_senders);
         let inner = Inner {
             socket,
             address: place.advertised.unwrap_or(local),
@@ -165,7 +169,7 @@
         if payload.len() > MAX_MESSAGE {
             return Err(Error::MessageTooBig {
                 len: payload.len(),
-                most: MAX_MESSAGE,
+                max: MAX_MESSAGE,
             });
         }
         let audience = to.to_string();
@@ -174,7 +178,7 @@
             .1;
         let sent = self.inner.socket.send_to(&sealed, to).await;
         sent.map_err(|e| errors::io(Step::Write, &e))?;
-        let bytes = sealed.len() + PACKET;
+        let bytes = sealed.len() + PACKET_HEADER_BYTES;
         self.inner.traffic.sent((self.inner.kind)(message), bytes);
         Ok(bytes)
     }
@@ -193,11 +197,13 @@
             };
             let opened = self.open(audience.as_bytes(), &space[..len]);
             let Some((sender, boot, message)) = opened else {
-                self.inner.traffic.received("rejected", len + PACKET);
+                self.inner
+                    .traffic
+                    .received("rejected", len + PACKET_HEADER_BYTES);
                 continue;
             };
             let kind = (self.inner.kind)(&message);
-            self.inner.traffic.received(kind, len + PACKET);
+            self.inner.traffic.received(kind, len + PACKET_HEADER_BYTES);
             return Received {
                 from,
                 sender,
--- a/crates/peppercrank-wire/src/edge/call.rs
+++ b/crates/peppercrank-wire/src/edge/call.rs
@@ -29,7 +29,7 @@
 use crate::body;
 use crate::body::Body;
 
-use super::flow::after;
+use super::flow::deadline_after;
 use super::limits::Limits;
 use super::refusal::Counters;
 use super::refusal::Refused;
@@ -60,19 +60,19 @@
     inner: Incoming,
     limits: Arc<Limits>,
     len: u64,
-    begun: Instant,
+    started_at: Instant,
     sleep: Option<Pin<Box<Sleep>>>,
-    held: Arc<Held>,
+    memory: Arc<BodyMemory>,
 }
 
 /// `Held` counts the bytes of one call's body as held until the call ends.
 #[derive(Debug)]
-pub(super) struct Held {
+pub(super) struct BodyMemory {
     bytes: AtomicU64,
     counters: Arc<Counters>,
 }
 
-impl Held {
+impl BodyMemory {
     pub(super) fn new(counters: &Arc<Counters>) -> Self {
         Self {
             bytes: AtomicU64::new(0),
@@ -80,8 +80,8 @@
         }
     }
 
-    fn hold(&self, bytes: u64, most: u64) -> bool {
-        let fits = self.counters.hold(bytes, most);
+    fn reserve(&self, bytes: u64, max: u64) -> bool {
+        let fits = self.counters.reserve_body_bytes(bytes, max);
         if fits {
             self.bytes.fetch_add(bytes, Ordering::Relaxed);
         }
@@ -89,21 +89,22 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for BodyMemory {
     fn drop(&mut self) {
-        self.counters.release(self.bytes.load(Ordering::Relaxed));
+        self.counters
+            .release_body_bytes(self.bytes.load(Ordering::Relaxed));
     }
 }
 
 impl CallBody {
-    pub(super) fn new(inner: Incoming, limits: Arc<Limits>, held: Arc<Held>) -> Self {
+    pub(super) fn new(inner: Incoming, limits: Arc<Limits>, memory: Arc<BodyMemory>) -> Self {
         Self {
             inner,
             limits,
             len: 0,
-            begun: Instant::now(),
+            started_at: Instant::now(),
             sleep: None,
-            held,
+            memory,
         }
     }
 
@@ -119,12 +120,12 @@
     }
 
     fn fail(&self, reason: Refused, error: Error) -> Poll<Option<Result<Frame<Bytes>>>> {
-        self.held.counters.refuse(reason);
+        self.memory.counters.refuse(reason);
         Poll::Ready(Some(Err(error)))
     }
 
-    fn poll_time(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        let end = after(self.begun, self.limits.body_time);
+    fn poll_timeout(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        let end = deadline_after(self.started_at, self.limits.body_time);
         // Most bodies are there at once, so the timer is made only when one is not.
         let sleep = self.sleep.get_or_insert_with(|| Box::pin(sleep_until(end)));
         sleep.as_mut().poll(cx)
@@ -141,7 +142,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>>>> {
         let next = Pin::new(&mut self.inner).poll_frame(cx);
         let Poll::Ready(next) = next else {
-            ready!(self.poll_time(cx));
+            ready!(self.poll_timeout(cx));
             return self.fail(Refused::BodyTimeout, Error::BodyTimeout);
         };
         let frame = match next {
@@ -154,7 +155,7 @@
         if self.len > self.limits.body {
             return self.fail(Refused::BodyTooBig, Error::BodyTooBig);
         }
-        if !self.held.hold(len, self.limits.bodies) {
+        if !self.memory.reserve(len, self.limits.bodies) {
             return self.fail(Refused::BodyMemory, Error::BodyMemory);
         }
         Poll::Ready(Some(Ok(frame)))
@@ -183,7 +184,7 @@
 /// `refuse` makes the reply of an edge that refuses; the connection is closed after it.
 #[must_use]
 pub fn refuse(reason: Refused) -> Reply {
-    let mut reply = Reply::new(body::full(text(reason)));
+    let mut reply = Reply::new(body::full(error_json(reason)));
     *reply.status_mut() = reason.status();
     let headers = reply.headers_mut();
     let code = http::HeaderValue::from_static(reason.code());
@@ -197,7 +198,7 @@
         "x-peppercrank-run",
         http::HeaderValue::from_static(reason.run()),
     );
-    if passes(reason) {
+    if is_transient(reason) {
         let after = http::HeaderValue::from_static(RETRY_AFTER);
         headers.insert(header::RETRY_AFTER, after);
     }
@@ -205,10 +206,10 @@
 }
 
 /// The refusal as the bytes of a whole answer, for a caller that hyper does not serve.
-pub(super) fn raw(reason: Refused) -> Vec<u8> {
-    let text = text(reason);
+pub(super) fn raw_response(reason: Refused) -> Vec<u8> {
+    let text = error_json(reason);
     let mut retry = String::new();
-    if passes(reason) {
+    if is_transient(reason) {
         retry = format!("retry-after: {RETRY_AFTER}\r\n");
     }
     let head = format!(
@@ -225,7 +226,7 @@
     bytes
 }
 
-fn text(reason: Refused) -> String {
+fn error_json(reason: Refused) -> String {
     format!(
         r#"{{"error":{{"code":"{}","run":"{}","message":"{}","request":null}}}}"#,
         reason.code(),
@@ -235,6 +236,6 @@
 }
 
 /// Whether the same request may fare better a little later.
-const fn passes(reason: Refused) -> bool {
+const fn is_transient(reason: Refused) -> bool {
     matches!(reason, Refused::Connections | Refused::BodyMemory)
 }
--- a/crates/peppercrank-wire/src/edge/connection.rs
+++ b/crates/peppercrank-wire/src/edge/connection.rs
@@ -37,24 +37,24 @@
 use crate::body::Body;
 use crate::stop::Stop;
 
+use super::call::BodyMemory;
 use super::call::Call;
 use super::call::CallBody;
-use super::call::Held;
 use super::call::Reply;
-use super::call::raw;
+use super::call::raw_response;
+use super::flow::ConnectionState;
 use super::flow::Expired;
-use super::flow::Flow;
 use super::flow::Phase;
-use super::gate::Gate;
+use super::gate::CheckedStream;
 use super::limits::Limits;
 use super::refusal::Counters;
 use super::refusal::Refused;
 
 /// The least buffer that hyper takes, in bytes.
-const LEAST_BUFFER: usize = 8_192;
+const MIN_BUFFER_BYTES: usize = 8_192;
 
 /// Most bytes read and dropped from a refused caller.
-const LINGER_BYTES: usize = 1_024 * 1_024;
+const MAX_LINGER_BYTES: usize = 1_024 * 1_024;
 
 /// `Shared` is what all connections of an edge share.
 #[derive(Debug)]
@@ -73,38 +73,38 @@
 
 /// `Busy` marks a call as in progress until it is dropped.
 #[derive(Debug)]
-struct Busy {
-    flow: Arc<Flow>,
+struct CallInProgress {
+    state: Arc<ConnectionState>,
     counters: Arc<Counters>,
-    held: Arc<Held>,
+    memory: Arc<BodyMemory>,
 }
 
-impl Busy {
-    fn new(flow: &Arc<Flow>, counters: &Arc<Counters>) -> Self {
-        counters.begun();
+impl CallInProgress {
+    fn new(state: &Arc<ConnectionState>, counters: &Arc<Counters>) -> Self {
+        counters.call_started();
         Self {
-            flow: Arc::clone(flow),
+            state: Arc::clone(state),
             counters: Arc::clone(counters),
-            held: Arc::new(Held::new(counters)),
+            memory: Arc::new(BodyMemory::new(counters)),
         }
     }
 }
 
-impl Drop for Busy {
+impl Drop for CallInProgress {
     fn drop(&mut self) {
-        self.counters.ended();
-        self.flow.end();
+        self.counters.call_ended();
+        self.state.response_ended();
     }
 }
 
 /// `Tracked` is the body of a reply, in progress until it is dropped.
 #[derive(Debug)]
-struct Tracked {
+struct TrackedBody {
     inner: Body,
-    _busy: Busy,
+    _in_progress: CallInProgress,
 }
 
-impl HttpBody for Tracked {
+impl HttpBody for TrackedBody {
     type Data = Bytes;
     type Error = crate::Error;
 
@@ -125,92 +125,101 @@
 }
 
 /// Serves one connection to its end.
-pub(super) async fn run<F, R>(io: TcpStream, peer: SocketAddr, shared: Arc<Shared<F>>, stop: Stop)
-where
+pub(super) async fn serve_connection<F, R>(
+    io: TcpStream,
+    peer: SocketAddr,
+    shared: Arc<Shared<F>>,
+    stop: Stop,
+) where
     F: Fn(Call) -> R + Send + Sync + 'static,
     R: Future<Output = Reply> + Send,
 {
     let limits = shared.limits();
-    let flow = Arc::new(Flow::new());
-    let gate = Gate::new(io, Arc::clone(&flow), Arc::clone(&limits));
+    let state = Arc::new(ConnectionState::new());
+    let stream = CheckedStream::new(io, Arc::clone(&state), Arc::clone(&limits));
     let service = {
-        let flow = Arc::clone(&flow);
+        let state = Arc::clone(&state);
         let shared = Arc::clone(&shared);
         let limits = Arc::clone(&limits);
         let stop = stop.clone();
         service_fn(move |request| {
-            let busy = Busy::new(&flow, &shared.counters);
-            let call = Taken {
+            let in_progress = CallInProgress::new(&state, &shared.counters);
+            let call = ReceivedRequest {
                 request,
                 peer,
                 limits: Arc::clone(&limits),
             };
-            serve(call, Arc::clone(&shared), stop.clone(), busy)
+            handle_request(call, Arc::clone(&shared), stop.clone(), in_progress)
         })
     };
     let mut conn = http1::Builder::new()
         // The gate has read the whole head, and bounds the time it takes.
         .header_read_timeout(None)
-        .max_buf_size(limits.head.saturating_mul(2).max(LEAST_BUFFER))
-        .serve_connection(TokioIo::new(gate), service);
-    let end = drive(&mut conn, &flow, &limits, stop).await;
-    let busy = flow.phase() == Phase::Busy;
+        .max_buf_size(limits.head.saturating_mul(2).max(MIN_BUFFER_BYTES))
+        .serve_connection(TokioIo::new(stream), service);
+    let end = drive(&mut conn, &state, &limits, stop).await;
+    let busy = state.phase() == Phase::Busy;
     // This drops the answer in progress, which is how its work is cancelled.
     let io = conn.into_parts().io.into_inner().into_inner();
-    match next(end, busy, &flow) {
-        Next::TurnAway(reason) => turn_away(io, reason, &flow, &limits, &shared.counters).await,
-        Next::Close => close(io, &limits).await,
-        Next::CallerGone => shared.counters.caller_gone(),
+    match next_step(end, busy, &state) {
+        NextStep::Reject(reason) => reject(io, reason, &state, &limits, &shared.counters).await,
+        NextStep::Close => close(io, &limits).await,
+        NextStep::CallerGone => shared.counters.caller_gone(),
     }
 }
 
 /// `Next` is what is left to do with a connection that hyper is done with.
-enum Next {
-    TurnAway(Refused),
+enum NextStep {
+    Reject(Refused),
     Close,
     CallerGone,
 }
 
-fn next(end: End, busy: bool, flow: &Flow) -> Next {
-    match (end, flow.refused()) {
-        (End::Expired(Expired::Refused(reason)), _) | (_, Some(reason)) => Next::TurnAway(reason),
-        (End::Broken, None) if busy => Next::CallerGone,
-        _ => Next::Close,
+fn next_step(end: ConnectionEnd, busy: bool, state: &ConnectionState) -> NextStep {
+    match (end, state.refused()) {
+        (ConnectionEnd::Expired(Expired::Refused(reason)), _) | (_, Some(reason)) => {
+            NextStep::Reject(reason)
+        }
+        (ConnectionEnd::Broken, None) if busy => NextStep::CallerGone,
+        _ => NextStep::Close,
     }
 }
 
 /// `Taken` is a request as hyper hands it over.
-struct Taken {
+struct ReceivedRequest {
     request: Request<Incoming>,
     peer: SocketAddr,
     limits: Arc<Limits>,
 }
 
-async fn serve<F, R>(
-    taken: Taken,
+async fn handle_request<F, R>(
+    received: ReceivedRequest,
     shared: Arc<Shared<F>>,
     stop: Stop,
-    busy: Busy,
-) -> std::result::Result<Response<Tracked>, Infallible>
+    in_progress: CallInProgress,
+) -> std::result::Result<Response<TrackedBody>, Infallible>
 where
     F: Fn(Call) -> R,
     R: Future<Output = Reply>,
 {
-    let peer = taken.peer;
-    let (head, body) = taken.request.into_parts();
+    let peer = received.peer;
+    let (head, body) = received.request.into_parts();
     // The gate cannot tell where a chunked body ends, so nothing may follow it.
-    let last = head.headers.contains_key(header::TRANSFER_ENCODING);
-    let body = CallBody::new(body, taken.limits, Arc::clone(&busy.held));
+    let closes_after = head.headers.contains_key(header::TRANSFER_ENCODING);
+    let body = CallBody::new(body, received.limits, Arc::clone(&in_progress.memory));
     let mut reply = (shared.answer)(Call { head, body, peer }).await;
-    if last || stop.is_stopping() {
+    if closes_after || stop.is_stopping() {
         let close = HeaderValue::from_static("close");
         reply.headers_mut().insert(header::CONNECTION, close);
     }
-    Ok(reply.map(|inner| Tracked { inner, _busy: busy }))
+    Ok(reply.map(|inner| TrackedBody {
+        inner,
+        _in_progress: in_progress,
+    }))
 }
 
 /// `End` is how a connection came to its end.
-enum End {
+enum ConnectionEnd {
     /// Properly, or by an answer that its own writer broke off.
     Closed,
     /// By the caller's end, or by what it sent.
@@ -219,50 +228,55 @@
     Expired(Expired),
 }
 
-fn ended(done: &hyper::Result<()>) -> End {
+fn connection_end(done: &hyper::Result<()>) -> ConnectionEnd {
     match done {
-        Err(e) if !e.is_user() => End::Broken,
-        _ => End::Closed,
+        Err(e) if !e.is_user() => ConnectionEnd::Broken,
+        _ => ConnectionEnd::Closed,
     }
 }
 
 /// Drives the connection until it closes or one of its times runs out.
-async fn drive<C>(conn: &mut C, flow: &Flow, limits: &Limits, mut stop: Stop) -> End
+async fn drive<C>(
+    conn: &mut C,
+    state: &ConnectionState,
+    limits: &Limits,
+    mut stop: Stop,
+) -> ConnectionEnd
 where
     C: Future<Output = hyper::Result<()>> + Unpin,
 {
     let mut stopping = None;
     let mut signal = pin!(async move { stop.wait().await });
-    let mut sleep = pin!(sleep_until(flow.deadline(limits, stopping).0));
+    let mut sleep = pin!(sleep_until(state.deadline(limits, stopping).0));
     poll_fn(|cx| {
         if let Poll::Ready(done) = Pin::new(&mut *conn).poll(cx) {
-            return Poll::Ready(ended(&done));
+            return Poll::Ready(connection_end(&done));
         }
         if stopping.is_none() && signal.as_mut().poll(cx).is_ready() {
             stopping = Some(Instant::now());
         }
-        let (at, expired) = flow.deadline(limits, stopping);
+        let (at, expired) = state.deadline(limits, stopping);
         if sleep.deadline() != at {
             sleep.as_mut().reset(at);
         }
         ready!(sleep.as_mut().poll(cx));
-        Poll::Ready(End::Expired(expired))
+        Poll::Ready(ConnectionEnd::Expired(expired))
     })
     .await
 }
 
 /// Answers a refused caller, unless an answer has begun, and closes.
-async fn turn_away(
+async fn reject(
     mut io: TcpStream,
     reason: Refused,
-    flow: &Flow,
+    state: &ConnectionState,
     limits: &Limits,
     counters: &Counters,
 ) {
     counters.refuse(reason);
     // A caller that does not read its answer is told nothing: its request may have run.
-    if !flow.wrote() && reason != Refused::WriteTimeout {
-        let sent = timeout(limits.linger, io.write_all(&raw(reason))).await;
+    if !state.response_started() && reason != Refused::WriteTimeout {
+        let sent = timeout(limits.linger, io.write_all(&raw_response(reason))).await;
         if !matches!(sent, Ok(Ok(()))) {
             return;
         }
@@ -275,7 +289,7 @@
     let mut drain = async || {
         io.shutdown().await?;
         let mut space = vec![0; 4_096];
-        let mut left = LINGER_BYTES;
+        let mut left = MAX_LINGER_BYTES;
         while left > 0 {
             let n = io.read(&mut space).await?;
             if n == 0 {
--- a/crates/peppercrank-wire/src/edge/flow.rs
+++ b/crates/peppercrank-wire/src/edge/flow.rs
@@ -15,7 +15,7 @@
 use super::refusal::Refused;
 
 /// Far enough away to mean never, near enough for the clock's arithmetic.
-const NEVER: Duration = Duration::from_secs(60 * 60 * 24 * 365);
+const MAX_TIMEOUT: Duration = Duration::from_secs(60 * 60 * 24 * 365);
 
 /// `Phase` is what a connection waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -38,86 +38,86 @@
 }
 
 #[derive(Debug)]
-struct State {
+struct Inner {
     phase: Phase,
-    since: Instant,
-    blocked: Option<Instant>,
-    held: Option<Waker>,
+    phase_since: Instant,
+    write_blocked_since: Option<Instant>,
+    held_waker: Option<Waker>,
     refused: Option<Refused>,
-    wrote: bool,
+    response_started: bool,
 }
 
 /// `Flow` is where one connection stands.
 #[derive(Debug)]
-pub(super) struct Flow(Mutex<State>);
+pub(super) struct ConnectionState(Mutex<Inner>);
 
-impl Flow {
+impl ConnectionState {
     pub(super) fn new() -> Self {
-        Self(Mutex::new(State {
+        Self(Mutex::new(Inner {
             phase: Phase::Idle,
-            since: Instant::now(),
-            blocked: None,
-            held: None,
+            phase_since: Instant::now(),
+            write_blocked_since: None,
+            held_waker: None,
             refused: None,
-            wrote: false,
+            response_started: false,
         }))
     }
 
     /// A head's first byte has come.
-    pub(super) fn head(&self) {
+    pub(super) fn head_started(&self) {
         self.enter(Phase::Head);
     }
 
     /// A whole head has come.
-    pub(super) fn begin(&self) {
+    pub(super) fn head_complete(&self) {
         self.enter(Phase::Busy);
-        self.state().wrote = false;
+        self.lock().response_started = false;
     }
 
     /// The answer was handed over to its end, or dropped.
-    pub(super) fn end(&self) {
+    pub(super) fn response_ended(&self) {
         self.enter(Phase::Idle);
-        let held = self.state().held.take();
-        if let Some(waker) = held {
+        let waker = self.lock().held_waker.take();
+        if let Some(waker) = waker {
             waker.wake();
         }
     }
 
     pub(super) fn phase(&self) -> Phase {
-        self.state().phase
+        self.lock().phase
     }
 
     /// Keeps the waker of a gate that holds back what comes before the answer's end.
-    pub(super) fn hold(&self, waker: &Waker) {
-        self.state().held = Some(waker.clone());
+    pub(super) fn set_held_waker(&self, waker: &Waker) {
+        self.lock().held_waker = Some(waker.clone());
     }
 
     pub(super) fn refuse(&self, reason: Refused) {
-        self.state().refused = Some(reason);
+        self.lock().refused = Some(reason);
     }
 
     /// Why the connection is refused, unless its answer has begun.
     pub(super) fn refused(&self) -> Option<Refused> {
-        self.state().refused
+        self.lock().refused
     }
 
     /// Whether any of the present answer was written.
-    pub(super) fn wrote(&self) -> bool {
-        self.state().wrote
+    pub(super) fn response_started(&self) -> bool {
+        self.lock().response_started
     }
 
     /// Bytes of an answer went out.
-    pub(super) fn written(&self) {
-        let mut state = self.state();
-        state.blocked = None;
-        state.wrote = true;
+    pub(super) fn write_progressed(&self) {
+        let mut state = self.lock();
+        state.write_blocked_since = None;
+        state.response_started = true;
     }
 
     /// The caller takes no bytes.
-    pub(super) fn blocked(&self) {
-        let mut state = self.state();
-        if state.blocked.is_none() {
-            state.blocked = Some(Instant::now());
+    pub(super) fn write_blocked(&self) {
+        let mut state = self.lock();
+        if state.write_blocked_since.is_none() {
+            state.write_blocked_since = Some(Instant::now());
         }
     }
 
@@ -127,22 +127,25 @@
         limits: &Limits,
         stopping: Option<Instant>,
     ) -> (Instant, Expired) {
-        let state = self.state();
+        let state = self.lock();
         let phase = match state.phase {
-            Phase::Idle => (idle(state.since, limits, stopping), Expired::Idle),
+            Phase::Idle => (
+                idle_deadline(state.phase_since, limits, stopping),
+                Expired::Idle,
+            ),
             Phase::Head => {
                 let reason = Expired::Refused(Refused::HeadTimeout);
-                (after(state.since, limits.head_time), reason)
+                (deadline_after(state.phase_since, limits.head_time), reason)
             }
             Phase::Busy => {
                 let reason = Expired::Refused(Refused::TotalTime);
-                (after(state.since, limits.total), reason)
+                (deadline_after(state.phase_since, limits.total), reason)
             }
         };
-        let Some(blocked) = state.blocked else {
+        let Some(blocked_since) = state.write_blocked_since else {
             return phase;
         };
-        let write = after(blocked, limits.write);
+        let write = deadline_after(blocked_since, limits.write);
         if write < phase.0 {
             return (write, Expired::Refused(Refused::WriteTimeout));
         }
@@ -150,25 +153,25 @@
     }
 
     fn enter(&self, phase: Phase) {
-        let mut state = self.state();
+        let mut state = self.lock();
         state.phase = phase;
-        state.since = Instant::now();
+        state.phase_since = Instant::now();
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, Inner> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn idle(since: Instant, limits: &Limits, stopping: Option<Instant>) -> Instant {
-    let end = after(since, limits.idle);
+fn idle_deadline(since: Instant, limits: &Limits, stopping: Option<Instant>) -> Instant {
+    let end = deadline_after(since, limits.idle);
     match stopping {
-        Some(at) => end.min(after(at, limits.stop_idle)),
+        Some(at) => end.min(deadline_after(at, limits.stop_idle)),
         None => end,
     }
 }
 
 /// The moment `time` after `start`, however long that is.
-pub(super) fn after(start: Instant, time: Duration) -> Instant {
-    start + time.min(NEVER)
+pub(super) fn deadline_after(start: Instant, time: Duration) -> Instant {
+    start + time.min(MAX_TIMEOUT)
 }
--- a/crates/peppercrank-wire/src/edge/gate.rs
+++ b/crates/peppercrank-wire/src/edge/gate.rs
@@ -21,20 +21,20 @@
 use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 
-use super::flow::Flow;
+use super::flow::ConnectionState;
 use super::flow::Phase;
 use super::head::Framing;
-use super::head::Seen;
+use super::head::HeadStatus;
 use super::head::inspect;
 use super::limits::Limits;
 use super::refusal::Refused;
 
 /// Bytes read from the socket at once while a head comes in.
-const READ: usize = 4_096;
+const READ_CHUNK: usize = 4_096;
 
 /// `Pass` is what the gate hands on next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Pass {
+enum Forward {
     /// Nothing, until a whole head has been checked.
     Head,
     /// This many bytes of a head and its body.
@@ -45,25 +45,25 @@
 
 /// `Gate` checks heads on their way from a socket to hyper.
 #[derive(Debug)]
-pub(super) struct Gate {
+pub(super) struct CheckedStream {
     io: TcpStream,
-    flow: Arc<Flow>,
+    state: Arc<ConnectionState>,
     limits: Arc<Limits>,
     buf: BytesMut,
     /// Bytes of `buf` in which no head ends.
     scanned: usize,
-    pass: Pass,
+    forward: Forward,
 }
 
-impl Gate {
-    pub(super) fn new(io: TcpStream, flow: Arc<Flow>, limits: Arc<Limits>) -> Self {
+impl CheckedStream {
+    pub(super) fn new(io: TcpStream, state: Arc<ConnectionState>, limits: Arc<Limits>) -> Self {
         Self {
             io,
-            flow,
+            state,
             limits,
             buf: BytesMut::new(),
             scanned: 0,
-            pass: Pass::Head,
+            forward: Forward::Head,
         }
     }
 
@@ -73,7 +73,7 @@
 
     /// Reads some bytes into the buffer; 0 at the stream's end.
     fn poll_fill(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
-        let mut space = [0; READ];
+        let mut space = [0; READ_CHUNK];
         let mut out = ReadBuf::new(&mut space);
         ready!(Pin::new(&mut self.io).poll_read(cx, &mut out))?;
         self.buf.extend_from_slice(out.filled());
@@ -83,19 +83,19 @@
     /// Waits for a whole head; true at the stream's end.
     fn poll_head(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
         loop {
-            if self.flow.phase() == Phase::Busy {
-                return self.poll_held(cx);
+            if self.state.phase() == Phase::Busy {
+                return self.poll_while_busy(cx);
             }
-            if !self.buf.is_empty() && self.flow.phase() == Phase::Idle {
-                self.flow.head();
+            if !self.buf.is_empty() && self.state.phase() == Phase::Idle {
+                self.state.head_started();
             }
-            match self.look() {
-                Seen::Whole { len, framing } => {
-                    self.open(len, framing);
+            match self.find_head() {
+                HeadStatus::Complete { len, framing } => {
+                    self.begin_request(len, framing);
                     return Poll::Ready(Ok(false));
                 }
-                Seen::Bad(reason) => return Poll::Ready(Err(self.refuse(reason))),
-                Seen::Part => {}
+                HeadStatus::Invalid(reason) => return Poll::Ready(Err(self.refuse(reason))),
+                HeadStatus::Incomplete => {}
             }
             if ready!(self.poll_fill(cx))? == 0 {
                 return Poll::Ready(Ok(true));
@@ -104,8 +104,8 @@
     }
 
     /// Holds back what a caller sends before its answer's end, and notices when it goes away.
-    fn poll_held(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
-        self.flow.hold(cx.waker());
+    fn poll_while_busy(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
+        self.state.set_held_waker(cx.waker());
         while self.buf.len() < self.limits.head {
             if ready!(self.poll_fill(cx))? == 0 {
                 return Poll::Ready(Ok(true));
@@ -115,46 +115,46 @@
     }
 
     /// Looks for a head in the buffer, parsing only when a blank line has come.
-    fn look(&mut self) -> Seen {
-        while let Some(end) = blank_line(&self.buf, self.scanned) {
+    fn find_head(&mut self) -> HeadStatus {
+        while let Some(end) = find_blank_line(&self.buf, self.scanned) {
             match inspect(&self.buf, &self.limits) {
                 // The blank line stood before the request line.
-                Seen::Part => self.scanned = end,
+                HeadStatus::Incomplete => self.scanned = end,
                 seen => return seen,
             }
         }
         // The last two bytes may begin a blank line.
         self.scanned = self.scanned.max(self.buf.len().saturating_sub(2));
         if self.buf.len() > self.limits.head {
-            return Seen::Bad(Refused::HeadTooBig);
+            return HeadStatus::Invalid(Refused::HeadTooBig);
         }
-        Seen::Part
+        HeadStatus::Incomplete
     }
 
-    fn open(&mut self, len: usize, framing: Framing) {
+    fn begin_request(&mut self, len: usize, framing: Framing) {
         self.scanned = 0;
-        self.flow.begin();
-        self.pass = match framing {
-            Framing::Length(body) => Pass::Bytes(body.saturating_add(len as u64)),
-            Framing::Chunked => Pass::Rest,
+        self.state.head_complete();
+        self.forward = match framing {
+            Framing::Length(body) => Forward::Bytes(body.saturating_add(len as u64)),
+            Framing::Chunked => Forward::Rest,
         };
     }
 
     fn refuse(&self, reason: Refused) -> io::Error {
-        self.flow.refuse(reason);
+        self.state.refuse(reason);
         io::ErrorKind::InvalidData.into()
     }
 
-    /// Hands on at most `most` bytes, those of the buffer first.
-    fn poll_pass(
+    /// Hands on at max `max` bytes, those of the buffer first.
+    fn poll_forward(
         &mut self,
         cx: &mut Context<'_>,
         out: &mut ReadBuf<'_>,
-        most: usize,
+        max: usize,
     ) -> Poll<io::Result<usize>> {
-        let most = most.min(out.remaining());
+        let max = max.min(out.remaining());
         if !self.buf.is_empty() {
-            let n = most.min(self.buf.len());
+            let n = max.min(self.buf.len());
             out.put_slice(&self.buf[..n]);
             self.buf.advance(n);
             if self.buf.is_empty() {
@@ -163,7 +163,7 @@
             }
             return Poll::Ready(Ok(n));
         }
-        let space = out.initialize_unfilled_to(most);
+        let space = out.initialize_unfilled_to(max);
         let mut part = ReadBuf::new(space);
         ready!(Pin::new(&mut self.io).poll_read(cx, &mut part))?;
         let n = part.filled().len();
@@ -173,7 +173,7 @@
 }
 
 /// The end of the first blank line at or after `from`.
-fn blank_line(buf: &[u8], from: usize) -> Option<usize> {
+fn find_blank_line(buf: &[u8], from: usize) -> Option<usize> {
     let mut at = from;
     while let Some(found) = buf[at..].iter().position(|b| *b == b'\n') {
         at += found + 1;
@@ -188,49 +188,49 @@
     None
 }
 
-impl AsyncRead for Gate {
+impl AsyncRead for CheckedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let gate = &mut *self;
-        if gate.pass == Pass::Bytes(0) {
-            gate.pass = Pass::Head;
+        let this = &mut *self;
+        if this.forward == Forward::Bytes(0) {
+            this.forward = Forward::Head;
         }
-        if gate.pass == Pass::Head && ready!(gate.poll_head(cx))? {
+        if this.forward == Forward::Head && ready!(this.poll_head(cx))? {
             return Poll::Ready(Ok(()));
         }
-        let left = match gate.pass {
-            Pass::Bytes(left) => usize::try_from(left).unwrap_or(usize::MAX),
-            Pass::Head | Pass::Rest => usize::MAX,
+        let left = match this.forward {
+            Forward::Bytes(left) => usize::try_from(left).unwrap_or(usize::MAX),
+            Forward::Head | Forward::Rest => usize::MAX,
         };
-        let n = ready!(gate.poll_pass(cx, buf, left))?;
-        if let Pass::Bytes(left) = &mut gate.pass {
+        let n = ready!(this.poll_forward(cx, buf, left))?;
+        if let Forward::Bytes(left) = &mut this.forward {
             *left -= n as u64;
         }
         Poll::Ready(Ok(()))
     }
 }
 
-impl Gate {
+impl CheckedStream {
     /// Notes whether a write went on.
-    fn note(&self, wrote: &Poll<io::Result<usize>>) {
+    fn record_write(&self, wrote: &Poll<io::Result<usize>>) {
         match wrote {
-            Poll::Pending => self.flow.blocked(),
-            Poll::Ready(_) => self.flow.written(),
+            Poll::Pending => self.state.write_blocked(),
+            Poll::Ready(_) => self.state.write_progressed(),
         }
     }
 }
 
-impl AsyncWrite for Gate {
+impl AsyncWrite for CheckedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let wrote = Pin::new(&mut self.io).poll_write(cx, buf);
-        self.note(&wrote);
+        self.record_write(&wrote);
         wrote
     }
 
@@ -240,7 +240,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let wrote = Pin::new(&mut self.io).poll_write_vectored(cx, bufs);
-        self.note(&wrote);
+        self.record_write(&wrote);
         wrote
     }
 
--- a/crates/peppercrank-wire/src/edge/head.rs
+++ b/crates/peppercrank-wire/src/edge/head.rs
@@ -22,7 +22,7 @@
 const MAX_HEADERS: usize = 100;
 
 /// The minor version of HTTP/1.1.
-const MINOR: u8 = 1;
+const HTTP_1_1_MINOR: u8 = 1;
 
 /// `Framing` is how a request's body ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,58 +35,58 @@
 
 /// `Seen` is what the bytes so far hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Seen {
+pub(super) enum HeadStatus {
     /// A head that goes on.
-    Part,
+    Incomplete,
     /// A whole head of `len` bytes.
-    Whole { len: usize, framing: Framing },
+    Complete { len: usize, framing: Framing },
     /// A head to refuse.
-    Bad(Refused),
+    Invalid(Refused),
 }
 
 /// Inspects a head that ends somewhere within `bytes`.
-pub(super) fn inspect(bytes: &[u8], limits: &Limits) -> Seen {
+pub(super) fn inspect(bytes: &[u8], limits: &Limits) -> HeadStatus {
     let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut request = Request::new(&mut headers);
     let len = match request.parse(bytes) {
-        Ok(Status::Partial) => return Seen::Part,
+        Ok(Status::Partial) => return HeadStatus::Incomplete,
         Ok(Status::Complete(len)) => len,
-        Err(Error::TooManyHeaders) => return Seen::Bad(Refused::HeadTooBig),
-        Err(_) => return Seen::Bad(Refused::BadHead),
+        Err(Error::TooManyHeaders) => return HeadStatus::Invalid(Refused::HeadTooBig),
+        Err(_) => return HeadStatus::Invalid(Refused::BadHead),
     };
     if len > limits.head {
-        return Seen::Bad(Refused::HeadTooBig);
+        return HeadStatus::Invalid(Refused::HeadTooBig);
     }
     if std::str::from_utf8(&bytes[..len]).is_err() {
-        return Seen::Bad(Refused::BadHead);
+        return HeadStatus::Invalid(Refused::BadHead);
     }
-    match check(&request, limits) {
-        Ok(framing) => Seen::Whole { len, framing },
-        Err(reason) => Seen::Bad(reason),
+    match check_request(&request, limits) {
+        Ok(framing) => HeadStatus::Complete { len, framing },
+        Err(reason) => HeadStatus::Invalid(reason),
     }
 }
 
-fn check(request: &Request<'_, '_>, limits: &Limits) -> Result<Framing, Refused> {
+fn check_request(request: &Request<'_, '_>, limits: &Limits) -> Result<Framing, Refused> {
     // An older caller could not tell a broken answer from a whole one.
-    if request.version != Some(MINOR) {
+    if request.version != Some(HTTP_1_1_MINOR) {
         return Err(Refused::Version);
     }
     if request.method == Some(Method::CONNECT.as_str()) {
         return Err(Refused::Method);
     }
-    if values(request.headers, header::HOST.as_str()).count() != 1 {
+    if header_values(request.headers, header::HOST.as_str()).count() != 1 {
         return Err(Refused::BadHead);
     }
     // hyper would refuse the path by a bare status, once the gate had let it through.
     if request.path.is_none_or(|p| p.parse::<Uri>().is_err()) {
         return Err(Refused::BadHead);
     }
-    framing(request.headers, limits)
+    body_framing(request.headers, limits)
 }
 
-fn framing(headers: &[Header<'_>], limits: &Limits) -> Result<Framing, Refused> {
-    let mut lengths = values(headers, header::CONTENT_LENGTH.as_str());
-    let mut codings = values(headers, header::TRANSFER_ENCODING.as_str());
+fn body_framing(headers: &[Header<'_>], limits: &Limits) -> Result<Framing, Refused> {
+    let mut lengths = header_values(headers, header::CONTENT_LENGTH.as_str());
+    let mut codings = header_values(headers, header::TRANSFER_ENCODING.as_str());
     let length = lengths.next();
     let coding = codings.next();
     if lengths.next().is_some() || codings.next().is_some() {
@@ -95,12 +95,12 @@
     match (length, coding) {
         (None, None) => Ok(Framing::Length(0)),
         (None, Some(coding)) if coding.eq_ignore_ascii_case(b"chunked") => Ok(Framing::Chunked),
-        (Some(length), None) => sized(length, limits),
+        (Some(length), None) => content_length(length, limits),
         _ => Err(Refused::Framing),
     }
 }
 
-fn sized(value: &[u8], limits: &Limits) -> Result<Framing, Refused> {
+fn content_length(value: &[u8], limits: &Limits) -> Result<Framing, Refused> {
     // Parsing takes a sign, which the field does not allow.
     if value.is_empty() || !value.iter().all(u8::is_ascii_digit) {
         return Err(Refused::Framing);
@@ -113,7 +113,7 @@
     }
 }
 
-fn values<'a>(headers: &'a [Header<'a>], name: &'a str) -> impl Iterator<Item = &'a [u8]> {
+fn header_values<'a>(headers: &'a [Header<'a>], name: &'a str) -> impl Iterator<Item = &'a [u8]> {
     headers
         .iter()
         .filter(move |h| h.name.eq_ignore_ascii_case(name))
--- a/crates/peppercrank-wire/src/edge/mod.rs
+++ b/crates/peppercrank-wire/src/edge/mod.rs
@@ -42,7 +42,7 @@
 pub use refusal::Refused;
 
 use connection::Shared;
-use flow::after;
+use flow::deadline_after;
 
 /// Pause after a failed accept, so that a full descriptor table is not polled in a tight loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -52,7 +52,7 @@
 const BACKLOG: u32 = 4_096;
 
 /// Callers over the limit that are told so at once; those beyond are closed without a word.
-const TURNED_AWAY: u64 = 64;
+const MAX_REJECTED_CONNECTIONS: u64 = 64;
 
 /// `Edge` is a listening HTTP/1.1 server.
 #[derive(Debug)]
@@ -64,7 +64,7 @@
 
 /// `Finished` is how an edge ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Finished {
+pub struct ServeSummary {
     /// Calls taken up since the start.
     pub calls: u64,
     /// Calls cut off since they outlasted the time for stopping.
@@ -107,7 +107,7 @@
     ///
     /// Each call's answering future is dropped when its caller goes away. Once stopping, answers
     /// close their connections and what outlasts [`Limits::drain`] is cut.
-    pub async fn serve<F, R>(self, limits: Limits, stop: Stop, answer: F) -> Finished
+    pub async fn serve<F, R>(self, limits: Limits, stop: Stop, answer: F) -> ServeSummary
     where
         F: Fn(Call) -> R + Send + Sync + 'static,
         R: Future<Output = Reply> + Send + 'static,
@@ -123,7 +123,7 @@
         limits: watch::Receiver<Arc<Limits>>,
         stop: Stop,
         answer: F,
-    ) -> Finished
+    ) -> ServeSummary
     where
         F: Fn(Call) -> R + Send + Sync + 'static,
         R: Future<Output = Reply> + Send + 'static,
@@ -140,7 +140,7 @@
             () = self.accept(&mut tasks, &shared, &stop) => {}
         }
         let limits = shared.limits();
-        let end = after(Instant::now(), limits.drain);
+        let end = deadline_after(Instant::now(), limits.drain);
         // Callers hear of the stop by and by. One that the system connects as the listener closes
         // is reset, so it closes only when few come any more.
         let late = self.accept(&mut tasks, &shared, &stop);
@@ -152,7 +152,7 @@
         drop(self.listener);
         let cut = drain(tasks, end, &self.counters).await;
         let calls = self.counters.calls();
-        Finished { calls, cut }
+        ServeSummary { calls, cut }
     }
 }
 
@@ -192,11 +192,11 @@
 }
 
 /// `Open` counts a connection as open until it is dropped.
-struct Open(Arc<Counters>);
+struct OpenConnection(Arc<Counters>);
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
-        self.0.closed();
+        self.0.connection_closed();
     }
 }
 
@@ -210,14 +210,14 @@
     F: Fn(Call) -> R + Send + Sync + 'static,
     R: Future<Output = Reply> + Send + 'static,
 {
-    let now = shared.counters.opened();
-    let open = Open(Arc::clone(&shared.counters));
+    let open_count = shared.counters.connection_opened();
+    let open = OpenConnection(Arc::clone(&shared.counters));
     let limits = shared.limits();
-    let most = limits.connections as u64;
-    if now > most {
+    let max = limits.connections as u64;
+    if open_count > max {
         shared.counters.refuse(Refused::Connections);
-        if now - most <= TURNED_AWAY {
-            tasks.spawn(turn_away(io, open, limits));
+        if open_count - max <= MAX_REJECTED_CONNECTIONS {
+            tasks.spawn(reject_connection(io, open, limits));
         }
         return;
     }
@@ -226,18 +226,18 @@
     let shared = Arc::clone(shared);
     let stop = stop.clone();
     tasks.spawn(async move {
-        connection::run(io, peer, shared, stop).await;
+        connection::serve_connection(io, peer, shared, stop).await;
         drop(open);
     });
 }
 
-async fn turn_away(mut io: TcpStream, open: Open, limits: Arc<Limits>) {
-    let told = timeout(
+async fn reject_connection(mut io: TcpStream, open: OpenConnection, limits: Arc<Limits>) {
+    let sent = timeout(
         limits.linger,
-        io.write_all(&call::raw(Refused::Connections)),
+        io.write_all(&call::raw_response(Refused::Connections)),
     )
     .await;
-    if matches!(told, Ok(Ok(()))) {
+    if matches!(sent, Ok(Ok(()))) {
         connection::close(io, &limits).await;
     }
     drop(open);
--- a/crates/peppercrank-wire/src/edge/refusal.rs
+++ b/crates/peppercrank-wire/src/edge/refusal.rs
@@ -94,9 +94,9 @@
     open: AtomicU64,
     busy: AtomicU64,
     calls: AtomicU64,
-    gone: AtomicU64,
-    accept: AtomicU64,
-    bodies: AtomicU64,
+    callers_gone: AtomicU64,
+    accept_errors: AtomicU64,
+    body_bytes: AtomicU64,
 }
 
 impl Counters {
@@ -127,33 +127,33 @@
     /// `gone` is how many calls ended early since their callers went away.
     #[must_use]
     pub fn gone(&self) -> u64 {
-        self.gone.load(Ordering::Relaxed)
+        self.callers_gone.load(Ordering::Relaxed)
     }
 
     /// `accept_errors` is how often the system failed to accept a connection.
     #[must_use]
     pub fn accept_errors(&self) -> u64 {
-        self.accept.load(Ordering::Relaxed)
+        self.accept_errors.load(Ordering::Relaxed)
     }
 
     /// `body_bytes` is the length of the bodies that calls in progress have sent.
     #[must_use]
     pub fn body_bytes(&self) -> u64 {
-        self.bodies.load(Ordering::Relaxed)
+        self.body_bytes.load(Ordering::Relaxed)
     }
 
     /// Counts bytes of a body as held, if there is room for them.
-    pub(super) fn hold(&self, bytes: u64, most: u64) -> bool {
-        let held = self.bodies.fetch_add(bytes, Ordering::Relaxed);
-        let fits = held.saturating_add(bytes) <= most;
+    pub(super) fn reserve_body_bytes(&self, bytes: u64, max: u64) -> bool {
+        let before = self.body_bytes.fetch_add(bytes, Ordering::Relaxed);
+        let fits = before.saturating_add(bytes) <= max;
         if !fits {
-            self.release(bytes);
+            self.release_body_bytes(bytes);
         }
         fits
     }
 
-    pub(super) fn release(&self, bytes: u64) {
-        self.bodies.fetch_sub(bytes, Ordering::Relaxed);
+    pub(super) fn release_body_bytes(&self, bytes: u64) {
+        self.body_bytes.fetch_sub(bytes, Ordering::Relaxed);
     }
 
     pub(super) fn refuse(&self, reason: Refused) {
@@ -161,28 +161,28 @@
     }
 
     pub(super) fn caller_gone(&self) {
-        self.gone.fetch_add(1, Ordering::Relaxed);
+        self.callers_gone.fetch_add(1, Ordering::Relaxed);
     }
 
     pub(super) fn accept_failed(&self) {
-        self.accept.fetch_add(1, Ordering::Relaxed);
+        self.accept_errors.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Counts a connection as open and returns how many are.
-    pub(super) fn opened(&self) -> u64 {
+    pub(super) fn connection_opened(&self) -> u64 {
         self.open.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    pub(super) fn closed(&self) {
+    pub(super) fn connection_closed(&self) {
         self.open.fetch_sub(1, Ordering::Relaxed);
     }
 
-    pub(super) fn begun(&self) {
+    pub(super) fn call_started(&self) {
         self.calls.fetch_add(1, Ordering::Relaxed);
         self.busy.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(super) fn ended(&self) {
+    pub(super) fn call_ended(&self) {
         self.busy.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/peppercrank-wire/src/errors.rs
+++ b/crates/peppercrank-wire/src/errors.rs
@@ -48,15 +48,15 @@
     /// A body broke off or was framed wrongly.
     BodyBroken,
     /// Nothing of an answer arrived within the idle time.
-    AnswerIdle,
+    ResponseIdle,
     /// An answer broke off before its end.
-    AnswerCut,
+    ResponseCut,
     /// A message does not fit a datagram.
     MessageTooBig {
         /// The message's length, in bytes.
         len: usize,
         /// The longest length allowed, in bytes.
-        most: usize,
+        max: usize,
     },
     /// A message could not be encoded.
     Encode,
@@ -79,12 +79,12 @@
             Self::BodyMemory => f.write_str("too many request bodies in progress"),
             Self::BodyTimeout => f.write_str("the body did not arrive in time"),
             Self::BodyBroken => f.write_str("the body broke off or was framed wrongly"),
-            Self::AnswerIdle => f.write_str("nothing of the answer arrived within the idle time"),
-            Self::MessageTooBig { len, most } => {
+            Self::ResponseIdle => f.write_str("nothing of the answer arrived within the idle time"),
+            Self::MessageTooBig { len, max: most } => {
                 write!(f, "the message has {len} bytes, {most} fit")
             }
             Self::Encode => f.write_str("the message could not be encoded"),
-            Self::AnswerCut => f.write_str("the answer broke off before its end"),
+            Self::ResponseCut => f.write_str("the answer broke off before its end"),
         }
     }
 }
--- a/crates/peppercrank-wire/src/headers.rs
+++ b/crates/peppercrank-wire/src/headers.rs
@@ -25,8 +25,8 @@
 ///
 /// A length that stands beside a transfer coding goes too, since the coding overrides it. The
 /// transfer coding itself is the adapters' to write anew.
-pub fn strip(headers: &mut HeaderMap) {
-    for name in named(headers) {
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
+    for name in named_by_connection(headers) {
         headers.remove(name);
     }
     for name in &HOP_BY_HOP {
@@ -38,7 +38,7 @@
 }
 
 /// The headers that `Connection` names, but for those that frame the message.
-fn named(headers: &HeaderMap) -> Vec<HeaderName> {
+fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
     let mut names = Vec::new();
     for value in headers.get_all(header::CONNECTION) {
         let Ok(text) = value.to_str() else {
--- a/crates/peppercrank-wire/src/lib.rs
+++ b/crates/peppercrank-wire/src/lib.rs
@@ -1,10 +1,11 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Adapters of sockets and clocks: HTTP edges, the platform's client, control calls, gossip datagrams.
+//! Adapters for sockets and clocks: HTTP servers and clients, the platform API client, control
+//! calls and gossip datagrams.
 //!
-//! Everything that reads a clock or opens a socket for the fleet stands here; the parts that
-//! decide stand in crates without input or output.
+//! All code of the fleet that reads a clock or opens a socket is in this crate; the decision logic
+//! is in crates without input or output.
 //!
 //! # Examples
 //!
@@ -15,7 +16,7 @@
 //! use peppercrank_wire::body;
 //! use peppercrank_wire::client::Client;
 //! use peppercrank_wire::client::Reuse;
-//! use peppercrank_wire::client::Times;
+//! use peppercrank_wire::client::ClientConfig;
 //! use peppercrank_wire::edge::Edge;
 //! use peppercrank_wire::edge::Limits;
 //! use peppercrank_wire::edge::Reply;
@@ -29,7 +30,7 @@
 //! let greet = |_call| async { Reply::new(body::full("hello")) };
 //! let served = tokio::spawn(edge.serve(Limits::default(), stop, greet));
 //!
-//! let client = Client::new(Times::default());
+//! let client = Client::new(ClientConfig::default());
 //! let request = http::Request::get("/").body(body::empty())?;
 //! let answer = client.send(address, request, Reuse::Allowed).await?;
 //! let body = answer.into_body().collect().await?;
--- a/crates/peppercrank-wire/src/pages.rs
+++ b/crates/peppercrank-wire/src/pages.rs
@@ -25,13 +25,13 @@
 use crate::errors;
 use crate::errors::Error;
 use crate::errors::Step;
-use crate::seal::Bearers;
+use crate::seal::BearerTokens;
 
 /// How often the server looks whether it is to stop.
-const POLL: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What the paths of the pages of single objects begin with.
-const OBJECTS: &str = "/objects/";
+const OBJECTS_PREFIX: &str = "/objects/";
 
 /// `Page` is one page as it stands at the moment of asking.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     /// The HTTP status.
     pub status: u16,
     /// The content type.
-    pub kind: &'static str,
+    pub content_type: &'static str,
     /// The text.
     pub text: String,
 }
@@ -50,7 +50,7 @@
     pub fn text(status: u16, text: impl Into<String>) -> Self {
         Self {
             status,
-            kind: "text/plain; charset=utf-8",
+            content_type: "text/plain; charset=utf-8",
             text: text.into(),
         }
     }
@@ -60,7 +60,7 @@
     pub const fn metrics(text: String) -> Self {
         Self {
             status: 200,
-            kind: "application/openmetrics-text; version=1.0.0; charset=utf-8",
+            content_type: "application/openmetrics-text; version=1.0.0; charset=utf-8",
             text,
         }
     }
@@ -70,29 +70,29 @@
     pub const fn json(status: u16, text: String) -> Self {
         Self {
             status,
-            kind: "application/json",
+            content_type: "application/json",
             text,
         }
     }
 }
 
 /// `Source` makes a page anew each time that it is asked for.
-pub type Source = Box<dyn Fn() -> Page + Send + Sync>;
+pub type PageSource = Box<dyn Fn() -> Page + Send + Sync>;
 
 /// `Pages` are the pages of one daemon.
 pub struct Pages {
     /// `/metrics`.
-    pub metrics: Source,
+    pub metrics: PageSource,
     /// `/healthz`: 200 while the process works.
-    pub healthz: Source,
+    pub healthz: PageSource,
     /// `/readyz`: 200 while it should be given work, 503 otherwise.
-    pub readyz: Source,
+    pub readyz: PageSource,
     /// `/status`.
-    pub status: Source,
+    pub status: PageSource,
     /// The pages below `/objects/`, by the rest of the path.
     pub objects: Box<dyn Fn(&str) -> Page + Send + Sync>,
     /// Who may read `/status` and `/objects/`; anybody who reaches the address, if absent.
-    pub bearers: Option<Bearers>,
+    pub tokens: Option<BearerTokens>,
 }
 
 impl fmt::Debug for Pages {
@@ -111,7 +111,7 @@
     /// # Panics
     ///
     /// Panics when `threads` is 0.
-    pub fn serve(self, address: SocketAddr, threads: usize) -> Result<Serving> {
+    pub fn serve(self, address: SocketAddr, threads: usize) -> Result<PagesServer> {
         let bound = Server::new(address, move |request| respond(&self, request));
         let server = bound.map_err(|e| bind_error(&*e))?.pool_size(threads);
         let address = server.server_addr();
@@ -119,15 +119,15 @@
         let stop = Arc::clone(&over);
         let run = move || {
             while !stop.load(Ordering::Acquire) {
-                server.poll_timeout(POLL);
+                server.poll_timeout(STOP_POLL_INTERVAL);
             }
             server.join();
         };
         let spawned = thread::Builder::new().name("pages".to_owned()).spawn(run);
         let thread = spawned.map_err(|e| errors::io(Step::Spawn, &e))?;
-        Ok(Serving {
+        Ok(PagesServer {
             address,
-            over,
+            stopped: over,
             thread: Some(thread),
         })
     }
@@ -135,13 +135,13 @@
 
 /// `Serving` is a running server of pages; dropping it ends the server.
 #[derive(Debug)]
-pub struct Serving {
+pub struct PagesServer {
     address: SocketAddr,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Serving {
+impl PagesServer {
     /// `local_addr` is where the pages are.
     #[must_use]
     pub const fn local_addr(&self) -> SocketAddr {
@@ -149,9 +149,9 @@
     }
 }
 
-impl Drop for Serving {
+impl Drop for PagesServer {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Release);
+        self.stopped.store(true, Ordering::Release);
         if let Some(thread) = self.thread.take() {
             // A page's panic is answered with 500, so the thread itself has none to tell.
             let _ended = thread.join();
@@ -172,8 +172,8 @@
             .with_additional_header("Allow", "GET, HEAD");
     }
     let url = request.url();
-    let object = url.strip_prefix(OBJECTS);
-    if (url == "/status" || object.is_some()) && !admitted(pages, request) {
+    let object = url.strip_prefix(OBJECTS_PREFIX);
+    if (url == "/status" || object.is_some()) && !is_authorized(pages, request) {
         let page = response(Page::text(401, "a token is wanted\n"));
         return page.with_additional_header("WWW-Authenticate", "Bearer");
     }
@@ -192,16 +192,16 @@
     }
 }
 
-fn admitted(pages: &Pages, request: &Request) -> bool {
-    let Some(bearers) = &pages.bearers else {
+fn is_authorized(pages: &Pages, request: &Request) -> bool {
+    let Some(bearers) = &pages.tokens else {
         return true;
     };
     request
         .header("Authorization")
-        .is_some_and(|v| bearers.knows(v))
+        .is_some_and(|v| bearers.matches(v))
 }
 
 fn response(page: Page) -> Response {
-    let response = Response::from_data(page.kind, page.text);
+    let response = Response::from_data(page.content_type, page.text);
     response.with_status_code(page.status).with_no_cache()
 }
--- a/crates/peppercrank-wire/src/platform/counters.rs
+++ b/crates/peppercrank-wire/src/platform/counters.rs
@@ -49,7 +49,7 @@
 
 coded! {
     /// `Ending` is how one call ended.
-    Ending {
+    CallOutcome {
         /// With what was asked for.
         Found "found",
         /// With nothing there.
@@ -76,14 +76,14 @@
 /// `Calls` count the calls of one process, for its metrics.
 #[derive(Debug, Default)]
 pub struct Calls {
-    counts: [[AtomicU64; Ending::ALL.len()]; Operation::ALL.len()],
+    counts: [[AtomicU64; CallOutcome::ALL.len()]; Operation::ALL.len()],
     waiting: AtomicU64,
 }
 
 impl Calls {
     /// `get` is how many calls of one kind ended so.
     #[must_use]
-    pub fn get(&self, operation: Operation, ending: Ending) -> u64 {
+    pub fn get(&self, operation: Operation, ending: CallOutcome) -> u64 {
         self.counts[operation as usize][ending as usize].load(Ordering::Relaxed)
     }
 
@@ -104,7 +104,7 @@
         self.waiting.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(super) fn end(&self, operation: Operation, ending: Ending) {
+    pub(super) fn end(&self, operation: Operation, ending: CallOutcome) {
         self.waiting.fetch_sub(1, Ordering::Relaxed);
         self.counts[operation as usize][ending as usize].fetch_add(1, Ordering::Relaxed);
     }
--- a/crates/peppercrank-wire/src/platform/exchange.rs
+++ b/crates/peppercrank-wire/src/platform/exchange.rs
@@ -22,20 +22,20 @@
 use super::Failure;
 
 /// Unused connections kept: a few watches and the calls beside them.
-const SPARE: usize = 8;
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
 /// The longest pause that the platform can ask for; a daemon must not sleep for days by one answer.
-const MOST_PAUSE: Duration = Duration::from_secs(60);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// `Raw` is an answer that came whole.
 #[derive(Debug)]
-pub(super) struct Raw {
+pub(super) struct RawResponse {
     pub(super) status: u16,
-    after: Option<Duration>,
+    retry_after: Option<Duration>,
     body: Vec<u8>,
 }
 
-impl Raw {
+impl RawResponse {
     pub(super) fn parse<T: DeserializeOwned>(&self) -> Result<T, Failure> {
         let parsed = serde_json::from_slice(&self.body);
         parsed.map_err(|_malformed| Failure::Bad(self.status))
@@ -44,7 +44,7 @@
     /// What an answer to a read means that is neither a result nor an absence.
     pub(super) fn failure(&self) -> Failure {
         match self.status {
-            429 => Failure::Throttled(self.after),
+            429 => Failure::Throttled(self.retry_after),
             500..=599 => Failure::Down,
             status => Failure::Bad(status),
         }
@@ -53,7 +53,7 @@
     /// What an answer to a write means that the platform did not decide on.
     pub(super) fn write_failure(&self) -> Failure {
         match self.status {
-            429 => Failure::Throttled(self.after),
+            429 => Failure::Throttled(self.retry_after),
             503 => Failure::Down,
             // An answer of the platform's own failure does not say how far the write got.
             500..=599 => Failure::Unknown,
@@ -91,7 +91,7 @@
             // The environment must not send our calls elsewhere.
             .proxy(None)
             .timeout_connect(Some(access.connect))
-            .max_idle_connections_per_host(SPARE)
+            .max_idle_connections_per_host(MAX_IDLE_CONNECTIONS)
             .build();
         let token = access.token.as_ref();
         Self {
@@ -104,14 +104,14 @@
     }
 
     /// Reads a path; the platform may hold the answer back for `wait`.
-    pub(super) fn read(&self, path: &str, wait: Duration) -> Result<Raw, Failure> {
+    pub(super) fn read(&self, path: &str, wait: Duration) -> Result<RawResponse, Failure> {
         let request = self.request(Method::GET, path).body(());
         let request = request.map_err(|_malformed| Failure::Name)?;
         let agent = &self.agent;
         let within = Some(self.call.saturating_add(wait));
         let request = agent.configure_request(request);
         let request = request.timeout_per_call(within).build();
-        let read = agent.run(request).and_then(|r| self.whole(r));
+        let read = agent.run(request).and_then(|r| self.read_response(r));
         read.map_err(|e| read_failure(&e))
     }
 
@@ -122,7 +122,7 @@
         path: &str,
         condition: Condition,
         text: &str,
-    ) -> Result<Raw, Failure> {
+    ) -> Result<RawResponse, Failure> {
         let request = self.request(method, path);
         let request = match condition {
             Condition::New => request.header(header::IF_NONE_MATCH, "*"),
@@ -134,7 +134,7 @@
         let agent = &self.agent;
         let request = agent.configure_request(request);
         let request = request.timeout_per_call(Some(self.call)).build();
-        let wrote = agent.run(request).and_then(|r| self.whole(r));
+        let wrote = agent.run(request).and_then(|r| self.read_response(r));
         wrote.map_err(|e| write_failure(&e))
     }
 
@@ -147,24 +147,24 @@
         }
     }
 
-    fn whole(&self, mut response: Response<Body>) -> Result<Raw, Error> {
+    fn read_response(&self, mut response: Response<Body>) -> Result<RawResponse, Error> {
         let status = response.status().as_u16();
-        let after = pause(&response);
+        let after = retry_after(&response);
         let body = response.body_mut();
         let body = body.with_config().limit(self.answer).read_to_vec()?;
-        Ok(Raw {
+        Ok(RawResponse {
             status,
-            after,
+            retry_after: after,
             body,
         })
     }
 }
 
 /// The seconds of `Retry-After`.
-fn pause(response: &Response<Body>) -> Option<Duration> {
+fn retry_after(response: &Response<Body>) -> Option<Duration> {
     let value = response.headers().get(header::RETRY_AFTER)?;
     let seconds = value.to_str().ok()?.trim().parse().ok()?;
-    Some(Duration::from_secs(seconds).min(MOST_PAUSE))
+    Some(Duration::from_secs(seconds).min(MAX_RETRY_AFTER))
 }
 
 fn read_failure(error: &Error) -> Failure {
--- a/crates/peppercrank-wire/src/platform/mod.rs
+++ b/crates/peppercrank-wire/src/platform/mod.rs
@@ -18,14 +18,14 @@
 use serde::Deserialize;
 use serde_json::Value;
 
+pub use counters::CallOutcome;
 pub use counters::Calls;
-pub use counters::Ending;
 pub use counters::Operation;
 pub use outcomes::Condition;
 pub use outcomes::Failure;
 pub use outcomes::Fetched;
 pub use outcomes::Listing;
-pub use outcomes::Named;
+pub use outcomes::NamedObject;
 pub use outcomes::Object;
 pub use outcomes::Role;
 pub use outcomes::Vm;
@@ -34,7 +34,7 @@
 pub use outcomes::Written;
 
 use exchange::Exchange;
-use exchange::Raw;
+use exchange::RawResponse;
 
 /// `Access` is how to reach the platform, and within what limits.
 #[derive(Clone, PartialEq, Eq)]
@@ -119,8 +119,8 @@
     ///
     /// Returns a [`Failure`] other than [`Failure::Unknown`].
     pub fn get(&self, kind: &str, name: &str) -> Result<Fetched, Failure> {
-        let path = object(kind, name)?;
-        self.counted(Operation::Get, fetched, || {
+        let path = object_path(kind, name)?;
+        self.count_call(Operation::Get, fetch_outcome, || {
             let raw = self.exchange.read(&path, Duration::ZERO)?;
             match raw.status {
                 200 => raw.parse().map(Fetched::Found),
@@ -142,7 +142,7 @@
         condition: Condition,
         body: &Value,
     ) -> Result<Written, Failure> {
-        let path = object(kind, name)?;
+        let path = object_path(kind, name)?;
         let text = body.to_string();
         self.write(Operation::Put, Method::PUT, &path, condition, &text)
     }
@@ -153,7 +153,7 @@
     ///
     /// Returns [`Failure::Unknown`] when the delete may have taken effect all the same.
     pub fn delete(&self, kind: &str, name: &str, version: u64) -> Result<Written, Failure> {
-        let path = object(kind, name)?;
+        let path = object_path(kind, name)?;
         let condition = Condition::Version(version);
         self.write(Operation::Delete, Method::DELETE, &path, condition, "")
     }
@@ -164,15 +164,15 @@
     ///
     /// Returns a [`Failure`] other than [`Failure::Unknown`].
     pub fn list(&self, kind: &str) -> Result<Listing, Failure> {
-        let kind = part(kind)?;
-        self.counted(
+        let kind = path_segment(kind)?;
+        self.count_call(
             Operation::List,
-            |_| Ending::Found,
+            |_| CallOutcome::Found,
             || {
                 let raw = self
                     .exchange
                     .read(&format!("/objects/{kind}"), Duration::ZERO)?;
-                raw.found()
+                raw.parse_found()
             },
         )
     }
@@ -183,14 +183,14 @@
     ///
     /// Returns a [`Failure`] other than [`Failure::Unknown`].
     pub fn watch(&self, kind: &str, since: u64, wait: Duration) -> Result<Watched, Failure> {
-        let kind = part(kind)?;
+        let kind = path_segment(kind)?;
         let wait_ms = wait.as_millis();
         let path = format!("/watch/{kind}?since={since}&wait_ms={wait_ms}");
-        self.counted(Operation::Watch, watched, || {
+        self.count_call(Operation::Watch, watch_outcome, || {
             let raw = self.exchange.read(&path, wait)?;
             match raw.status {
                 410 => Ok(Watched::TooOld),
-                _ => raw.found().map(Watched::News),
+                _ => raw.parse_found().map(Watched::Changes),
             }
         })
     }
@@ -201,13 +201,13 @@
     ///
     /// Returns a [`Failure`] other than [`Failure::Unknown`].
     pub fn vms(&self) -> Result<Vms, Failure> {
-        self.counted(
+        self.count_call(
             Operation::Vms,
-            |_| Ending::Found,
+            |_| CallOutcome::Found,
             || {
                 let raw = self.exchange.read("/vms", Duration::ZERO)?;
-                let entries: Entries = raw.found()?;
-                Ok(sort_out(entries))
+                let entries: Entries = raw.parse_found()?;
+                Ok(parse_vms(entries))
             },
         )
     }
@@ -220,7 +220,7 @@
         condition: Condition,
         text: &str,
     ) -> Result<Written, Failure> {
-        self.counted(operation, written, || {
+        self.count_call(operation, write_outcome, || {
             let raw = self.exchange.write(method, path, condition, text)?;
             match raw.status {
                 // The version is lost with a malformed answer, though the write is done.
@@ -235,17 +235,17 @@
         })
     }
 
-    fn counted<T>(
+    fn count_call<T>(
         &self,
         operation: Operation,
-        ending: impl FnOnce(&T) -> Ending,
+        ending: impl FnOnce(&T) -> CallOutcome,
         call: impl FnOnce() -> Result<T, Failure>,
     ) -> Result<T, Failure> {
         self.calls.begin();
         let result = call();
         let ending = match &result {
             Ok(value) => ending(value),
-            Err(failure) => failed(*failure),
+            Err(failure) => failure_outcome(*failure),
         };
         self.calls.end(operation, ending);
         result
@@ -253,19 +253,23 @@
 }
 
 /// Checks one part of a path, so that no name reaches another object.
-fn part(text: &str) -> Result<ObjectName, Failure> {
+fn path_segment(text: &str) -> Result<ObjectName, Failure> {
     match ObjectName::new(text) {
         Ok(name) if !matches!(text, "." | "..") => Ok(name),
         _ => Err(Failure::Name),
     }
 }
 
-fn object(kind: &str, name: &str) -> Result<String, Failure> {
-    Ok(format!("/objects/{}/{}", part(kind)?, part(name)?))
+fn object_path(kind: &str, name: &str) -> Result<String, Failure> {
+    Ok(format!(
+        "/objects/{}/{}",
+        path_segment(kind)?,
+        path_segment(name)?
+    ))
 }
 
 /// Keeps the well-formed entries: one bad entry must not hide every other VM.
-fn sort_out(entries: Entries) -> Vms {
+fn parse_vms(entries: Entries) -> Vms {
     let all = entries.vms.len();
     let parsed = entries.vms.into_iter().map(serde_json::from_value);
     let vms: Vec<Vm> = parsed.filter_map(Result::ok).collect();
@@ -276,39 +280,39 @@
     }
 }
 
-const fn fetched(value: &Fetched) -> Ending {
+const fn fetch_outcome(value: &Fetched) -> CallOutcome {
     match value {
-        Fetched::Found(_) => Ending::Found,
-        Fetched::Absent => Ending::Absent,
+        Fetched::Found(_) => CallOutcome::Found,
+        Fetched::Absent => CallOutcome::Absent,
     }
 }
 
-const fn watched(value: &Watched) -> Ending {
+const fn watch_outcome(value: &Watched) -> CallOutcome {
     match value {
-        Watched::News(_) => Ending::Found,
-        Watched::TooOld => Ending::TooOld,
+        Watched::Changes(_) => CallOutcome::Found,
+        Watched::TooOld => CallOutcome::TooOld,
     }
 }
 
-const fn written(value: &Written) -> Ending {
+const fn write_outcome(value: &Written) -> CallOutcome {
     match value {
-        Written::Done(_) => Ending::Done,
-        Written::Conflict(_) => Ending::Conflict,
+        Written::Done(_) => CallOutcome::Done,
+        Written::Conflict(_) => CallOutcome::Conflict,
     }
 }
 
-const fn failed(failure: Failure) -> Ending {
+const fn failure_outcome(failure: Failure) -> CallOutcome {
     match failure {
-        Failure::Throttled(_) => Ending::Throttled,
-        Failure::Down => Ending::Down,
-        Failure::Slow => Ending::Slow,
-        Failure::Unknown => Ending::Unknown,
-        Failure::Bad(_) | Failure::Name => Ending::Bad,
+        Failure::Throttled(_) => CallOutcome::Throttled,
+        Failure::Down => CallOutcome::Down,
+        Failure::Slow => CallOutcome::Slow,
+        Failure::Unknown => CallOutcome::Unknown,
+        Failure::Bad(_) | Failure::Name => CallOutcome::Bad,
     }
 }
 
-impl Raw {
-    fn found<T: serde::de::DeserializeOwned>(&self) -> Result<T, Failure> {
+impl RawResponse {
+    fn parse_found<T: serde::de::DeserializeOwned>(&self) -> Result<T, Failure> {
         match self.status {
             200 => self.parse(),
             _ => Err(self.failure()),
--- a/crates/peppercrank-wire/src/platform/outcomes.rs
+++ b/crates/peppercrank-wire/src/platform/outcomes.rs
@@ -24,7 +24,7 @@
 
 /// `Named` is one object of a list.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
-pub struct Named {
+pub struct NamedObject {
     /// The name within the kind.
     pub name: String,
     /// The version, taken from the whole store's numbers.
@@ -40,7 +40,7 @@
     /// The revision up to which it tells everything.
     pub revision: u64,
     /// The objects, tombstones included.
-    pub objects: Vec<Named>,
+    pub objects: Vec<NamedObject>,
 }
 
 /// `Role` is which of our daemons a VM runs.
@@ -101,7 +101,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Watched {
     /// What is newer, which may be nothing.
-    News(Listing),
+    Changes(Listing),
     /// The revision is too old to watch from: list anew.
     TooOld,
 }
--- a/crates/peppercrank-wire/src/seal/bearer.rs
+++ b/crates/peppercrank-wire/src/seal/bearer.rs
@@ -17,15 +17,15 @@
 
 /// `Bearers` knows the tokens that operators may show, by their digests.
 #[derive(Clone)]
-pub struct Bearers(Vec<[u8; 32]>);
+pub struct BearerTokens(Vec<[u8; 32]>);
 
-impl fmt::Debug for Bearers {
+impl fmt::Debug for BearerTokens {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Bearers({})", self.0.len())
     }
 }
 
-impl Bearers {
+impl BearerTokens {
     /// `new` accepts these tokens; without any, nobody is let in.
     pub fn new<'a>(tokens: impl IntoIterator<Item = &'a str>) -> Self {
         Self(tokens.into_iter().map(digest).collect())
@@ -33,11 +33,11 @@
 
     /// `admits` tells whether the headers show one of the tokens.
     #[must_use]
-    pub fn admits(&self, headers: &HeaderMap) -> bool {
-        let shown = headers.get(header::AUTHORIZATION);
-        shown
+    pub fn authorizes(&self, headers: &HeaderMap) -> bool {
+        let presented = headers.get(header::AUTHORIZATION);
+        presented
             .and_then(|v| v.to_str().ok())
-            .is_some_and(|v| self.knows(v))
+            .is_some_and(|v| self.matches(v))
     }
 
     /// `knows` tells whether an `Authorization` value shows one of the tokens.
@@ -45,12 +45,12 @@
     /// It compares digests, and all of them, so that neither a token's length nor its place is
     /// told by the time it takes.
     #[must_use]
-    pub fn knows(&self, value: &str) -> bool {
+    pub fn matches(&self, value: &str) -> bool {
         let Some(token) = value.strip_prefix(SCHEME) else {
             return false;
         };
-        let shown = digest(token);
-        let equal = |choice: Choice, known: &[u8; 32]| choice | known.ct_eq(&shown);
+        let presented = digest(token);
+        let equal = |choice: Choice, known: &[u8; 32]| choice | known.ct_eq(&presented);
         self.0.iter().fold(Choice::from(0), equal).into()
     }
 }
--- a/crates/peppercrank-wire/src/seal/head.rs
+++ b/crates/peppercrank-wire/src/seal/head.rs
@@ -16,17 +16,17 @@
 use http::Uri;
 
 use super::Channel;
-use super::keys::Code;
 use super::keys::Key;
 use super::keys::KeyRing;
-use super::keys::TAG;
+use super::keys::MessageMac;
+use super::keys::TAG_LEN;
 use super::opener::Rejected;
 
 /// The header that carries the code: the key's number and the code, both in hexadecimal.
 pub const MAC_HEADER: HeaderName = HeaderName::from_static("x-peppercrank-mac");
 
 /// The start of every header that is covered.
-const OURS: &str = "x-peppercrank-";
+const SIGNED_PREFIX: &str = "x-peppercrank-";
 
 /// `sign_head` is the code for a head, to be set as [`MAC_HEADER`].
 ///
@@ -42,7 +42,7 @@
     headers: &HeaderMap,
 ) -> HeaderValue {
     let key = ring.signer();
-    let tag = code(key, agent, method, path, headers).tag();
+    let tag = head_mac(key, agent, method, path, headers).tag();
     let text = format!("{:08x}{:032x}", key.id(), u128::from_be_bytes(tag));
     HeaderValue::from_str(&text).expect("hexadecimal digits")
 }
@@ -52,26 +52,26 @@
 /// # Errors
 ///
 /// Returns [`Rejected::Malformed`], [`Rejected::UnknownKey`] or [`Rejected::Forged`].
-pub fn check_head(
+pub fn verify_head(
     ring: &KeyRing,
     agent: SocketAddr,
     method: &Method,
     path: &Uri,
     headers: &HeaderMap,
 ) -> Result<(), Rejected> {
-    let (id, tag) = parse(headers).ok_or(Rejected::Malformed)?;
+    let (id, tag) = parse_mac(headers).ok_or(Rejected::Malformed)?;
     let key = ring.find(id).ok_or(Rejected::UnknownKey)?;
-    if code(key, agent, method, path, headers).matches(&tag) {
+    if head_mac(key, agent, method, path, headers).verify(&tag) {
         return Ok(());
     }
     Err(Rejected::Forged)
 }
 
-fn parse(headers: &HeaderMap) -> Option<(u32, [u8; TAG])> {
+fn parse_mac(headers: &HeaderMap) -> Option<(u32, [u8; TAG_LEN])> {
     let mut values = headers.get_all(MAC_HEADER).iter();
     let text = values.next()?.to_str().ok()?;
-    let plain = text.len() == 40 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    if !plain || values.next().is_some() {
+    let is_valid = text.len() == 40 && text.bytes().all(|b| b.is_ascii_hexdigit());
+    if !is_valid || values.next().is_some() {
         return None;
     }
     let id = u32::from_str_radix(&text[..8], 16).ok()?;
@@ -79,21 +79,27 @@
     Some((id, tag.to_be_bytes()))
 }
 
-fn code(key: &Key, agent: SocketAddr, method: &Method, path: &Uri, headers: &HeaderMap) -> Code {
-    let mut ours: Vec<(&str, &[u8])> = headers
+fn head_mac(
+    key: &Key,
+    agent: SocketAddr,
+    method: &Method,
+    path: &Uri,
+    headers: &HeaderMap,
+) -> MessageMac {
+    let mut signed: Vec<(&str, &[u8])> = headers
         .iter()
         .map(|(name, value)| (name.as_str(), value.as_bytes()))
-        .filter(|(name, _)| name.starts_with(OURS) && *name != MAC_HEADER.as_str())
+        .filter(|(name, _)| name.starts_with(SIGNED_PREFIX) && *name != MAC_HEADER.as_str())
         .collect();
     // Headers may be reordered on the way.
-    ours.sort_unstable();
+    signed.sort_unstable();
     let path = path.path_and_query().map_or("/", |p| p.as_str());
-    let start = Code::new(key, Channel::Head)
+    let start = MessageMac::new(key, Channel::RequestHead)
         .bytes(agent.to_string().as_bytes())
         .bytes(method.as_str().as_bytes())
         .bytes(path.as_bytes())
-        .number(ours.len() as u64);
-    ours.into_iter().fold(start, |code, (name, value)| {
+        .number(signed.len() as u64);
+    signed.into_iter().fold(start, |code, (name, value)| {
         code.bytes(name.as_bytes()).bytes(value)
     })
 }
