--- a/crates/peppercrank-wire/src/seal/keys.rs
+++ b/crates/peppercrank-wire/src/seal/keys.rs
@@ -13,10 +13,10 @@
 use super::Channel;
 
 /// Bytes of a message's code. Half of SHA-256's, as RFC 2104 allows; 2^128 guesses remain.
-pub(super) const TAG: usize = 16;
+pub(super) const TAG_LEN: usize = 16;
 
 /// The shortest secret, in bytes: as strong as the code that it makes.
-const LEAST_SECRET: usize = 16;
+const MIN_SECRET_BYTES: usize = 16;
 
 /// `Key` is one shared secret and the number that messages name it by.
 #[derive(Clone, PartialEq, Eq)]
@@ -29,22 +29,24 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyError {
     /// A secret is not hexadecimal.
-    Text(u32),
+    InvalidHex(u32),
     /// A secret is shorter than 16 bytes.
-    Short(u32),
+    SecretTooShort(u32),
     /// Two keys have one number.
-    Twice(u32),
+    DuplicateId(u32),
     /// There is no key of the number to sign with, or none at all.
-    Missing,
+    MissingKey,
 }
 
 impl fmt::Display for KeyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Text(id) => write!(f, "the secret of key {id} is not hexadecimal"),
-            Self::Short(id) => write!(f, "the secret of key {id} is shorter than 16 bytes"),
-            Self::Twice(id) => write!(f, "two keys have the number {id}"),
-            Self::Missing => f.write_str("there is no key to sign with"),
+            Self::InvalidHex(id) => write!(f, "the secret of key {id} is not hexadecimal"),
+            Self::SecretTooShort(id) => {
+                write!(f, "the secret of key {id} is shorter than 16 bytes")
+            }
+            Self::DuplicateId(id) => write!(f, "two keys have the number {id}"),
+            Self::MissingKey => f.write_str("there is no key to sign with"),
         }
     }
 }
@@ -56,10 +58,10 @@
     ///
     /// # Errors
     ///
-    /// Returns [`KeyError::Short`] for a secret of fewer than 16 bytes.
+    /// Returns [`KeyError::SecretTooShort`] for a secret of fewer than 16 bytes.
     pub fn new(id: u32, secret: &[u8]) -> Result<Self, KeyError> {
-        if secret.len() < LEAST_SECRET {
-            return Err(KeyError::Short(id));
+        if secret.len() < MIN_SECRET_BYTES {
+            return Err(KeyError::SecretTooShort(id));
         }
         let secret = secret.to_vec();
         Ok(Self { id, secret })
@@ -69,15 +71,15 @@
     ///
     /// # Errors
     ///
-    /// Returns [`KeyError::Text`] or [`KeyError::Short`].
+    /// Returns [`KeyError::InvalidHex`] or [`KeyError::SecretTooShort`].
     pub fn from_hex(id: u32, text: &str) -> Result<Self, KeyError> {
         let digits = text.as_bytes();
         let (pairs, rest) = digits.as_chunks::<2>();
         if !rest.is_empty() {
-            return Err(KeyError::Text(id));
+            return Err(KeyError::InvalidHex(id));
         }
-        let secret: Option<Vec<u8>> = pairs.iter().map(|p| byte(*p)).collect();
-        Self::new(id, &secret.ok_or(KeyError::Text(id))?)
+        let secret: Option<Vec<u8>> = pairs.iter().map(|p| decode_hex_byte(*p)).collect();
+        Self::new(id, &secret.ok_or(KeyError::InvalidHex(id))?)
     }
 
     /// `id` is the number that messages name the key by.
@@ -87,7 +89,7 @@
     }
 }
 
-fn byte([high, low]: [u8; 2]) -> Option<u8> {
+fn decode_hex_byte([high, low]: [u8; 2]) -> Option<u8> {
     let high = char::from(high).to_digit(16)?;
     let low = char::from(low).to_digit(16)?;
     u8::try_from(high * 16 + low).ok()
@@ -109,7 +111,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyRing {
     keys: Vec<Key>,
-    sign: usize,
+    signer: usize,
 }
 
 impl KeyRing {
@@ -117,31 +119,31 @@
     ///
     /// # Errors
     ///
-    /// Returns [`KeyError::Missing`] without a key, [`KeyError::Twice`] for a repeated number.
+    /// Returns [`KeyError::MissingKey`] without a key, [`KeyError::DuplicateId`] for a repeated number.
     pub fn new(mut keys: Vec<Key>) -> Result<Self, KeyError> {
         keys.sort_by_key(Key::id);
         for pair in keys.windows(2) {
             if pair[0].id == pair[1].id {
-                return Err(KeyError::Twice(pair[0].id));
+                return Err(KeyError::DuplicateId(pair[0].id));
             }
         }
-        let sign = keys.len().checked_sub(1).ok_or(KeyError::Missing)?;
-        Ok(Self { keys, sign })
+        let sign = keys.len().checked_sub(1).ok_or(KeyError::MissingKey)?;
+        Ok(Self { keys, signer: sign })
     }
 
     /// `signing_with` is the same ring, signing with the key of this number.
     ///
     /// # Errors
     ///
-    /// Returns [`KeyError::Missing`] when the ring holds no such key.
+    /// Returns [`KeyError::MissingKey`] when the ring holds no such key.
     pub fn signing_with(mut self, id: u32) -> Result<Self, KeyError> {
         let found = self.keys.iter().position(|k| k.id == id);
-        self.sign = found.ok_or(KeyError::Missing)?;
+        self.signer = found.ok_or(KeyError::MissingKey)?;
         Ok(self)
     }
 
     pub(super) fn signer(&self) -> &Key {
-        &self.keys[self.sign]
+        &self.keys[self.signer]
     }
 
     pub(super) fn find(&self, id: u32) -> Option<&Key> {
@@ -151,9 +153,9 @@
 
 /// `Code` computes one message's authentication code.
 #[derive(Debug)]
-pub(super) struct Code(Hmac<Sha256>);
+pub(super) struct MessageMac(Hmac<Sha256>);
 
-impl Code {
+impl MessageMac {
     pub(super) fn new(key: &Key, channel: Channel) -> Self {
         let mac = <Hmac<Sha256> as KeyInit>::new_from_slice(&key.secret);
         let code = Self(mac.expect("HMAC takes keys of every length"));
@@ -173,15 +175,15 @@
         code
     }
 
-    pub(super) fn tag(self) -> [u8; TAG] {
+    pub(super) fn tag(self) -> [u8; TAG_LEN] {
         let whole: [u8; 32] = self.0.finalize().into_bytes().into();
-        let mut tag = [0; TAG];
-        tag.copy_from_slice(&whole[..TAG]);
+        let mut tag = [0; TAG_LEN];
+        tag.copy_from_slice(&whole[..TAG_LEN]);
         tag
     }
 
     /// Compares in constant time.
-    pub(super) fn matches(self, tag: &[u8; TAG]) -> bool {
+    pub(super) fn verify(self, tag: &[u8; TAG_LEN]) -> bool {
         self.0.verify_truncated_left(tag).is_ok()
     }
 }
--- a/crates/peppercrank-wire/src/seal/mod.rs
+++ b/crates/peppercrank-wire/src/seal/mod.rs
@@ -1,10 +1,10 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Authentication of the messages between our own processes.
+//! Authentication of messages between processes of the fleet.
 //!
-//! It has no input or output of its own: keys, boot numbers and messages are passed in. A sealed
-//! message names its key, its sender, the sender's boot and a counter, and carries a truncated
+//! This module performs no input or output; keys, boot numbers and messages are passed in. A sealed
+//! message carries a key id, a sender, the boot number of the sender, a counter, and a truncated
 //! HMAC-SHA256 over all of these, the channel, the audience and the payload.
 //!
 //! # Examples
@@ -39,10 +39,10 @@
 mod sealer;
 mod window;
 
-pub use bearer::Bearers;
+pub use bearer::BearerTokens;
 pub use head::MAC_HEADER;
-pub use head::check_head;
 pub use head::sign_head;
+pub use head::verify_head;
 pub use keys::Key;
 pub use keys::KeyError;
 pub use keys::KeyRing;
@@ -50,7 +50,7 @@
 pub use opener::Opener;
 pub use opener::Rejected;
 pub use sealer::Identity;
-pub use sealer::OVERHEAD;
+pub use sealer::SEAL_OVERHEAD;
 pub use sealer::Sealer;
 pub use sealer::SenderId;
 
@@ -60,11 +60,11 @@
     /// A gossip datagram.
     Datagram,
     /// A control call.
-    Ask,
+    ControlRequest,
     /// The answer to a control call.
-    Told,
+    ControlResponse,
     /// The head of a request from a router to an agent.
-    Head,
+    RequestHead,
 }
 
 impl Channel {
@@ -72,9 +72,9 @@
     const fn byte(self) -> u8 {
         match self {
             Self::Datagram => 1,
-            Self::Ask => 2,
-            Self::Told => 3,
-            Self::Head => 4,
+            Self::ControlRequest => 2,
+            Self::ControlResponse => 3,
+            Self::RequestHead => 4,
         }
     }
 }
--- a/crates/peppercrank-wire/src/seal/opener.rs
+++ b/crates/peppercrank-wire/src/seal/opener.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The receiving side: messages opened once each, or rejected with the reason.
+//! The receiving side: opens each message once, or rejects it with a reason.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -10,16 +10,16 @@
 use serde::Serialize;
 
 use super::Channel;
-use super::keys::Code;
 use super::keys::KeyRing;
+use super::keys::MessageMac;
 use super::sealer::Envelope;
 use super::sealer::SenderId;
-use super::window::Place;
-use super::window::Window;
+use super::window::CounterStatus;
+use super::window::ReplayWindow;
 
 macro_rules! rejected {
     ($($(#[$doc:meta])* $variant:ident $code:literal,)*) => {
-        /// `Rejected` is why a message was not opened.
+        /// Why a message was rejected.
         #[derive(
             Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
         )]
@@ -28,10 +28,10 @@
         }
 
         impl Rejected {
-            /// All reasons, in the order of their definition.
+            /// All reasons in the order of their definition.
             pub const ALL: &[Self] = &[$(Self::$variant,)*];
 
-            /// `code` is the stable code of the reason in metrics.
+            /// Returns the stable code of the reason in metrics.
             #[must_use]
             pub const fn code(self) -> &'static str {
                 match self {
@@ -45,15 +45,16 @@
 rejected! {
     /// The bytes are not a sealed message.
     Malformed "malformed",
-    /// The key that it names is not on the ring.
+    /// The key ring has no key with the id in the message.
     UnknownKey "unknown_key",
-    /// The code does not match: forged, altered, or meant for another audience.
+    /// The code does not match; the message was forged, altered or meant for another audience.
     Forged "forged",
-    /// It came before.
+    /// The message was received before.
     Replayed "replayed",
-    /// It is too far behind its sender's newest to tell whether it came before.
+    /// The counter is too far behind the sender's latest to tell whether the message was received
+    /// before.
     TooOld "too_old",
-    /// Its sender has started anew since.
+    /// The sender has restarted since it sealed the message.
     OldBoot "old_boot",
 }
 
@@ -65,86 +66,87 @@
 
 impl std::error::Error for Rejected {}
 
-/// `Opened` is an authentic message that came for the first time.
+/// An authentic message that was received for the first time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Opened<'a> {
-    /// Who sealed it.
+    /// The sender of the message.
     pub sender: SenderId,
-    /// The sender's boot.
+    /// The boot number of the sender.
     pub boot: u64,
-    /// The message's counter within that boot.
+    /// The counter of the message within this boot.
     pub counter: u64,
-    /// What was sealed.
+    /// The authenticated payload.
     pub payload: &'a [u8],
 }
 
-/// `Opener` opens the messages of one channel that are meant for one process.
+/// Opens the messages of a channel that are addressed to one process.
 ///
-/// It remembers each sender's newest boot and counters, for at most as many senders as it was made
-/// for. Only holders of a key can take up that room; past it the longest silent is forgotten.
+/// It stores the latest boot number and a replay window per sender, for a bounded number of
+/// senders. Only holders of a key can use up that space; beyond the bound, the sender that was
+/// silent the longest is evicted.
 #[derive(Debug)]
 pub struct Opener {
     channel: Channel,
     ring: KeyRing,
-    room: usize,
-    /// Grows with each message opened, to find the longest silent.
-    clock: u64,
-    senders: HashMap<SenderId, (u64, Window)>,
+    max_senders: usize,
+    /// Incremented with each opened message, to find the sender that was silent the longest.
+    logical_clock: u64,
+    senders: HashMap<SenderId, (u64, ReplayWindow)>,
     rejected: [u64; Rejected::ALL.len()],
 }
 
 impl Opener {
-    /// `new` makes an opener that remembers up to `room` senders.
+    /// Creates an opener that remembers up to `max_senders` senders.
     #[must_use]
-    pub fn new(channel: Channel, ring: KeyRing, room: usize) -> Self {
+    pub fn new(channel: Channel, ring: KeyRing, max_senders: usize) -> Self {
         Self {
             channel,
             ring,
-            room: room.max(1),
-            clock: 0,
+            max_senders: max_senders.max(1),
+            logical_clock: 0,
             senders: HashMap::new(),
             rejected: [0; Rejected::ALL.len()],
         }
     }
 
-    /// `rotate` puts another ring in place of the present one; what was seen stays known.
+    /// Replaces the key ring; the replay state is kept.
     pub fn rotate(&mut self, ring: KeyRing) {
         self.ring = ring;
     }
 
-    /// `rejected` is how many messages were rejected for a reason.
+    /// Returns the number of messages rejected for `reason`.
     #[must_use]
     pub const fn rejected(&self, reason: Rejected) -> u64 {
         self.rejected[reason as usize]
     }
 
-    /// `senders` is how many senders are remembered.
+    /// Returns the number of remembered senders.
     #[must_use]
     pub fn senders(&self) -> usize {
         self.senders.len()
     }
 
-    /// `open` checks and opens a message meant for `audience`.
+    /// Verifies and opens a message addressed to `audience`.
     ///
     /// # Errors
     ///
-    /// Returns why the message is rejected, and counts it.
+    /// Returns the reason if the message is rejected, and counts it.
     pub fn open<'a>(&mut self, audience: &[u8], bytes: &'a [u8]) -> Result<Opened<'a>, Rejected> {
         let opened = verify(&self.ring, self.channel, audience, bytes);
-        let opened = opened.and_then(|o| self.first(&o).map(|()| o));
+        let opened = opened.and_then(|o| self.check_replay(&o).map(|()| o));
         if let Err(reason) = opened {
             self.reject(reason);
         }
         opened
     }
 
-    /// `open_once` opens a message whose audience is a call that is answered once.
+    /// Opens a message whose audience is a single call, such as the response to it.
     ///
-    /// The audience makes a replay impossible, so nothing is remembered of its sender.
+    /// The audience prevents replays, so no replay state is stored for the sender.
     ///
     /// # Errors
     ///
-    /// Returns why the message is rejected, and counts it.
+    /// Returns the reason if the message is rejected, and counts it.
     pub fn open_once<'a>(
         &mut self,
         audience: &[u8],
@@ -157,48 +159,51 @@
         opened
     }
 
-    /// Counts a message that its reader rejects.
+    /// Counts a message that the caller of the opener rejected.
     pub(crate) const fn reject(&mut self, reason: Rejected) {
         self.rejected[reason as usize] += 1;
     }
 
-    /// Notes an authentic message, which must be its sender's newest boot's and new.
-    fn first(&mut self, opened: &Opened<'_>) -> Result<(), Rejected> {
-        self.clock += 1;
-        let clock = self.clock;
-        let Some((heard, window)) = self.senders.get_mut(&opened.sender) else {
-            self.make_room();
-            let window = Window::new(opened.boot, opened.counter);
+    /// Rejects replays and messages of earlier boots, and records the others.
+    fn check_replay(&mut self, opened: &Opened<'_>) -> Result<(), Rejected> {
+        self.logical_clock += 1;
+        let clock = self.logical_clock;
+        let Some((last_heard, window)) = self.senders.get_mut(&opened.sender) else {
+            self.evict_longest_silent();
+            let window = ReplayWindow::new(opened.boot, opened.counter);
             self.senders.insert(opened.sender, (clock, window));
             return Ok(());
         };
         if opened.boot < window.boot {
             return Err(Rejected::OldBoot);
         }
-        *heard = clock;
+        *last_heard = clock;
         if opened.boot > window.boot {
-            *window = Window::new(opened.boot, opened.counter);
+            *window = ReplayWindow::new(opened.boot, opened.counter);
             return Ok(());
         }
-        match window.note(opened.counter) {
-            Place::Fresh => Ok(()),
-            Place::Seen => Err(Rejected::Replayed),
-            Place::TooOld => Err(Rejected::TooOld),
+        match window.record(opened.counter) {
+            CounterStatus::Fresh => Ok(()),
+            CounterStatus::Seen => Err(Rejected::Replayed),
+            CounterStatus::TooOld => Err(Rejected::TooOld),
         }
     }
 
-    fn make_room(&mut self) {
-        if self.senders.len() < self.room {
+    fn evict_longest_silent(&mut self) {
+        if self.senders.len() < self.max_senders {
             return;
         }
-        let oldest = self.senders.iter().min_by_key(|(_, (heard, _))| *heard);
+        let oldest = self
+            .senders
+            .iter()
+            .min_by_key(|(_, (last_heard, _))| *last_heard);
         if let Some(sender) = oldest.map(|(s, _)| *s) {
             self.senders.remove(&sender);
         }
     }
 }
 
-/// Checks everything about a message that needs no memory.
+/// Performs all checks of a message that do not depend on earlier messages.
 fn verify<'a>(
     ring: &KeyRing,
     channel: Channel,
@@ -209,8 +214,8 @@
         return Err(Rejected::Malformed);
     };
     let key = ring.find(envelope.key).ok_or(Rejected::UnknownKey)?;
-    let code = Code::new(key, channel);
-    if !envelope.code(code, audience).matches(&envelope.tag) {
+    let code = MessageMac::new(key, channel);
+    if !envelope.update_mac(code, audience).verify(&envelope.tag) {
         return Err(Rejected::Forged);
     }
     Ok(Opened {
--- a/crates/peppercrank-wire/src/seal/sealer.rs
+++ b/crates/peppercrank-wire/src/seal/sealer.rs
@@ -9,12 +9,12 @@
 use serde::Serialize;
 
 use super::Channel;
-use super::keys::Code;
 use super::keys::KeyRing;
-use super::keys::TAG;
+use super::keys::MessageMac;
+use super::keys::TAG_LEN;
 
 /// The most bytes that sealing adds: key 5, sender 8, boot 10, counter 10, length 3, code 16.
-pub const OVERHEAD: usize = 52;
+pub const SEAL_OVERHEAD: usize = 52;
 
 /// `SenderId` stands for the process that sealed a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
 impl SenderId {
     /// `of` is the id of the process on a VM.
     #[must_use]
-    pub fn of(vm: &VmName) -> Self {
+    pub fn for_vm(vm: &VmName) -> Self {
         Self(hash64(0, vm.as_str().as_bytes()))
     }
 }
@@ -47,12 +47,12 @@
     pub(super) boot: u64,
     pub(super) counter: u64,
     pub(super) payload: &'a [u8],
-    pub(super) tag: [u8; TAG],
+    pub(super) tag: [u8; TAG_LEN],
 }
 
 impl Envelope<'_> {
     /// The code over everything that the envelope claims.
-    pub(super) fn code(&self, code: Code, audience: &[u8]) -> Code {
+    pub(super) fn update_mac(&self, code: MessageMac, audience: &[u8]) -> MessageMac {
         code.number(self.sender)
             .number(self.boot)
             .number(self.counter)
@@ -101,10 +101,10 @@
             boot: self.identity.boot,
             counter: self.counter,
             payload,
-            tag: [0; TAG],
+            tag: [0; TAG_LEN],
         };
-        let code = Code::new(key, self.channel);
-        envelope.tag = envelope.code(code, audience).tag();
+        let code = MessageMac::new(key, self.channel);
+        envelope.tag = envelope.update_mac(code, audience).tag();
         let bytes = postcard::to_stdvec(&envelope);
         (self.counter, bytes.expect("plain fields always encode"))
     }
--- a/crates/peppercrank-wire/src/traffic.rs
+++ b/crates/peppercrank-wire/src/traffic.rs
@@ -10,7 +10,7 @@
 
 /// `Volume` is what one kind of message came to.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Volume {
+pub struct TrafficCounts {
     /// Messages sent.
     pub sent: u64,
     /// Bytes sent.
@@ -23,19 +23,19 @@
 
 /// `Traffic` counts control messages and their bytes by kind.
 #[derive(Debug, Default)]
-pub struct Traffic(Mutex<BTreeMap<&'static str, Volume>>);
+pub struct Traffic(Mutex<BTreeMap<&'static str, TrafficCounts>>);
 
 impl Traffic {
     /// `volumes` are the counts of each kind so far.
     #[must_use]
-    pub fn volumes(&self) -> BTreeMap<&'static str, Volume> {
+    pub fn by_kind(&self) -> BTreeMap<&'static str, TrafficCounts> {
         self.kinds().clone()
     }
 
     /// `total` is the sum over all kinds.
     #[must_use]
-    pub fn total(&self) -> Volume {
-        let mut total = Volume::default();
+    pub fn total(&self) -> TrafficCounts {
+        let mut total = TrafficCounts::default();
         for volume in self.kinds().values() {
             total.sent += volume.sent;
             total.sent_bytes += volume.sent_bytes;
@@ -59,7 +59,7 @@
         volume.received_bytes += bytes as u64;
     }
 
-    fn kinds(&self) -> MutexGuard<'_, BTreeMap<&'static str, Volume>> {
+    fn kinds(&self) -> MutexGuard<'_, BTreeMap<&'static str, TrafficCounts>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/peppercrank-wire/tests/support/edge.rs
+++ b/crates/peppercrank-wire/tests/support/edge.rs
@@ -11,9 +11,9 @@
 use peppercrank_wire::edge::Call;
 use peppercrank_wire::edge::Counters;
 use peppercrank_wire::edge::Edge;
-use peppercrank_wire::edge::Finished;
 use peppercrank_wire::edge::Limits;
 use peppercrank_wire::edge::Reply;
+use peppercrank_wire::edge::ServeSummary;
 use peppercrank_wire::edge::refuse_body;
 use peppercrank_wire::stop::Stopper;
 use peppercrank_wire::stop::stop;
@@ -24,7 +24,7 @@
     pub address: SocketAddr,
     pub counters: Arc<Counters>,
     pub stopper: Stopper,
-    pub ended: JoinHandle<Finished>,
+    pub ended: JoinHandle<ServeSummary>,
 }
 
 /// Starts an edge on a free port.
@@ -62,7 +62,7 @@
 
 impl Running {
     /// Tells the edge to stop and waits for its end.
-    pub async fn stop(self) -> Finished {
+    pub async fn stop(self) -> ServeSummary {
         self.stopper.stop();
         self.ended.await.expect("an edge that ends")
     }
--- a/crates/peppercrank-wire/tests/verify_client.rs
+++ b/crates/peppercrank-wire/tests/verify_client.rs
@@ -20,12 +20,12 @@
 use peppercrank_wire::body;
 use peppercrank_wire::client::Cause;
 use peppercrank_wire::client::Client;
+use peppercrank_wire::client::ClientConfig;
 use peppercrank_wire::client::Count;
 use peppercrank_wire::client::Framing;
 use peppercrank_wire::client::Reuse;
 use peppercrank_wire::client::SendError;
-use peppercrank_wire::client::Times;
-use peppercrank_wire::headers::strip;
+use peppercrank_wire::headers::strip_hop_by_hop;
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
@@ -80,11 +80,11 @@
 
 #[tokio::test]
 async fn verify_fates() {
-    let short = Times {
+    let short = ClientConfig {
         first_byte: Duration::from_millis(300),
-        ..Times::default()
+        ..ClientConfig::default()
     };
-    let long = Times::default();
+    let long = ClientConfig::default();
     let endless = format!("HTTP/1.1 200 OK\r\na: {}", "a".repeat(200_000));
     let endless: &str = Box::leak(endless.into_boxed_str());
     let cases = [
@@ -121,7 +121,7 @@
     let listener = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     let to = listener.local_addr().expect("an address");
     drop(listener);
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     let sent = client.send(to, get("/"), Reuse::Allowed).await;
     let refused = SendError::NotSent(Cause::Connect(io::ErrorKind::ConnectionRefused));
     assert_eq!(sent.expect_err("no answer"), refused);
@@ -130,16 +130,19 @@
 
 #[tokio::test]
 async fn verify_connections_that_are_being_made_are_counted_to_their_end() {
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     assert_eq!(
-        (client.openings().count(), client.openings().last()),
+        (
+            client.pending_connections().count(),
+            client.pending_connections().last_established()
+        ),
         (0, None)
     );
     let (address, played) = play(vec![Script::Answer(GOOD)]).await;
     let answer = client.send(address, get("/"), Reuse::Never).await;
     let _whole = answer.expect("an answer");
     played.await.expect("a server");
-    let made = client.openings().last();
+    let made = client.pending_connections().last_established();
     assert!(made.is_some());
     // One that fails, and one that nobody waits for any more, count no longer and were not made.
     let failed = client.send(address, get("/"), Reuse::Never).await;
@@ -147,7 +150,10 @@
     let given_up = timeout(Duration::ZERO, client.send(address, get("/"), Reuse::Never)).await;
     assert!(!given_up.is_ok_and(|sent| sent.is_ok()));
     assert_eq!(
-        (client.openings().count(), client.openings().last()),
+        (
+            client.pending_connections().count(),
+            client.pending_connections().last_established()
+        ),
         (0, made)
     );
 }
@@ -158,7 +164,7 @@
     let (feed, body) = body::channel(1);
     drop(feed);
     let request = Request::post("/").body(body).expect("a good path");
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     let sent = client.send(to, request, Reuse::Allowed).await;
     assert_eq!(
         sent.expect_err("no answer"),
@@ -169,20 +175,20 @@
 
 #[tokio::test]
 async fn verify_bodies() {
-    let times = Times {
+    let times = ClientConfig {
         idle: Duration::from_millis(300),
-        ..Times::default()
+        ..ClientConfig::default()
     };
     let cases = [
         (Script::Keep(GOOD), Ok("good"), Framing::Length),
         (
             Script::Answer(&GOOD[..GOOD.len() - 1]),
-            Err(Error::AnswerCut),
+            Err(Error::ResponseCut),
             Framing::Length,
         ),
         (
             Script::Keep(&GOOD[..GOOD.len() - 1]),
-            Err(Error::AnswerIdle),
+            Err(Error::ResponseIdle),
             Framing::Length,
         ),
         (
@@ -194,12 +200,12 @@
         ),
         (
             Script::Answer("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\ngood\r\n"),
-            Err(Error::AnswerCut),
+            Err(Error::ResponseCut),
             Framing::Chunked,
         ),
         (
             Script::Answer("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nxx\r\n"),
-            Err(Error::AnswerCut),
+            Err(Error::ResponseCut),
             Framing::Chunked,
         ),
         // Nobody can tell whether this is whole, so its framing says so.
@@ -247,13 +253,16 @@
     ];
     for (first, wait) in cases {
         let (to, played) = play(vec![first, Script::Keep(GOOD)]).await;
-        let client = Client::new(Times::default());
+        let client = Client::new(ClientConfig::default());
         for _ in 0..2 {
             let sent = client.send(to, get("/"), Reuse::Allowed).await;
             let body = sent.expect("an answer").into_body();
             assert_eq!(text(body).await.as_deref(), Ok("good"), "{first:?}");
             // A close comes when it comes; the other cases must hold at once.
-            while wait && client.counters().get(Count::Connected) == 1 && client.kept() > 0 {
+            while wait
+                && client.counters().get(Count::Connected) == 1
+                && client.idle_connections() > 0
+            {
                 tokio::task::yield_now().await;
             }
         }
@@ -266,9 +275,9 @@
 #[tokio::test]
 async fn verify_kept_connections() {
     let (to, played) = play(vec![Script::Keep(GOOD), Script::Keep(BAD)]).await;
-    let client = Client::new(Times {
+    let client = Client::new(ClientConfig {
         keep: Duration::ZERO,
-        ..Times::default()
+        ..ClientConfig::default()
     });
     for expected in ["good", "bad"] {
         // Kept too long to be trusted.
@@ -318,9 +327,9 @@
     for unread in [endless, body::full(vec![b'x'; LONG])] {
         let (to, answering) = answer_early();
         // Whoever waits for the long request waits until the test is given up.
-        let client = Client::new(Times {
+        let client = Client::new(ClientConfig {
             connect: GIVEN_UP * 2,
-            ..Times::default()
+            ..ClientConfig::default()
         });
         let long = Request::post("/").body(unread).expect("a request");
         let sending = async {
@@ -372,7 +381,7 @@
             let name = HeaderName::from_bytes(name.as_bytes()).expect("a name");
             headers.append(name, HeaderValue::from_str(value).expect("a value"));
         }
-        strip(&mut headers);
+        strip_hop_by_hop(&mut headers);
         let names: Vec<_> = headers.keys().map(HeaderName::as_str).collect();
         assert_eq!(names, left, "{given:?}");
     }
--- a/crates/peppercrank-wire/tests/verify_control.rs
+++ b/crates/peppercrank-wire/tests/verify_control.rs
@@ -8,15 +8,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use peppercrank_wire::control::Ask;
 use peppercrank_wire::control::ControlClient;
+use peppercrank_wire::control::ControlClientConfig;
+use peppercrank_wire::control::ControlCodec;
 use peppercrank_wire::control::ControlError;
 use peppercrank_wire::control::ControlLimits;
+use peppercrank_wire::control::ControlRequest;
+use peppercrank_wire::control::ControlResponse;
 use peppercrank_wire::control::ControlServer;
-use peppercrank_wire::control::ControlTimes;
-use peppercrank_wire::control::Desk;
 use peppercrank_wire::control::Order;
-use peppercrank_wire::control::Told;
 use peppercrank_wire::seal::Identity;
 use peppercrank_wire::seal::Key;
 use peppercrank_wire::seal::KeyRing;
@@ -35,7 +35,7 @@
 
 struct Running {
     address: SocketAddr,
-    desk: Arc<Desk>,
+    desk: Arc<ControlCodec>,
     stopper: Stopper,
     ended: JoinHandle<()>,
     dropped: mpsc::UnboundedReceiver<()>,
@@ -68,7 +68,7 @@
     let server = ControlServer::bind(at, None, identity(1), ring(1), limits).await;
     let server = server.expect("a free port");
     let address = server.address();
-    let desk = server.desk();
+    let desk = server.codec();
     let (stopper, stop) = stop();
     let (tell, dropped) = mpsc::unbounded_channel();
     let ended = tokio::spawn(server.serve(stop, move |from, ask| answer(from, ask, tell.clone())));
@@ -81,17 +81,23 @@
     }
 }
 
-async fn answer(from: SenderId, ask: Ask, tell: mpsc::UnboundedSender<()>) -> Told {
+async fn answer(
+    from: SenderId,
+    ask: ControlRequest,
+    tell: mpsc::UnboundedSender<()>,
+) -> ControlResponse {
     assert_eq!(from, SenderId(2));
     match ask {
-        Ask::Config(message) if message == ENDLESS => {
+        ControlRequest::Config(message) if message == ENDLESS => {
             let _told = Dropped(tell);
             std::future::pending().await
         }
-        Ask::Config(message) if message == CROSSED => Told::Order(String::new()),
-        Ask::Config(_) => Told::Received,
+        ControlRequest::Config(message) if message == CROSSED => {
+            ControlResponse::Order(String::new())
+        }
+        ControlRequest::Config(_) => ControlResponse::Received,
         // The answer is three times as long as the order.
-        Ask::Order(order) => Told::Order(order.order.repeat(3)),
+        ControlRequest::Order(order) => ControlResponse::Order(order.order.repeat(3)),
     }
 }
 
@@ -105,21 +111,24 @@
     }
 }
 
-fn client(ring: KeyRing, times: ControlTimes) -> ControlClient {
+fn client(ring: KeyRing, times: ControlClientConfig) -> ControlClient {
     ControlClient::new(identity(2), ring, times)
 }
 
 #[tokio::test]
 async fn verify_calls_and_counts() {
     let running = start(FREE, ControlLimits::default()).await;
-    let client = client(ring(1), ControlTimes::default());
+    let client = client(ring(1), ControlClientConfig::default());
     let to = running.address;
-    assert_eq!(client.config(to, PLAIN.to_vec()).await, Ok(()));
-    assert_eq!(client.order(to, order("{}")).await, Ok("{}{}{}".to_owned()));
-    let crossed = client.config(to, CROSSED.to_vec()).await;
+    assert_eq!(client.send_config(to, PLAIN.to_vec()).await, Ok(()));
+    assert_eq!(
+        client.send_order(to, order("{}")).await,
+        Ok("{}{}{}".to_owned())
+    );
+    let crossed = client.send_config(to, CROSSED.to_vec()).await;
     assert_eq!(crossed, Err(ControlError::Unexpected));
-    let sent = client.desk().traffic().volumes();
-    let received = running.desk.traffic().volumes();
+    let sent = client.codec().traffic().by_kind();
+    let received = running.desk.traffic().by_kind();
     for (kind, calls) in [("config", 2), ("order", 1)] {
         assert_eq!(
             (sent[kind].sent, sent[kind].received),
@@ -135,21 +144,21 @@
             "{kind}"
         );
     }
-    let (sent, received) = client.desk().carried();
-    assert_eq!(running.desk.carried(), (received, sent));
-    assert!(sent > client.desk().traffic().total().sent_bytes);
+    let (sent, received) = client.codec().bytes_transferred();
+    assert_eq!(running.desk.bytes_transferred(), (received, sent));
+    assert!(sent > client.codec().traffic().total().sent_bytes);
 }
 
 #[tokio::test]
 async fn verify_deadline_ends_both_sides() {
     let mut running = start(FREE, ControlLimits::default()).await;
-    let times = ControlTimes {
+    let times = ControlClientConfig {
         call: Duration::from_millis(800),
-        ..ControlTimes::default()
+        ..ControlClientConfig::default()
     };
     let client = client(ring(1), times);
     assert_eq!(
-        client.config(running.address, ENDLESS.to_vec()).await,
+        client.send_config(running.address, ENDLESS.to_vec()).await,
         Err(ControlError::Timeout)
     );
     running.dropped.recv().await.expect("the call dropped");
@@ -160,13 +169,13 @@
     let mut running = start(FREE, ControlLimits::default()).await;
     // Far beyond what the test may take, so that the deadline is not what ends the call.
     let call = Duration::from_secs(600);
-    let times = ControlTimes {
+    let times = ControlClientConfig {
         call,
-        ..ControlTimes::default()
+        ..ControlClientConfig::default()
     };
     let client = client(ring(1), times);
-    let mut asking = Box::pin(client.config(running.address, ENDLESS.to_vec()));
-    while !running.desk.traffic().volumes().contains_key("config") {
+    let mut asking = Box::pin(client.send_config(running.address, ENDLESS.to_vec()));
+    while !running.desk.traffic().by_kind().contains_key("config") {
         assert!(futures::poll!(&mut asking).is_pending());
         tokio::task::yield_now().await;
     }
@@ -177,17 +186,17 @@
 #[tokio::test]
 async fn verify_strangers_are_refused() {
     let running = start(FREE, ControlLimits::default()).await;
-    let stranger = client(ring(2), ControlTimes::default());
+    let stranger = client(ring(2), ControlClientConfig::default());
     let refused = ControlError::Refused(Rejected::UnknownKey);
     assert_eq!(
-        stranger.config(running.address, PLAIN.to_vec()).await,
+        stranger.send_config(running.address, PLAIN.to_vec()).await,
         Err(refused)
     );
     assert_eq!(running.desk.rejected(Rejected::UnknownKey), 1);
     // The keys are rotated while the server runs.
     running.desk.rotate(&ring(2));
     assert_eq!(
-        stranger.config(running.address, PLAIN.to_vec()).await,
+        stranger.send_config(running.address, PLAIN.to_vec()).await,
         Ok(())
     );
 }
@@ -201,11 +210,14 @@
     assert_eq!(server.address(), elsewhere);
     let local = server.local_addr();
     let (_stopper, stop) = stop();
-    tokio::spawn(server.serve(stop, |_, _| async { Told::Received }));
+    tokio::spawn(server.serve(stop, |_, _| async { ControlResponse::Received }));
     // As when a call is taken on its way to one process and sent to another.
-    let client = client(ring(1), ControlTimes::default());
+    let client = client(ring(1), ControlClientConfig::default());
     let refused = ControlError::Refused(Rejected::Forged);
-    assert_eq!(client.config(local, PLAIN.to_vec()).await, Err(refused));
+    assert_eq!(
+        client.send_config(local, PLAIN.to_vec()).await,
+        Err(refused)
+    );
 }
 
 #[tokio::test]
@@ -233,8 +245,11 @@
         // The server closes by itself, cleanly or by a reset.
         let _closed = io.read_to_end(&mut Vec::new()).await;
     }
-    let client = client(ring(1), ControlTimes::default());
-    assert_eq!(client.config(running.address, PLAIN.to_vec()).await, Ok(()));
+    let client = client(ring(1), ControlClientConfig::default());
+    assert_eq!(
+        client.send_config(running.address, PLAIN.to_vec()).await,
+        Ok(())
+    );
 }
 
 #[tokio::test]
@@ -249,20 +264,23 @@
     .await;
     let client = client(
         ring(1),
-        ControlTimes {
+        ControlClientConfig {
             frame: 2_000,
-            ..ControlTimes::default()
+            ..ControlClientConfig::default()
         },
     );
     let order_of = |length| order(&"x".repeat(length));
     assert_eq!(
-        client.order(running.address, order_of(2_000)).await,
-        Err(ControlError::TooBig)
+        client.send_order(running.address, order_of(2_000)).await,
+        Err(ControlError::TooLarge)
     );
     // Fits when asked, but not when told.
-    let ordering = client.order(running.address, order_of(1_000)).await;
-    assert_eq!(ordering, Err(ControlError::TooBig));
-    assert_eq!(client.config(running.address, PLAIN.to_vec()).await, Ok(()));
+    let ordering = client.send_order(running.address, order_of(1_000)).await;
+    assert_eq!(ordering, Err(ControlError::TooLarge));
+    assert_eq!(
+        client.send_config(running.address, PLAIN.to_vec()).await,
+        Ok(())
+    );
 }
 
 #[tokio::test]
@@ -290,24 +308,24 @@
     let gate = Arc::new(Semaphore::new(0));
     let held = Arc::clone(&gate);
     let (stopper, stop) = stop();
-    let desk = server.desk();
+    let desk = server.codec();
     let ended = tokio::spawn(server.serve(stop, move |_, _| {
         let held = Arc::clone(&held);
         async move {
             held.acquire().await.expect("an open gate").forget();
             // Longer than what a socket takes at once.
-            Told::Order("x".repeat(3_000_000))
+            ControlResponse::Order("x".repeat(3_000_000))
         }
     }));
     let call = Duration::from_secs(60);
-    let times = ControlTimes {
+    let times = ControlClientConfig {
         call,
-        ..ControlTimes::default()
+        ..ControlClientConfig::default()
     };
     let client = client(ring(1), times);
     let asking = tokio::spawn({
         let client = client.clone();
-        async move { client.order(address, order("{}")).await }
+        async move { client.send_order(address, order("{}")).await }
     });
     while desk.traffic().total().received == 0 {
         tokio::task::yield_now().await;
@@ -324,12 +342,12 @@
 async fn verify_restart_is_survived() {
     let running = start(FREE, ControlLimits::default()).await;
     let address = running.address;
-    let client = client(ring(1), ControlTimes::default());
-    assert_eq!(client.config(address, PLAIN.to_vec()).await, Ok(()));
+    let client = client(ring(1), ControlClientConfig::default());
+    assert_eq!(client.send_config(address, PLAIN.to_vec()).await, Ok(()));
     running.stopper.stop();
     running.ended.await.expect("an end");
-    let gone = client.config(address, PLAIN.to_vec()).await;
+    let gone = client.send_config(address, PLAIN.to_vec()).await;
     assert!(matches!(gone, Err(ControlError::Connect(_))), "{gone:?}");
     let _again = start(address, ControlLimits::default()).await;
-    assert_eq!(client.config(address, PLAIN.to_vec()).await, Ok(()));
+    assert_eq!(client.send_config(address, PLAIN.to_vec()).await, Ok(()));
 }
--- a/crates/peppercrank-wire/tests/verify_datagram.rs
+++ b/crates/peppercrank-wire/tests/verify_datagram.rs
@@ -6,10 +6,10 @@
 use std::net::Ipv4Addr;
 
 use peppercrank_wire::Error;
+use peppercrank_wire::datagram::DatagramConfig;
 use peppercrank_wire::datagram::Datagrams;
 use peppercrank_wire::datagram::MAX_DATAGRAM;
 use peppercrank_wire::datagram::MAX_MESSAGE;
-use peppercrank_wire::datagram::Place;
 use peppercrank_wire::seal::Identity;
 use peppercrank_wire::seal::Key;
 use peppercrank_wire::seal::KeyRing;
@@ -22,14 +22,14 @@
 }
 
 async fn socket(sender: u64, ring: KeyRing) -> Datagrams<Vec<u8>> {
-    let place = Place {
+    let place = DatagramConfig {
         bind: (Ipv4Addr::LOCALHOST, 0).into(),
         advertised: None,
         identity: Identity {
             sender: SenderId(sender),
             boot: 1,
         },
-        room: 16,
+        max_senders: 16,
     };
     let bound = Datagrams::bind(place, ring, |_| "bytes").await;
     bound.expect("a free port")
@@ -45,7 +45,7 @@
     assert_eq!((received.sender, received.from), (SenderId(1), a.address()));
     assert_eq!(received.message, longest);
     assert_eq!(a.traffic().total().sent_bytes, bytes as u64);
-    assert_eq!(b.traffic().volumes()["bytes"].received_bytes, bytes as u64);
+    assert_eq!(b.traffic().by_kind()["bytes"].received_bytes, bytes as u64);
     let too_big = a.send(b.address(), &vec![3; MAX_MESSAGE]).await;
     assert!(matches!(too_big, Err(Error::MessageTooBig { .. })));
 }
@@ -77,7 +77,7 @@
     for reason in [Rejected::UnknownKey, Rejected::Malformed, Rejected::Forged] {
         assert_eq!(b.rejected(reason), 1, "{reason}");
     }
-    assert_eq!(b.traffic().volumes()["rejected"].received, 3);
+    assert_eq!(b.traffic().by_kind()["rejected"].received, 3);
     b.rotate(&ring(2));
     stranger.send(b.address(), &vec![5]).await.expect("sent");
     assert_eq!(b.receive().await.message, vec![5]);
--- a/crates/peppercrank-wire/tests/verify_pages.rs
+++ b/crates/peppercrank-wire/tests/verify_pages.rs
@@ -11,17 +11,17 @@
 
 use peppercrank_wire::pages::Page;
 use peppercrank_wire::pages::Pages;
-use peppercrank_wire::pages::Serving;
-use peppercrank_wire::seal::Bearers;
+use peppercrank_wire::pages::PagesServer;
+use peppercrank_wire::seal::BearerTokens;
 
-fn start() -> Serving {
+fn start() -> PagesServer {
     let pages = Pages {
         metrics: Box::new(|| Page::metrics("up 1\n# EOF\n".to_owned())),
         healthz: Box::new(|| panic!("a fault of the page's source")),
         readyz: Box::new(|| Page::text(503, "starting\n")),
         status: Box::new(|| Page::json(200, "{}".to_owned())),
         objects: Box::new(|rest| Page::json(200, format!("\"{rest}\""))),
-        bearers: Some(Bearers::new(["token-1"])),
+        tokens: Some(BearerTokens::new(["token-1"])),
     };
     let served = pages.serve((Ipv4Addr::LOCALHOST, 0).into(), 2);
     served.expect("a free port")
--- a/crates/peppercrank-wire/tests/verify_platform.rs
+++ b/crates/peppercrank-wire/tests/verify_platform.rs
@@ -13,12 +13,12 @@
 use std::time::Duration;
 
 use peppercrank_wire::platform::Access;
+use peppercrank_wire::platform::CallOutcome;
 use peppercrank_wire::platform::Condition;
-use peppercrank_wire::platform::Ending;
 use peppercrank_wire::platform::Failure;
 use peppercrank_wire::platform::Fetched;
 use peppercrank_wire::platform::Listing;
-use peppercrank_wire::platform::Named;
+use peppercrank_wire::platform::NamedObject;
 use peppercrank_wire::platform::Object;
 use peppercrank_wire::platform::Operation;
 use peppercrank_wire::platform::Platform;
@@ -114,25 +114,37 @@
         (
             Script::Answer(FOUND),
             Ok(Fetched::Found(seven())),
-            Ending::Found,
+            CallOutcome::Found,
+        ),
+        (
+            Script::Answer(ABSENT),
+            Ok(Fetched::Absent),
+            CallOutcome::Absent,
         ),
-        (Script::Answer(ABSENT), Ok(Fetched::Absent), Ending::Absent),
         (
             Script::Answer(THROTTLED),
             Err(Failure::Throttled(Some(Duration::from_secs(2)))),
-            Ending::Throttled,
+            CallOutcome::Throttled,
+        ),
+        (
+            Script::Answer(OUTAGE),
+            Err(Failure::Down),
+            CallOutcome::Down,
         ),
-        (Script::Answer(OUTAGE), Err(Failure::Down), Ending::Down),
-        (Script::Answer(FAULT), Err(Failure::Down), Ending::Down),
+        (Script::Answer(FAULT), Err(Failure::Down), CallOutcome::Down),
         (
             Script::Answer(FORBIDDEN),
             Err(Failure::Bad(403)),
-            Ending::Bad,
+            CallOutcome::Bad,
         ),
-        (Script::Answer(GARBAGE), Err(Failure::Bad(200)), Ending::Bad),
-        (Script::Answer(CUT), Err(Failure::Down), Ending::Down),
-        (Script::Close, Err(Failure::Down), Ending::Down),
-        (Script::Hang, Err(Failure::Slow), Ending::Slow),
+        (
+            Script::Answer(GARBAGE),
+            Err(Failure::Bad(200)),
+            CallOutcome::Bad,
+        ),
+        (Script::Answer(CUT), Err(Failure::Down), CallOutcome::Down),
+        (Script::Close, Err(Failure::Down), CallOutcome::Down),
+        (Script::Hang, Err(Failure::Slow), CallOutcome::Slow),
     ];
     for (script, expected, ending) in cases {
         let (access, server) = play(script);
@@ -154,37 +166,49 @@
 #[test]
 fn verify_writes() {
     let cases = [
-        (Script::Answer(DONE), Ok(Written::Done(8)), Ending::Done),
+        (
+            Script::Answer(DONE),
+            Ok(Written::Done(8)),
+            CallOutcome::Done,
+        ),
         (
             Script::Answer(CONFLICT),
             Ok(Written::Conflict(Some(seven()))),
-            Ending::Conflict,
+            CallOutcome::Conflict,
         ),
         (
             Script::Answer(BARE_CONFLICT),
             Ok(Written::Conflict(None)),
-            Ending::Conflict,
+            CallOutcome::Conflict,
         ),
         (
             Script::Answer(THROTTLED),
             Err(Failure::Throttled(Some(Duration::from_secs(2)))),
-            Ending::Throttled,
+            CallOutcome::Throttled,
+        ),
+        (
+            Script::Answer(OUTAGE),
+            Err(Failure::Down),
+            CallOutcome::Down,
         ),
-        (Script::Answer(OUTAGE), Err(Failure::Down), Ending::Down),
         // From here on the write may have taken effect.
         (
             Script::Answer(FAULT),
             Err(Failure::Unknown),
-            Ending::Unknown,
+            CallOutcome::Unknown,
         ),
         (
             Script::Answer(GARBAGE),
             Err(Failure::Unknown),
-            Ending::Unknown,
+            CallOutcome::Unknown,
+        ),
+        (
+            Script::Answer(CUT),
+            Err(Failure::Unknown),
+            CallOutcome::Unknown,
         ),
-        (Script::Answer(CUT), Err(Failure::Unknown), Ending::Unknown),
-        (Script::Close, Err(Failure::Unknown), Ending::Unknown),
-        (Script::Hang, Err(Failure::Unknown), Ending::Unknown),
+        (Script::Close, Err(Failure::Unknown), CallOutcome::Unknown),
+        (Script::Hang, Err(Failure::Unknown), CallOutcome::Unknown),
     ];
     for (script, expected, ending) in cases {
         let (access, server) = play(script);
@@ -210,7 +234,10 @@
     let (access, server) = play(Script::Answer(DONE));
     let platform = Platform::new(&access);
     assert_eq!(platform.delete("mark", "engine-1", 7), Ok(Written::Done(8)));
-    assert_eq!(platform.calls().get(Operation::Delete, Ending::Done), 1);
+    assert_eq!(
+        platform.calls().get(Operation::Delete, CallOutcome::Done),
+        1
+    );
     let request = server.join().expect("a script played").to_lowercase();
     assert!(request.starts_with("delete /objects/mark/engine-1 http/1.1\r\n"));
     assert!(request.contains("if-match: 7\r\n"), "{request}");
@@ -220,7 +247,7 @@
 fn verify_lists_and_watches() {
     let list = "HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n\
 {\"revision\":9,\"objects\":[{\"name\":\"a\",\"version\":9}]}";
-    let tombstone = Named {
+    let tombstone = NamedObject {
         name: "a".to_owned(),
         version: 9,
         body: None,
@@ -235,7 +262,10 @@
     server.join().expect("a script played");
 
     let too_old = "HTTP/1.1 410 Gone\r\ncontent-length: 0\r\n\r\n";
-    let cases = [(list, Watched::News(listing)), (too_old, Watched::TooOld)];
+    let cases = [
+        (list, Watched::Changes(listing)),
+        (too_old, Watched::TooOld),
+    ];
     for (script, expected) in cases {
         let (access, server) = play(Script::Answer(script));
         let watched = Platform::new(&access).watch("pool", 8, SLOW);
--- a/crates/peppercrank-wire/tests/verify_refusals.rs
+++ b/crates/peppercrank-wire/tests/verify_refusals.rs
@@ -8,9 +8,9 @@
 #[path = "support/raw.rs"]
 mod raw;
 
-use peppercrank_wire::edge::Finished;
 use peppercrank_wire::edge::Limits;
 use peppercrank_wire::edge::Refused;
+use peppercrank_wire::edge::ServeSummary;
 
 use edges::echo;
 use edges::start;
@@ -145,7 +145,7 @@
     let good = "GET /good HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
     let answer = exchange(running.address, good.as_bytes()).await;
     assert!(answer.ends_with("GET /good "), "{answer}");
-    assert_eq!(running.stop().await, Finished { calls: 1, cut: 0 });
+    assert_eq!(running.stop().await, ServeSummary { calls: 1, cut: 0 });
 }
 
 #[tokio::test]
--- a/crates/peppercrank-wire/tests/verify_seal.rs
+++ b/crates/peppercrank-wire/tests/verify_seal.rs
@@ -10,20 +10,20 @@
 use http::HeaderValue;
 use http::Method;
 use http::Uri;
-use peppercrank_wire::seal::Bearers;
+use peppercrank_wire::seal::BearerTokens;
 use peppercrank_wire::seal::Channel;
 use peppercrank_wire::seal::Identity;
 use peppercrank_wire::seal::Key;
 use peppercrank_wire::seal::KeyError;
 use peppercrank_wire::seal::KeyRing;
 use peppercrank_wire::seal::MAC_HEADER;
-use peppercrank_wire::seal::OVERHEAD;
 use peppercrank_wire::seal::Opener;
 use peppercrank_wire::seal::Rejected;
+use peppercrank_wire::seal::SEAL_OVERHEAD;
 use peppercrank_wire::seal::Sealer;
 use peppercrank_wire::seal::SenderId;
-use peppercrank_wire::seal::check_head;
 use peppercrank_wire::seal::sign_head;
+use peppercrank_wire::seal::verify_head;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -75,7 +75,7 @@
 #[test]
 fn verify_every_altered_bit_is_rejected() {
     let (_, message) = sending(&[1], 5).seal(b"b", b"payload");
-    assert!(message.len() <= b"payload".len() + OVERHEAD);
+    assert!(message.len() <= b"payload".len() + SEAL_OVERHEAD);
     let mut opener = receiving(&[1]);
     for at in 0..message.len() * 8 {
         let mut forged = message.clone();
@@ -101,7 +101,7 @@
         boot: 1,
     };
     let mut other_key = Sealer::new(Channel::Datagram, identity, ring(&[2]));
-    let mut other_channel = Sealer::new(Channel::Ask, identity, ring(&[1]));
+    let mut other_channel = Sealer::new(Channel::ControlRequest, identity, ring(&[1]));
     let mut same_id = {
         let key = Key::new(1, &[9; 32]).expect("a key");
         let ring = KeyRing::new(vec![key]).expect("a ring");
@@ -228,18 +228,27 @@
 
 #[test]
 fn verify_key_faults() {
-    assert_eq!(Key::new(1, &[0; 15]), Err(KeyError::Short(1)));
-    assert_eq!(Key::from_hex(1, &"0".repeat(33)), Err(KeyError::Text(1)));
-    assert_eq!(Key::from_hex(1, &"0g".repeat(16)), Err(KeyError::Text(1)));
+    assert_eq!(Key::new(1, &[0; 15]), Err(KeyError::SecretTooShort(1)));
+    assert_eq!(
+        Key::from_hex(1, &"0".repeat(33)),
+        Err(KeyError::InvalidHex(1))
+    );
+    assert_eq!(
+        Key::from_hex(1, &"0g".repeat(16)),
+        Err(KeyError::InvalidHex(1))
+    );
     assert_eq!(Key::from_hex(3, &"03".repeat(32)), Ok(key(3)));
-    assert_eq!(KeyRing::new(Vec::new()), Err(KeyError::Missing));
-    assert_eq!(KeyRing::new(vec![key(1), key(1)]), Err(KeyError::Twice(1)));
-    assert_eq!(ring(&[1]).signing_with(2), Err(KeyError::Missing));
+    assert_eq!(KeyRing::new(Vec::new()), Err(KeyError::MissingKey));
+    assert_eq!(
+        KeyRing::new(vec![key(1), key(1)]),
+        Err(KeyError::DuplicateId(1))
+    );
+    assert_eq!(ring(&[1]).signing_with(2), Err(KeyError::MissingKey));
     assert!(!format!("{:?}", ring(&[3])).contains("3, 3"));
 }
 
 #[test]
-fn verify_head() {
+fn verify_request_heads() {
     let agent = SocketAddr::from((Ipv4Addr::LOCALHOST, 80));
     let path: Uri = "/v1/chat/completions?a=1".parse().expect("a path");
     let mut headers = HeaderMap::new();
@@ -250,7 +259,7 @@
     // A header that is not ours may change on the way.
     headers.insert("accept", HeaderValue::from_static("*/*"));
     let check = |ids: &[u32], agent, method: Method, path: &Uri, headers: &HeaderMap| {
-        check_head(&ring(ids), agent, &method, path, headers)
+        verify_head(&ring(ids), agent, &method, path, headers)
     };
     assert_eq!(check(&[1, 2], agent, Method::POST, &path, &headers), Ok(()));
 
@@ -324,7 +333,7 @@
 
 #[test]
 fn verify_bearers() {
-    let bearers = Bearers::new(["one", "two"]);
+    let bearers = BearerTokens::new(["one", "two"]);
     let cases = [
         ("Bearer one", true),
         ("Bearer two", true),
@@ -337,8 +346,8 @@
     for (value, admitted) in cases {
         let mut headers = HeaderMap::new();
         headers.insert("authorization", HeaderValue::from_static(value));
-        assert_eq!(bearers.admits(&headers), admitted, "{value}");
+        assert_eq!(bearers.authorizes(&headers), admitted, "{value}");
     }
-    assert!(!bearers.admits(&HeaderMap::new()));
-    assert!(!Bearers::new([]).knows("Bearer "));
+    assert!(!bearers.authorizes(&HeaderMap::new()));
+    assert!(!BearerTokens::new([]).matches("Bearer "));
 }
--- a/crates/peppercrank-wire/tests/verify_stop.rs
+++ b/crates/peppercrank-wire/tests/verify_stop.rs
@@ -13,9 +13,9 @@
 
 use bytes::Bytes;
 use peppercrank_wire::body;
-use peppercrank_wire::edge::Finished;
 use peppercrank_wire::edge::Limits;
 use peppercrank_wire::edge::Reply;
+use peppercrank_wire::edge::ServeSummary;
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -79,7 +79,7 @@
         assert_eq!(read_all(io).await, "4\r\npart\r\n0\r\n\r\n");
     }
     let finished = running.ended.await.expect("an edge that ends");
-    assert_eq!(finished, Finished { calls: 2, cut: 0 });
+    assert_eq!(finished, ServeSummary { calls: 2, cut: 0 });
 }
 
 #[tokio::test]
@@ -91,7 +91,7 @@
     let (running, _gate) = halting(limits).await;
     let mut io = begin(&running).await;
     let finished = running.stop().await;
-    assert_eq!(finished, Finished { calls: 1, cut: 1 });
+    assert_eq!(finished, ServeSummary { calls: 1, cut: 1 });
     // The cut answer has no end.
     assert_eq!(read_all(&mut io).await, "");
 }
@@ -117,7 +117,7 @@
     let answer = read_all(&mut io).await;
     assert!(answer.contains("connection: close\r\n"), "{answer}");
     assert!(answer.ends_with("GET / "), "{answer}");
-    assert_eq!(running.stop().await, Finished { calls: 2, cut: 0 });
+    assert_eq!(running.stop().await, ServeSummary { calls: 2, cut: 0 });
 }
 
 #[tokio::test]
@@ -138,5 +138,5 @@
     assert!(places.iter().all(Option::is_some), "{answer}");
     assert!(places.is_sorted(), "{answer}");
     assert_eq!(answer.matches("HTTP/1.1 200 ").count(), 4, "{answer}");
-    assert_eq!(running.stop().await, Finished { calls: 4, cut: 0 });
+    assert_eq!(running.stop().await, ServeSummary { calls: 4, cut: 0 });
 }
--- a/crates/peppercrank-wire/tests/verify_stream.rs
+++ b/crates/peppercrank-wire/tests/verify_stream.rs
@@ -15,9 +15,9 @@
 use peppercrank_wire::Error;
 use peppercrank_wire::body;
 use peppercrank_wire::client::Client;
+use peppercrank_wire::client::ClientConfig;
 use peppercrank_wire::client::Count;
 use peppercrank_wire::client::Reuse;
-use peppercrank_wire::client::Times;
 use peppercrank_wire::edge::Limits;
 use peppercrank_wire::edge::Reply;
 use tokio::sync::Semaphore;
@@ -47,7 +47,7 @@
         std::future::ready(Reply::new(body))
     })
     .await;
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     let answer = client.send(running.address, get("/"), Reuse::Allowed).await;
     let mut body = answer.expect("an answer").into_body();
     for n in 0..3 {
@@ -78,11 +78,11 @@
         std::future::ready(Reply::new(body))
     })
     .await;
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     let answer = client.send(running.address, get("/"), Reuse::Allowed).await;
     let body = answer.expect("a head").into_body();
     step.add_permits(1);
-    assert_eq!(text(body).await, Err(Error::AnswerCut));
+    assert_eq!(text(body).await, Err(Error::ResponseCut));
     assert_eq!(running.counters.gone(), 0);
     assert_eq!(running.stop().await.cut, 0);
 }
@@ -110,7 +110,7 @@
         }
     })
     .await;
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     let answer = client
         .send(running.address, get("/body"), Reuse::Allowed)
         .await;
@@ -131,7 +131,7 @@
 #[tokio::test]
 async fn verify_unread_connection_is_not_reused() {
     let running = start(Limits::default(), echo).await;
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     let cases = [("read", true, 1), ("dropped", false, 1), ("read", true, 2)];
     for (name, whole, connected) in cases {
         let answer = client
@@ -171,7 +171,7 @@
         std::future::ready(Reply::new(body))
     })
     .await;
-    let upstream = Client::new(Times::default());
+    let upstream = Client::new(ClientConfig::default());
     let hop = start(Limits::default(), move |call| {
         let (client, to) = (upstream.clone(), origin.address);
         async move {
@@ -181,11 +181,11 @@
         }
     })
     .await;
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     let sent = client.send(hop.address, get("/cut"), Reuse::Allowed).await;
     let body = sent.expect("a head").into_body();
     step.add_permits(1);
-    assert_eq!(text(body).await, Err(Error::AnswerCut));
+    assert_eq!(text(body).await, Err(Error::ResponseCut));
     heard.recv().await.expect("the cut stream dropped");
 
     let sent = client.send(hop.address, get("/long"), Reuse::Allowed).await;
--- a/crates/peppercrank-wire/tests/verify_whole.rs
+++ b/crates/peppercrank-wire/tests/verify_whole.rs
@@ -17,10 +17,10 @@
 use http_body_util::BodyExt;
 use peppercrank_wire::body;
 use peppercrank_wire::client::Client;
+use peppercrank_wire::client::ClientConfig;
 use peppercrank_wire::client::Count;
 use peppercrank_wire::client::Reuse;
 use peppercrank_wire::client::SendError;
-use peppercrank_wire::client::Times;
 use peppercrank_wire::edge::Call;
 use peppercrank_wire::edge::Limits;
 use peppercrank_wire::edge::Reply;
@@ -70,7 +70,7 @@
 #[tokio::test]
 async fn verify_mixed_calls_get_their_own_answers() {
     let running = start(Limits::default(), repeat).await;
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     let mut callers = JoinSet::new();
     for caller in 0..CALLERS {
         let (client, to) = (client.clone(), running.address);
@@ -188,7 +188,7 @@
         ..Limits::default()
     };
     let running = start(limits, echo).await;
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     // A length that is refused with the head, and chunks that are refused on the way.
     for (size, sized) in [
         (1_000, true),
@@ -233,7 +233,7 @@
         let to = running.address;
         callers.spawn(async move {
             // A pool of its own for each, so that some connections wait while the edge stops.
-            let client = Client::new(Times::default());
+            let client = Client::new(ClientConfig::default());
             let own = format!("{caller} ").repeat(1_000);
             loop {
                 let request = Request::post("/chunked").body(body::full(own.clone()));
