--- a/crates/peppercrank-wire/src/body.rs
+++ b/crates/peppercrank-wire/src/body.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Bodies of requests and answers: full, empty, or fed through a channel.
+//! Bodies of requests and responses: complete, empty, or written through a channel.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -22,27 +22,27 @@
 use crate::Error;
 use crate::Result;
 
-/// `Body` is the body of a reply, or of a request that a client sends.
+/// Body of a response, or of a request that a client sends.
 pub type Body = UnsyncBoxBody<Bytes, Error>;
 
-/// `full` is a body whose bytes are all known; it is sent with its length.
+/// Returns a body of the given bytes, which is sent with its length.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// `empty` is a body without bytes.
+/// Returns an empty body.
 #[must_use]
 pub fn empty() -> Body {
     Empty::new().map_err(|never| match never {}).boxed_unsync()
 }
 
-/// `channel` is a body that its [`BodySender`] writes, at most `depth` frames ahead of the reader.
+/// Returns a body and its [`BodySender`], which may be up to `depth` frames ahead of the reader.
 ///
 /// # Panics
 ///
-/// Panics when `depth` is 0.
+/// Panics if `depth` is 0.
 ///
 /// # Examples
 ///
@@ -84,10 +84,10 @@
     )
 }
 
-/// `Feed` writes a body frame by frame.
+/// Writes a body frame by frame.
 ///
-/// Dropping it without [`BodySender::finish`] breaks the message off, so that the reader never takes
-/// the part for the whole.
+/// Dropping it without [`BodySender::finish`] aborts the message, so that the reader does not
+/// mistake a truncated body for a complete one.
 #[derive(Debug)]
 pub struct BodySender {
     tx: mpsc::Sender<Bytes>,
@@ -95,28 +95,28 @@
 }
 
 impl BodySender {
-    /// `send` writes one frame, waiting while the reader is behind.
+    /// Writes a frame, and waits while the reader is behind.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::ReaderGone`] when nobody reads the body any more.
+    /// Returns [`Error::ReaderGone`] if the body is no longer read.
     pub async fn send(&self, bytes: Bytes) -> Result<()> {
         let sent = self.tx.send(bytes).await;
         sent.map_err(|_unsent| Error::ReaderGone)
     }
 
-    /// `closed` returns once the reader has gone away.
+    /// Waits until the reader is dropped.
     pub async fn closed(&self) {
         self.tx.closed().await;
     }
 
-    /// `is_closed` tells whether the reader has gone away.
+    /// Returns whether the reader was dropped.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.tx.is_closed()
     }
 
-    /// `finish` ends the body properly.
+    /// Ends the body regularly.
     pub fn finish(self) {
         self.finished.store(true, Ordering::Release);
     }
--- a/crates/peppercrank-wire/src/clock.rs
+++ b/crates/peppercrank-wire/src/clock.rs
@@ -1,11 +1,14 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The process's clock, read at the edge and passed into the sans-I/O parts.
+//! Clock of the process, which is read by the adapters and passed as a value to code without input
+//! or output.
 //!
-//! It counts the time for which the machine is suspended. The clock of the standard library, by which the runtime's timers go, does not: what
-//! was known before would look as young after a suspension as before it, and a key that was taken away meanwhile would be
-//! served. Timers fire late by that time, so that what depends on a moment asks this clock when it is woken.
+//! The clock includes the time for which the machine is suspended. The standard library's clock, on
+//! which the timers of the runtime are based, does not: after a suspension, cached knowledge would
+//! appear as fresh as before it, so that a key revoked in the meantime would be accepted. Timers
+//! fire late by the duration of a suspension, so code that depends on an instant must check this
+//! clock when it is woken.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -16,19 +19,19 @@
 use rustix::time::ClockId;
 use rustix::time::clock_gettime;
 
-/// `Clock` reads the time since its start as [`Instant`]s.
+/// A clock that returns the time since its start as [`Instant`]s.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    /// The time since the machine's boot at the start.
+    /// Time since the boot of the machine at the start of the clock.
     origin: Duration,
-    /// The start on the clock of timers.
+    /// Start of the clock according to the clock of timers.
     timer_origin: StdInstant,
     /// Milliseconds of suspensions that are played.
     simulated_suspension_ms: Option<&'static AtomicU64>,
 }
 
 impl Clock {
-    /// `start` starts a clock at its origin.
+    /// Starts a clock at its origin.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -38,8 +41,11 @@
         }
     }
 
-    /// `start_played` starts a clock that also counts these milliseconds, as if the machine had been suspended for them: to be
-    /// raised while it runs, where a machine cannot be suspended to see what follows.
+    /// Starts a clock that also counts these milliseconds as time for which the machine was
+    /// suspended.
+    ///
+    /// Tests can increase the value while the clock runs, where the machine itself cannot be
+    /// suspended.
     #[must_use]
     pub fn start_with_simulated_suspension(played: &'static AtomicU64) -> Self {
         Self {
@@ -48,7 +54,7 @@
         }
     }
 
-    /// `now` is the present moment.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Instant {
         let counted = since_boot().saturating_sub(self.origin);
@@ -58,13 +64,14 @@
         Instant::from_origin(counted + Duration::from_millis(played))
     }
 
-    /// `instant` is when a timer has to fire for a moment, unless the machine is suspended before it.
+    /// Returns the time at which a timer must fire for `at`, provided the machine is not suspended
+    /// before.
     #[must_use]
     pub fn timer_instant(&self, at: Instant) -> StdInstant {
         StdInstant::now() + at.since(self.now())
     }
 
-    /// `suspended` is how long the machine was suspended since the start.
+    /// Returns how long the machine was suspended since the start of the clock.
     #[must_use]
     pub fn suspended(&self) -> Duration {
         let counted = self.now().since_origin();
@@ -72,7 +79,7 @@
     }
 }
 
-/// The time since the machine's boot, suspensions included.
+/// Returns the time since the boot of the machine, including suspensions.
 fn since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
--- a/crates/peppercrank-wire/src/control/client.rs
+++ b/crates/peppercrank-wire/src/control/client.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The asking side of control calls.
+//! The client side of control calls.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -36,16 +36,17 @@
 use super::messages::Order;
 use super::transport::rpc_transport;
 
-/// `ControlTimes` are the limits of a client of control calls.
+/// Timeouts and limits of a [`ControlClient`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ControlClientConfig {
-    /// Time for a connection to be made.
+    /// Timeout for establishing a connection.
     pub connect: Duration,
-    /// Time for a whole call.
+    /// Timeout for a whole call.
     pub call: Duration,
-    /// Time for which an unused connection is kept; shorter than the server's idle time.
+    /// Time for which an unused connection is kept; must be shorter than the idle timeout of the
+    /// server.
     pub keep: Duration,
-    /// The longest message, in bytes.
+    /// Maximum size of a message, in bytes.
     pub frame: usize,
 }
 
@@ -60,25 +61,25 @@
     }
 }
 
-/// `ControlError` is a control call without an answer.
+/// A control call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum ControlError {
-    /// No connection was made.
+    /// The connection could not be established.
     Connect(io::ErrorKind),
-    /// No connection, or no answer, came in time.
+    /// The connection or the response timed out.
     Timeout,
-    /// The connection closed before the answer.
+    /// The connection closed before the response arrived.
     Closed,
-    /// The other side refused the call: too many are in progress there.
+    /// The server refused the call because too many calls are in progress.
     Busy,
-    /// The other side says that the call is not authentic.
+    /// The server rejected the call because it failed authentication.
     Refused(Rejected),
-    /// The answer is not authentic.
+    /// The response failed authentication.
     ResponseRejected(Rejected),
-    /// The call, or its answer, is longer than a message may be.
+    /// The call or its response exceeds the maximum message size.
     TooLarge,
-    /// The answer is to another kind of call.
+    /// The response belongs to another kind of call.
     Unexpected,
 }
 
@@ -99,14 +100,14 @@
 
 impl std::error::Error for ControlError {}
 
-/// `Link` is one connection; its calls share it.
+/// A connection, shared by concurrent calls.
 #[derive(Debug, Clone)]
 struct Connection {
     channel: Channel<SealedRequest, SealedReply>,
     driver: Arc<Driver>,
 }
 
-/// `Driver` runs a connection; dropping it closes the connection.
+/// Task that runs a connection; dropping it closes the connection.
 #[derive(Debug)]
 struct Driver(JoinHandle<()>);
 
@@ -116,7 +117,7 @@
     }
 }
 
-/// `ControlClient` makes control calls; its clones share connections and counts.
+/// A client for control calls; clones share its connections and counters.
 #[derive(Debug, Clone)]
 pub struct ControlClient {
     config: ControlClientConfig,
@@ -125,10 +126,10 @@
 }
 
 impl ControlClient {
-    /// `new` makes a client without connections yet.
+    /// Creates a client without connections.
     ///
-    /// A process makes one and clones it: the calls of two with one identity would look like
-    /// replays of each other's.
+    /// A process must create a single client per identity and clone it: calls of two clients with
+    /// the same identity would look like replays of each other's calls.
     #[must_use]
     pub fn new(identity: Identity, ring: KeyRing, times: ControlClientConfig) -> Self {
         Self {
@@ -138,17 +139,17 @@
         }
     }
 
-    /// `desk` rotates the client's keys and tells its counts.
+    /// Returns the codec, which rotates the keys of the client and provides its counters.
     #[must_use]
     pub fn codec(&self) -> &ControlCodec {
         &self.codec
     }
 
-    /// `config` sends a message of the configuration relay, which the other side takes in.
+    /// Sends a message of the configuration relay to another process.
     ///
     /// # Errors
     ///
-    /// Returns a [`ControlError`].
+    /// Returns a [`ControlError`] if the call failed.
     pub async fn send_config(&self, to: SocketAddr, message: Vec<u8>) -> Result<(), ControlError> {
         match self.call(to, &ControlRequest::Config(message)).await? {
             ControlResponse::Received => Ok(()),
@@ -156,12 +157,12 @@
         }
     }
 
-    /// `order` sends an order to a target's agent and returns what became of it.
+    /// Sends an order to the agent of a target and returns its outcome as JSON.
     ///
     /// # Errors
     ///
-    /// Returns a [`ControlError`]; after all but `Connect`, `Busy` and `Refused` the
-    /// order may have been passed on.
+    /// Returns a [`ControlError`] if the call failed. The order may have been forwarded
+    /// nevertheless, except after `Connect`, `Busy` and `Refused`.
     pub async fn send_order(&self, to: SocketAddr, order: Order) -> Result<String, ControlError> {
         match self.call(to, &ControlRequest::Order(order)).await? {
             ControlResponse::Order(reply) => Ok(reply),
@@ -169,11 +170,11 @@
         }
     }
 
-    /// `ask` makes one call.
+    /// Sends a request and returns the response.
     ///
     /// # Errors
     ///
-    /// Returns a [`ControlError`].
+    /// Returns a [`ControlError`] if the call failed.
     pub async fn call(
         &self,
         to: SocketAddr,
@@ -193,7 +194,8 @@
             if response.is_err() {
                 self.remove_connection(to, &connection);
             }
-            // A kept connection may have closed unseen; a new one tells more.
+            // A kept connection may have been closed by the server without notice; retry on a new
+            // one.
             if response != Err(ControlError::Closed) || !request.is_idempotent() {
                 return response;
             }
@@ -240,7 +242,7 @@
         let new = client::new(client::Config::default(), transport);
         let dispatch = new.dispatch;
         let driver = tokio::spawn(async move {
-            // Each call hears of the connection's end by itself.
+            // Each call learns by itself that the connection ended.
             let _ended = dispatch.await;
         });
         Ok(Connection {
@@ -264,12 +266,12 @@
         let now = Instant::now();
         let keep = self.config.keep;
         let mut connections = self.lock_connections();
-        // Addresses that are gone leave nothing behind.
+        // Removes connections to addresses that are no longer used.
         connections.retain(|_, (used, _)| now.duration_since(*used) < keep);
         connections.insert(to, (now, connection));
     }
 
-    /// Forgets a connection that failed, unless another has taken its place.
+    /// Removes a failed connection unless it was already replaced.
     fn remove_connection(&self, to: SocketAddr, connection: &Connection) {
         let mut connections = self.lock_connections();
         let same = |(_, l): &(Instant, Connection)| Arc::ptr_eq(&l.driver, &connection.driver);
--- a/crates/peppercrank-wire/src/control/desk.rs
+++ b/crates/peppercrank-wire/src/control/desk.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Sealing and opening of control calls, shared by a client's or a server's connections.
+//! Seals and opens control calls, shared by all connections of a client or server.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -27,7 +27,7 @@
 use super::messages::ControlResponse;
 use super::transport::ByteCounters;
 
-/// `Sealed` is a control call as tarpc carries it.
+/// A sealed control request as transferred by tarpc.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct SealedRequest(pub(super) Vec<u8>);
 
@@ -37,16 +37,16 @@
     }
 }
 
-/// `Reply` is an answer as tarpc carries it.
+/// A reply as transferred by tarpc.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum SealedReply {
     /// A sealed [`ControlResponse`].
     Sealed(Vec<u8>),
-    /// The call was not authentic. This is not authentic either, and only explains.
+    /// The call failed authentication. This reply is not authenticated either and is only a hint.
     Rejected(Rejected),
 }
 
-/// `Caller` is who asked, and which call it was: the audience of its answer.
+/// Identifies a caller and one of its calls; this is the audience of the response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Caller {
     pub(super) identity: Identity,
@@ -63,7 +63,7 @@
     }
 }
 
-/// `Desk` seals and opens control calls, and counts them.
+/// Seals and opens control calls, and counts them.
 #[derive(Debug)]
 pub struct ControlCodec {
     identity: Identity,
@@ -75,7 +75,7 @@
 
 impl ControlCodec {
     pub(super) fn for_client(identity: Identity, ring: KeyRing) -> Self {
-        // An answer's audience is its one call, so nothing is remembered of who answers.
+        // The audience of a response is a single call, so responding senders need not be remembered.
         Self::new(
             Channel::ControlRequest,
             Channel::ControlResponse,
@@ -111,27 +111,27 @@
         }
     }
 
-    /// `rotate` puts another key ring in place of the present one.
+    /// Replaces the key ring.
     pub fn rotate(&self, ring: &KeyRing) {
         lock(&self.sealer).rotate(ring.clone());
         lock(&self.opener).rotate(ring.clone());
     }
 
-    /// `rejected` is how many messages were rejected for a reason.
+    /// Returns the number of messages rejected for `reason`.
     #[must_use]
     pub fn rejected(&self, reason: Rejected) -> u64 {
         lock(&self.opener).rejected(reason)
     }
 
-    /// `carried` is how many bytes the connections have sent and received, tarpc's own included.
+    /// Returns the bytes sent and received on all connections, including the overhead of tarpc.
     ///
-    /// The headers of TCP and IP come on top, 52 bytes a segment.
+    /// The TCP and IP headers, 52 bytes per segment, are not included.
     #[must_use]
     pub fn bytes_transferred(&self) -> (u64, u64) {
         self.byte_counters.totals()
     }
 
-    /// `traffic` is what was sent and received, sealed, by kind of call.
+    /// Returns the sealed messages and bytes sent and received, by kind of call.
     #[must_use]
     pub const fn traffic(&self) -> &Traffic {
         &self.traffic
@@ -170,7 +170,7 @@
         Ok((caller, request))
     }
 
-    /// Seals an answer of at most `most` bytes, or that it is longer.
+    /// Seals a response, or [`ControlResponse::TooLarge`] if it is longer than `max_len` bytes.
     pub(super) fn seal_response(
         &self,
         caller: Caller,
--- a/crates/peppercrank-wire/src/control/messages.rs
+++ b/crates/peppercrank-wire/src/control/messages.rs
@@ -1,35 +1,35 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What our processes ask each other, and what they tell.
+//! Requests and responses of control calls.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// `Order` is an order for the target beside an agent.
+/// An order for the target of an agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The fencing number: the version of the lease that the sender holds.
+    /// The fencing token, which is the version of the lease that the sender holds.
     pub fence: u64,
-    /// The order's own id, the same when it is sent again.
+    /// The id of the order, which stays the same if the order is sent again.
     pub id: u128,
-    /// Its number among the sender's orders to this agent, rising.
+    /// The sequence number among the sender's orders to this agent, ascending.
     pub seq: u64,
     /// The order as JSON.
     pub order: String,
 }
 
-/// `Ask` is one control call.
+/// Request of a control call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlRequest {
-    /// Take this message of the configuration relay, in the encoding of its crate.
+    /// A message of the configuration relay, as encoded by its crate.
     Config(Vec<u8>),
-    /// Pass this order to the target.
+    /// An order to forward to the target.
     Order(Order),
 }
 
 impl ControlRequest {
-    /// `kind` names the call in metrics.
+    /// Returns the name of the request in metrics.
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
@@ -38,20 +38,20 @@
         }
     }
 
-    /// `repeats` tells whether asking twice does no more than asking once.
+    /// Returns whether the client may repeat the request.
     pub(super) const fn is_idempotent(&self) -> bool {
-        // An order is repeated by its sender, which knows whether its lease still holds.
+        // The sender repeats an order itself, because it knows whether its lease is still valid.
         !matches!(self, Self::Order(_))
     }
 }
 
-/// `Told` is the answer to one control call.
+/// Response to a control call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlResponse {
-    /// The message was taken.
+    /// The message was received.
     Received,
-    /// What became of the order, as JSON.
+    /// The outcome of the order, as JSON.
     Order(String),
-    /// The answer is longer than a message may be: ask for less.
+    /// The response exceeds the maximum message size; the caller must request less.
     TooLarge,
 }
--- a/crates/peppercrank-wire/src/control/mod.rs
+++ b/crates/peppercrank-wire/src/control/mod.rs
@@ -1,10 +1,11 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Control calls between our processes, over tarpc.
+//! Control calls between processes of the fleet, over tarpc.
 //!
-//! tarpc carries deadlines and cancellation; what it carries is sealed as a whole, so that the
-//! call, its arguments and its answer are authentic. Its runtime is confined to this module.
+//! tarpc handles deadlines and cancellation. Its payloads are sealed, so that calls, their
+//! arguments and their responses are authenticated. The use of its runtime is confined to this
+//! module.
 
 mod client;
 mod desk;
@@ -22,7 +23,7 @@
 pub use server::ControlLimits;
 pub use server::ControlServer;
 
-/// The longest message of either direction unless set otherwise, in bytes.
+/// Default maximum size of a message in either direction, in bytes.
 ///
-/// Four objects of the platform's greatest size, one megabyte.
+/// This fits four objects of one megabyte, the maximum size on the platform.
 pub const MAX_FRAME: usize = 4 * 1_024 * 1_024;
--- a/crates/peppercrank-wire/src/control/server.rs
+++ b/crates/peppercrank-wire/src/control/server.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The answering side of control calls.
+//! The server side of control calls.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -37,26 +37,26 @@
 use super::messages::ControlResponse;
 use super::transport::rpc_transport;
 
-/// Pause after a failed accept, so that a full descriptor table is not polled in a tight loop.
+/// Pause after a failed accept, which avoids a busy loop while the file descriptor table is full.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Once stopping, a connection closes when it has carried nothing for so long and no call runs.
+/// Idle time after which a connection without calls is closed during shutdown.
 const STOP_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// `ControlLimits` are what a server of control calls allows.
+/// Limits of a [`ControlServer`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ControlLimits {
-    /// Connections open at once; one more is closed.
+    /// Maximum number of open connections; further connections are closed.
     pub connections: usize,
-    /// Calls in progress on one connection; one more is refused.
+    /// Maximum number of calls in progress per connection; further calls are refused.
     pub calls: usize,
-    /// The longest message, in bytes.
+    /// Maximum size of a message, in bytes.
     pub frame: usize,
-    /// Time that a connection may carry nothing.
+    /// Idle time after which a connection is closed.
     pub idle: Duration,
-    /// Senders remembered against replays.
+    /// Maximum number of senders remembered for replay protection.
     pub max_senders: usize,
-    /// Once stopping, the time left to calls in progress.
+    /// Time that calls in progress get to complete during shutdown.
     pub drain: Duration,
 }
 
@@ -67,15 +67,15 @@
             calls: 64,
             frame: MAX_FRAME,
             idle: Duration::from_secs(60),
-            // More than twice the fleet of 1,670 processes.
+            // More than twice the fleet size of 1,670 processes.
             max_senders: 4_096,
-            // Longer than a call's deadline.
+            // Longer than the deadline of a call.
             drain: Duration::from_secs(3),
         }
     }
 }
 
-/// `ControlServer` answers control calls.
+/// A server for control calls.
 #[derive(Debug)]
 pub struct ControlServer {
     listener: TcpListener,
@@ -86,14 +86,14 @@
 }
 
 impl ControlServer {
-    /// `bind` listens on an address; port 0 takes a free one.
+    /// Binds the server to an address; port 0 selects a free port.
     ///
-    /// Calls are sealed for the address that they are sent to, so a process that others reach by
-    /// another address than the bound one names it as `advertised`.
+    /// Calls are sealed for the address that they are sent to. A process that others reach by an
+    /// address other than the bound one must pass that address as `advertised`.
     ///
     /// # Errors
     ///
-    /// Returns [`crate::Error::Io`] when the address cannot be bound.
+    /// Returns [`crate::Error::Io`] if the address cannot be bound.
     pub async fn bind(
         address: SocketAddr,
         advertised: Option<SocketAddr>,
@@ -115,28 +115,28 @@
         })
     }
 
-    /// `address` is where others call.
+    /// Returns the address at which other processes reach the server.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// `local_addr` is where the server listens.
+    /// Returns the address that the server listens on.
     #[must_use]
     pub const fn local_addr(&self) -> SocketAddr {
         self.local
     }
 
-    /// `desk` rotates the server's keys and tells its counts; it outlives the server.
+    /// Returns the codec, which rotates the keys of the server and provides its counters; it
+    /// outlives the server.
     #[must_use]
     pub fn codec(&self) -> Arc<ControlCodec> {
         Arc::clone(&self.codec)
     }
 
-    /// `serve` answers calls until told to stop, then finishes those in progress.
+    /// Serves calls until `stop` is signalled, then completes the calls in progress.
     ///
-    /// The future that answers a call is dropped at the call's deadline, and when its caller goes
-    /// away.
+    /// The future of a call is dropped at its deadline or when the caller disconnects.
     pub async fn serve<F, R>(self, mut stop: Stop, answer: F)
     where
         F: Fn(SenderId, ControlRequest) -> R + Clone + Send + Sync + 'static,
@@ -165,7 +165,7 @@
         }
         drop(self.listener);
         let all = async { while tasks.join_next().await.is_some() {} };
-        // What outlasts the time is cut when the tasks are dropped.
+        // Calls that exceed the time are aborted when the tasks are dropped.
         let _over = timeout(self.limits.drain, all).await;
     }
 }
@@ -190,7 +190,7 @@
     let mut requests = pin!(channel.execute(handler));
     let mut calls = FuturesUnordered::new();
     let mut stopping = false;
-    // Calls run within this task, so that they end when their connection does.
+    // Calls run within this task, so that they end with their connection.
     loop {
         let is_draining_idle = stopping && calls.is_empty();
         let time = if is_draining_idle {
@@ -199,7 +199,7 @@
             limits.idle
         };
         tokio::select! {
-            // Answers go out when the requests are polled, so the time is looked at last.
+            // Responses are sent when the requests are polled, so the idle timeout is checked last.
             biased;
             Some(()) = calls.next(), if !calls.is_empty() => {}
             next = requests.next() => match next {
--- a/crates/peppercrank-wire/src/control/transport.rs
+++ b/crates/peppercrank-wire/src/control/transport.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! tarpc's transport over one TCP connection.
+//! The tarpc transport over a TCP connection.
 
 use std::io;
 use std::pin::Pin;
@@ -30,10 +30,10 @@
 /// Bytes that tarpc adds to a sealed message: ids, trace, deadline and lengths.
 const RPC_OVERHEAD: usize = 256;
 
-/// `Wire` is tarpc's transport of `In` and `Out`.
+/// A tarpc transport that receives `In` and sends `Out`.
 pub(super) type RpcTransport<In, Out> = Transport<MonitoredStream, In, Out, Bincode<In, Out>>;
 
-/// `Activity` is when a connection last carried a byte, and whether its peer ended it.
+/// Time of the last transfer on a connection, and whether the peer closed it.
 #[derive(Debug, Clone)]
 pub(super) struct Activity {
     last_active: Arc<Mutex<Instant>>,
@@ -62,14 +62,15 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns once the peer has ended the connection.
+    /// Waits until the peer closes the connection.
     ///
-    /// tarpc itself waits for the calls in progress first, whose answers nobody hears any more.
+    /// tarpc itself would first wait for the calls in progress, whose responses can no longer be
+    /// delivered.
     pub(super) async fn closed_by_peer(&self) {
         self.closed_by_peer.notified().await;
     }
 
-    /// Returns once nothing was carried for as long as this.
+    /// Waits until no data was transferred for `time`.
     pub(super) async fn idle_for(&self, time: Duration) {
         loop {
             let end = self.last_active() + time;
@@ -81,7 +82,7 @@
     }
 }
 
-/// `Carried` counts the bytes of all connections of a client or server.
+/// Counts the bytes on all connections of a client or server.
 #[derive(Debug, Default)]
 pub(super) struct ByteCounters {
     sent: AtomicU64,
@@ -89,14 +90,14 @@
 }
 
 impl ByteCounters {
-    /// Bytes sent and received.
+    /// Returns the bytes sent and received.
     pub(super) fn totals(&self) -> (u64, u64) {
         let sent = self.sent.load(Ordering::Relaxed);
         (sent, self.received.load(Ordering::Relaxed))
     }
 }
 
-/// `Watched` is a connection that notes when it carries bytes, and how many.
+/// A TCP stream that records its activity and counts its bytes.
 #[derive(Debug)]
 pub(super) struct MonitoredStream {
     io: TcpStream,
@@ -104,7 +105,7 @@
     byte_counters: Arc<ByteCounters>,
 }
 
-/// Wraps a connection for tarpc.
+/// Creates a tarpc transport on a TCP connection.
 pub(super) fn rpc_transport<In, Out>(
     io: TcpStream,
     frame: usize,
@@ -114,7 +115,7 @@
     In: DeserializeOwned,
     Out: Serialize,
 {
-    // Without it only the latency suffers.
+    // A failure affects only latency.
     let _set = io.set_nodelay(true);
     let activity = Activity::new();
     let stream = MonitoredStream {
--- a/crates/peppercrank-wire/src/datagram.rs
+++ b/crates/peppercrank-wire/src/datagram.rs
@@ -32,45 +32,45 @@
 use crate::seal::SenderId;
 use crate::traffic::Traffic;
 
-/// The longest datagram, in bytes: below every path's limit, so that none is fragmented.
+/// Maximum size of a datagram in bytes, small enough to avoid fragmentation on all paths.
 pub const MAX_DATAGRAM: usize = 1_200;
 
-/// The longest encoded message that fits a datagram, in bytes.
+/// Maximum size of an encoded message that fits into a datagram, in bytes.
 pub const MAX_MESSAGE: usize = MAX_DATAGRAM - SEAL_OVERHEAD;
 
-/// Bytes of the IPv4 and UDP headers, which count as control traffic too.
+/// Bytes of the IPv4 and UDP headers, which are counted as control traffic.
 const PACKET_HEADER_BYTES: usize = 28;
 
-/// Pause after a failed read, so that a broken socket is not polled in a tight loop.
+/// Pause after a failed read, which avoids a busy loop on a broken socket.
 const READ_PAUSE: Duration = Duration::from_millis(50);
 
-/// `Place` is where a process takes datagrams, and as whom it sends them.
+/// Addresses, identity and limits of a [`Datagrams`] socket.
 #[derive(Debug, Clone, Copy)]
 pub struct DatagramConfig {
-    /// The address to bind; port 0 takes a free one.
+    /// The address to bind; port 0 selects a free port.
     pub bind: SocketAddr,
-    /// The address that others send to, if it is not the bound one.
+    /// The address that others send to, if it differs from the bound address.
     pub advertised: Option<SocketAddr>,
-    /// Who sends.
+    /// The identity of the sender.
     pub identity: Identity,
-    /// How many senders are remembered against replays.
+    /// Maximum number of senders remembered for replay protection.
     pub max_senders: usize,
 }
 
-/// `Received` is one authentic message.
+/// An authentic message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Received<M> {
-    /// Where it came from.
+    /// The address from which the message was sent.
     pub from: SocketAddr,
-    /// Who sent it.
+    /// The sender of the message.
     pub sender: SenderId,
-    /// The sender's boot.
+    /// The boot number of the sender.
     pub boot: u64,
-    /// The message.
+    /// The decoded message.
     pub message: M,
 }
 
-/// `Datagrams` sends and receives messages of one type; its clones share the socket.
+/// Sends and receives messages of one type; clones share the socket.
 #[derive(Debug)]
 pub struct Datagrams<M> {
     inner: Arc<Inner<M>>,
@@ -96,11 +96,11 @@
 }
 
 impl<M: Serialize + DeserializeOwned> Datagrams<M> {
-    /// `bind` opens a socket; `kind` names each message's kind for the counts.
+    /// Binds a socket; `kind` returns the kind under which a message is counted.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Io`] when the address cannot be bound.
+    /// Returns [`Error::Io`] if the address cannot be bound.
     pub async fn bind(
         place: DatagramConfig,
         ring: KeyRing,
@@ -127,42 +127,42 @@
         })
     }
 
-    /// `address` is where others send to.
+    /// Returns the address that others send to.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.inner.address
     }
 
-    /// `traffic` is what was sent and received, IP and UDP headers included.
+    /// Returns the traffic sent and received, including IP and UDP headers.
     #[must_use]
     pub fn traffic(&self) -> &Traffic {
         &self.inner.traffic
     }
 
-    /// `rejected` is how many datagrams were rejected for a reason.
+    /// Returns the number of datagrams rejected for `reason`.
     #[must_use]
     pub fn rejected(&self, reason: Rejected) -> u64 {
         lock(&self.inner.opener).rejected(reason)
     }
 
-    /// `read_errors` is how often the system failed to read a datagram.
+    /// Returns how often the system failed to read a datagram.
     #[must_use]
     pub fn read_errors(&self) -> u64 {
         self.inner.read_errors.load(Ordering::Relaxed)
     }
 
-    /// `rotate` puts another key ring in place of the present one.
+    /// Replaces the key ring.
     pub fn rotate(&self, ring: &KeyRing) {
         lock(&self.inner.sealer).rotate(ring.clone());
         lock(&self.inner.opener).rotate(ring.clone());
     }
 
-    /// `send` sends one message and returns its bytes on the wire.
+    /// Sends a message and returns its size on the network, in bytes.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::MessageTooBig`], [`Error::Encode`], or [`Error::Io`] when the system takes
-    /// no datagram; whether one arrives is never known.
+    /// Returns [`Error::MessageTooBig`], [`Error::Encode`], or [`Error::Io`] if the system does not
+    /// accept the datagram. Whether a datagram arrives is never known.
     pub async fn send(&self, to: SocketAddr, message: &M) -> Result<usize> {
         let payload = postcard::to_stdvec(message);
         let payload = payload.map_err(|_fault| Error::Encode)?;
@@ -183,9 +183,9 @@
         Ok(bytes)
     }
 
-    /// `receive` waits for the next authentic message, counting the others.
+    /// Waits for the next authentic message; other datagrams are counted and discarded.
     pub async fn receive(&self) -> Received<M> {
-        // One byte more than is allowed shows a datagram that is too long.
+        // The additional byte reveals datagrams that are too long.
         let mut space = [0; MAX_DATAGRAM + 1];
         let audience = self.inner.address.to_string();
         loop {
@@ -220,7 +220,7 @@
             return None;
         }
         let found = opener.open(audience, bytes).ok()?;
-        // Another version of the program may know other messages.
+        // Another version of the program may send unknown messages.
         let Ok(message) = postcard::from_bytes(found.payload) else {
             opener.reject(Rejected::Malformed);
             return None;
--- a/crates/peppercrank-wire/src/edge/call.rs
+++ b/crates/peppercrank-wire/src/edge/call.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One call at an edge, and its body as it comes in.
+//! A call to a server, and its incoming body.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -34,27 +34,27 @@
 use super::refusal::Counters;
 use super::refusal::Refused;
 
-/// Seconds after which a caller may find room again: some calls have ended by then.
+/// Seconds after which a caller should retry; some calls have ended by then.
 const RETRY_AFTER: &str = "1";
 
-/// `Reply` is the answer to one call.
+/// Response to a call.
 pub type Reply = http::Response<Body>;
 
-/// `Call` is one request of a caller.
+/// A request of a caller.
 ///
-/// The future that answers it is dropped when the caller goes away. Before the body was read to
-/// its end that goes unseen, so read it first.
+/// The future that handles the call is dropped when the caller disconnects. A disconnect is only
+/// detected once the body was read completely, so read the body first.
 #[derive(Debug)]
 pub struct Call {
-    /// Method, path and headers.
+    /// The method, path and headers.
     pub head: Parts,
-    /// The body, within the edge's limits of size and time.
+    /// The body, subject to the size and time limits of the server.
     pub body: CallBody,
-    /// Where the caller's connection comes from.
+    /// The address of the caller.
     pub peer: SocketAddr,
 }
 
-/// `CallBody` reads the body of a call within the edge's limits of size and time.
+/// Reads the body of a call, subject to the size and time limits of the server.
 #[derive(Debug)]
 pub struct CallBody {
     inner: Incoming,
@@ -65,7 +65,7 @@
     memory: Arc<BodyMemory>,
 }
 
-/// `Held` counts the bytes of one call's body as held until the call ends.
+/// Counts the bytes of the body of a call as held until the call ends.
 #[derive(Debug)]
 pub(super) struct BodyMemory {
     bytes: AtomicU64,
@@ -108,12 +108,12 @@
         }
     }
 
-    /// `read` reads the whole body.
+    /// Reads the whole body.
     ///
     /// # Errors
     ///
     /// Returns [`Error::BodyTooBig`], [`Error::BodyMemory`], [`Error::BodyTimeout`] or
-    /// [`Error::BodyBroken`]; [`refuse_body`] makes the reply for each.
+    /// [`Error::BodyBroken`]; [`refuse_body`] converts each into a response.
     pub async fn read(self) -> Result<Bytes> {
         let whole = self.collect().await?;
         Ok(whole.to_bytes())
@@ -126,7 +126,7 @@
 
     fn poll_timeout(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let end = deadline_after(self.started_at, self.limits.body_time);
-        // Most bodies are there at once, so the timer is made only when one is not.
+        // Most bodies are available immediately, so the timer is created only if one is not.
         let sleep = self.sleep.get_or_insert_with(|| Box::pin(sleep_until(end)));
         sleep.as_mut().poll(cx)
     }
@@ -170,7 +170,7 @@
     }
 }
 
-/// `refuse_body` makes the reply to a call whose body could not be read.
+/// Returns the response to a call whose body could not be read.
 #[must_use]
 pub fn refuse_body(error: Error) -> Reply {
     match error {
@@ -181,7 +181,7 @@
     }
 }
 
-/// `refuse` makes the reply of an edge that refuses; the connection is closed after it.
+/// Returns the response with which a server refuses a request; the connection is closed after it.
 #[must_use]
 pub fn refuse(reason: Refused) -> Reply {
     let mut reply = Reply::new(body::full(error_json(reason)));
@@ -205,7 +205,7 @@
     reply
 }
 
-/// The refusal as the bytes of a whole answer, for a caller that hyper does not serve.
+/// Returns a refusal as a serialized response, for callers that hyper does not handle.
 pub(super) fn raw_response(reason: Refused) -> Vec<u8> {
     let text = error_json(reason);
     let mut retry = String::new();
@@ -235,7 +235,7 @@
     )
 }
 
-/// Whether the same request may fare better a little later.
+/// Returns whether the same request may succeed a little later.
 const fn is_transient(reason: Refused) -> bool {
     matches!(reason, Refused::Connections | Refused::BodyMemory)
 }
--- a/crates/peppercrank-wire/src/edge/connection.rs
+++ b/crates/peppercrank-wire/src/edge/connection.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One connection of a caller, from its first byte to its close.
+//! A connection of a caller, from its first byte to its close.
 
 use std::convert::Infallible;
 use std::future::poll_fn;
@@ -50,13 +50,13 @@
 use super::refusal::Counters;
 use super::refusal::Refused;
 
-/// The least buffer that hyper takes, in bytes.
+/// Minimum buffer size that hyper accepts, in bytes.
 const MIN_BUFFER_BYTES: usize = 8_192;
 
-/// Most bytes read and dropped from a refused caller.
+/// Maximum number of bytes that are read from a refused caller and discarded.
 const MAX_LINGER_BYTES: usize = 1_024 * 1_024;
 
-/// `Shared` is what all connections of an edge share.
+/// State shared by all connections of a server.
 #[derive(Debug)]
 pub(super) struct Shared<F> {
     pub(super) limits: watch::Receiver<Arc<Limits>>,
@@ -65,13 +65,13 @@
 }
 
 impl<F> Shared<F> {
-    /// The limits at this moment; a connection keeps those that it began with.
+    /// Returns the current limits; a connection keeps those with which it started.
     pub(super) fn limits(&self) -> Arc<Limits> {
         Arc::clone(&self.limits.borrow())
     }
 }
 
-/// `Busy` marks a call as in progress until it is dropped.
+/// Marks a call as in progress until it is dropped.
 #[derive(Debug)]
 struct CallInProgress {
     state: Arc<ConnectionState>,
@@ -97,7 +97,7 @@
     }
 }
 
-/// `Tracked` is the body of a reply, in progress until it is dropped.
+/// Body of a response whose call is in progress until the body is dropped.
 #[derive(Debug)]
 struct TrackedBody {
     inner: Body,
@@ -124,7 +124,7 @@
     }
 }
 
-/// Serves one connection to its end.
+/// Serves a connection until it ends.
 pub(super) async fn serve_connection<F, R>(
     io: TcpStream,
     peer: SocketAddr,
@@ -153,13 +153,13 @@
         })
     };
     let mut conn = http1::Builder::new()
-        // The gate has read the whole head, and bounds the time it takes.
+        // The checked stream has read the whole head and limits the time for it.
         .header_read_timeout(None)
         .max_buf_size(limits.head.saturating_mul(2).max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let end = drive(&mut conn, &state, &limits, stop).await;
     let busy = state.phase() == Phase::Busy;
-    // This drops the answer in progress, which is how its work is cancelled.
+    // This drops the response in progress, which cancels the work for it.
     let io = conn.into_parts().io.into_inner().into_inner();
     match next_step(end, busy, &state) {
         NextStep::Reject(reason) => reject(io, reason, &state, &limits, &shared.counters).await,
@@ -168,7 +168,7 @@
     }
 }
 
-/// `Next` is what is left to do with a connection that hyper is done with.
+/// What remains to be done with a connection after hyper has finished.
 enum NextStep {
     Reject(Refused),
     Close,
@@ -185,7 +185,7 @@
     }
 }
 
-/// `Taken` is a request as hyper hands it over.
+/// A request as received from hyper.
 struct ReceivedRequest {
     request: Request<Incoming>,
     peer: SocketAddr,
@@ -204,7 +204,7 @@
 {
     let peer = received.peer;
     let (head, body) = received.request.into_parts();
-    // The gate cannot tell where a chunked body ends, so nothing may follow it.
+    // The checked stream cannot detect the end of a chunked body, so no request may follow it.
     let closes_after = head.headers.contains_key(header::TRANSFER_ENCODING);
     let body = CallBody::new(body, received.limits, Arc::clone(&in_progress.memory));
     let mut reply = (shared.answer)(Call { head, body, peer }).await;
@@ -218,13 +218,13 @@
     }))
 }
 
-/// `End` is how a connection came to its end.
+/// How a connection ended.
 enum ConnectionEnd {
-    /// Properly, or by an answer that its own writer broke off.
+    /// Regularly, or because the handler aborted its response.
     Closed,
-    /// By the caller's end, or by what it sent.
+    /// Because the caller disconnected or sent invalid data.
     Broken,
-    /// By a time that ran out.
+    /// Because one of its timeouts expired.
     Expired(Expired),
 }
 
@@ -235,7 +235,7 @@
     }
 }
 
-/// Drives the connection until it closes or one of its times runs out.
+/// Drives the connection until it closes or one of its timeouts expires.
 async fn drive<C>(
     conn: &mut C,
     state: &ConnectionState,
@@ -265,7 +265,7 @@
     .await
 }
 
-/// Answers a refused caller, unless an answer has begun, and closes.
+/// Sends a refusal, unless a response has started, and closes the connection.
 async fn reject(
     mut io: TcpStream,
     reason: Refused,
@@ -274,7 +274,7 @@
     counters: &Counters,
 ) {
     counters.refuse(reason);
-    // A caller that does not read its answer is told nothing: its request may have run.
+    // A caller that does not read its response gets no refusal, because its request may have run.
     if !state.response_started() && reason != Refused::WriteTimeout {
         let sent = timeout(limits.linger, io.write_all(&raw_response(reason))).await;
         if !matches!(sent, Ok(Ok(()))) {
@@ -284,7 +284,8 @@
     close(io, limits).await;
 }
 
-/// Closes without losing what was written: a socket closed with unread bytes would be reset.
+/// Closes the connection without losing sent data; closing a socket with unread data would reset
+/// it.
 pub(super) async fn close(mut io: TcpStream, limits: &Limits) {
     let mut drain = async || {
         io.shutdown().await?;
@@ -299,6 +300,6 @@
         }
         std::io::Result::Ok(())
     };
-    // However it ends, the socket is closed next.
+    // The socket is closed next, regardless of the result.
     let _over = timeout(limits.linger, drain()).await;
 }
--- a/crates/peppercrank-wire/src/edge/flow.rs
+++ b/crates/peppercrank-wire/src/edge/flow.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Where one connection stands, shared by its gate, its task and its answer.
+//! State of a connection, shared by its stream, its task and its response.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -14,26 +14,26 @@
 use super::limits::Limits;
 use super::refusal::Refused;
 
-/// Far enough away to mean never, near enough for the clock's arithmetic.
+/// Upper bound of timeouts, which prevents overflows in clock arithmetic.
 const MAX_TIMEOUT: Duration = Duration::from_secs(60 * 60 * 24 * 365);
 
-/// `Phase` is what a connection waits for.
+/// What a connection waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// A request's first byte.
+    /// The first byte of a request.
     Idle,
     /// The rest of a head.
     Head,
-    /// The answer's end.
+    /// The end of the response.
     Busy,
 }
 
-/// `Expired` is which time of a connection ran out.
+/// Which timeout of a connection expired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Expired {
-    /// It idled.
+    /// The idle timeout.
     Idle,
-    /// It is refused, or cut when its answer has begun.
+    /// A timeout for which the request is refused, or aborted if its response has started.
     Refused(Refused),
 }
 
@@ -47,7 +47,7 @@
     response_started: bool,
 }
 
-/// `Flow` is where one connection stands.
+/// State of a connection.
 #[derive(Debug)]
 pub(super) struct ConnectionState(Mutex<Inner>);
 
@@ -63,18 +63,18 @@
         }))
     }
 
-    /// A head's first byte has come.
+    /// Records that the first byte of a head was received.
     pub(super) fn head_started(&self) {
         self.enter(Phase::Head);
     }
 
-    /// A whole head has come.
+    /// Records that a whole head was received.
     pub(super) fn head_complete(&self) {
         self.enter(Phase::Busy);
         self.lock().response_started = false;
     }
 
-    /// The answer was handed over to its end, or dropped.
+    /// Records that the response was handed over completely, or dropped.
     pub(super) fn response_ended(&self) {
         self.enter(Phase::Idle);
         let waker = self.lock().held_waker.take();
@@ -87,7 +87,7 @@
         self.lock().phase
     }
 
-    /// Keeps the waker of a gate that holds back what comes before the answer's end.
+    /// Stores the waker of a stream that holds back data until the end of the response.
     pub(super) fn set_held_waker(&self, waker: &Waker) {
         self.lock().held_waker = Some(waker.clone());
     }
@@ -96,24 +96,24 @@
         self.lock().refused = Some(reason);
     }
 
-    /// Why the connection is refused, unless its answer has begun.
+    /// Returns the reason for which the request is refused, if any.
     pub(super) fn refused(&self) -> Option<Refused> {
         self.lock().refused
     }
 
-    /// Whether any of the present answer was written.
+    /// Returns whether any part of the current response was written.
     pub(super) fn response_started(&self) -> bool {
         self.lock().response_started
     }
 
-    /// Bytes of an answer went out.
+    /// Records that bytes of a response were written.
     pub(super) fn write_progressed(&self) {
         let mut state = self.lock();
         state.write_blocked_since = None;
         state.response_started = true;
     }
 
-    /// The caller takes no bytes.
+    /// Records that the caller accepts no bytes.
     pub(super) fn write_blocked(&self) {
         let mut state = self.lock();
         if state.write_blocked_since.is_none() {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The next time that runs out, and what it means.
+    /// Returns the next deadline and the timeout that expires then.
     pub(super) fn deadline(
         &self,
         limits: &Limits,
@@ -171,7 +171,7 @@
     }
 }
 
-/// The moment `time` after `start`, however long that is.
+/// Returns the instant `time` after `start`, limited to [`MAX_TIMEOUT`].
 pub(super) fn deadline_after(start: Instant, time: Duration) -> Instant {
     start + time.min(MAX_TIMEOUT)
 }
--- a/crates/peppercrank-wire/src/edge/gate.rs
+++ b/crates/peppercrank-wire/src/edge/gate.rs
@@ -1,11 +1,11 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The gate between a connection's socket and hyper.
+//! Stream between the socket of a connection and hyper.
 //!
-//! It hands hyper one checked head and its body at a time, so that hyper never sees a head that is
-//! refused, and a caller that goes away while its answer is on the way is noticed even when it
-//! had sent its next request ahead.
+//! It passes one checked head with its body at a time to hyper. So hyper never receives a head that
+//! is refused, and a disconnect during a response is detected even if the caller has already sent
+//! its next request.
 
 use std::io;
 use std::pin::Pin;
@@ -29,28 +29,28 @@
 use super::limits::Limits;
 use super::refusal::Refused;
 
-/// Bytes read from the socket at once while a head comes in.
+/// Maximum number of bytes per read from the socket while a head is incomplete.
 const READ_CHUNK: usize = 4_096;
 
-/// `Pass` is what the gate hands on next.
+/// What is passed on to hyper next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Forward {
-    /// Nothing, until a whole head has been checked.
+    /// Nothing, until a whole head was checked.
     Head,
     /// This many bytes of a head and its body.
     Bytes(u64),
-    /// Everything: only hyper knows where a chunked body ends, and the connection ends with it.
+    /// Everything, because only hyper knows where a chunked body ends; the connection ends with it.
     Rest,
 }
 
-/// `Gate` checks heads on their way from a socket to hyper.
+/// A TCP stream that checks request heads before it passes them on to hyper.
 #[derive(Debug)]
 pub(super) struct CheckedStream {
     io: TcpStream,
     state: Arc<ConnectionState>,
     limits: Arc<Limits>,
     buf: BytesMut,
-    /// Bytes of `buf` in which no head ends.
+    /// Number of bytes at the start of `buf` in which no head ends.
     scanned: usize,
     forward: Forward,
 }
@@ -71,7 +71,7 @@
         self.io
     }
 
-    /// Reads some bytes into the buffer; 0 at the stream's end.
+    /// Reads into the buffer and returns the number of bytes, which is 0 at the end of the stream.
     fn poll_fill(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
         let mut space = [0; READ_CHUNK];
         let mut out = ReadBuf::new(&mut space);
@@ -80,7 +80,7 @@
         Poll::Ready(Ok(out.filled().len()))
     }
 
-    /// Waits for a whole head; true at the stream's end.
+    /// Waits for a whole head, or returns true at the end of the stream.
     fn poll_head(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
         loop {
             if self.state.phase() == Phase::Busy {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Holds back what a caller sends before its answer's end, and notices when it goes away.
+    /// Holds back data that arrives before the end of the response, and detects disconnects.
     fn poll_while_busy(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
         self.state.set_held_waker(cx.waker());
         while self.buf.len() < self.limits.head {
@@ -114,16 +114,16 @@
         Poll::Pending
     }
 
-    /// Looks for a head in the buffer, parsing only when a blank line has come.
+    /// Searches the buffer for a head, which is parsed only once a blank line has arrived.
     fn find_head(&mut self) -> HeadStatus {
         while let Some(end) = find_blank_line(&self.buf, self.scanned) {
             match inspect(&self.buf, &self.limits) {
-                // The blank line stood before the request line.
+                // The blank line preceded the request line.
                 HeadStatus::Incomplete => self.scanned = end,
                 seen => return seen,
             }
         }
-        // The last two bytes may begin a blank line.
+        // The last two bytes may be the start of a blank line.
         self.scanned = self.scanned.max(self.buf.len().saturating_sub(2));
         if self.buf.len() > self.limits.head {
             return HeadStatus::Invalid(Refused::HeadTooBig);
@@ -145,7 +145,7 @@
         io::ErrorKind::InvalidData.into()
     }
 
-    /// Hands on at max `max` bytes, those of the buffer first.
+    /// Passes on at most `max` bytes, starting with those in the buffer.
     fn poll_forward(
         &mut self,
         cx: &mut Context<'_>,
@@ -158,7 +158,7 @@
             out.put_slice(&self.buf[..n]);
             self.buf.advance(n);
             if self.buf.is_empty() {
-                // An open stream should not hold the room that its head took.
+                // Frees the memory of the head while a response is streamed.
                 self.buf = BytesMut::new();
             }
             return Poll::Ready(Ok(n));
@@ -172,7 +172,7 @@
     }
 }
 
-/// The end of the first blank line at or after `from`.
+/// Returns the end of the first blank line at or after `from`.
 fn find_blank_line(buf: &[u8], from: usize) -> Option<usize> {
     let mut at = from;
     while let Some(found) = buf[at..].iter().position(|b| *b == b'\n') {
@@ -214,7 +214,7 @@
 }
 
 impl CheckedStream {
-    /// Notes whether a write went on.
+    /// Records whether a write made progress.
     fn record_write(&self, wrote: &Poll<io::Result<usize>>) {
         match wrote {
             Poll::Pending => self.state.write_blocked(),
@@ -253,7 +253,8 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // A refusal may still be written, so the socket is shut down by the connection's task.
+        // The task of the connection shuts the socket down, because a refusal may still have to be
+        // sent.
         Pin::new(&mut self.io).poll_flush(cx)
     }
 }
--- a/crates/peppercrank-wire/src/edge/head.rs
+++ b/crates/peppercrank-wire/src/edge/head.rs
@@ -1,10 +1,10 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The checks of a request's head, on the bytes as they came.
+//! Checks of a request head in its serialized form.
 //!
-//! hyper resolves a length that stands beside a transfer coding by dropping the length, so that
-//! nothing above it can refuse such a request. These checks run before hyper sees the head.
+//! If a request has both a content length and a transfer coding, hyper drops the length, so later
+//! code could not refuse the request. Therefore, these checks run before hyper receives the head.
 
 use http::Method;
 use http::Uri;
@@ -18,33 +18,33 @@
 use super::limits::Limits;
 use super::refusal::Refused;
 
-/// Most headers of one request; hyper's own default.
+/// Maximum number of headers of a request, equal to hyper's default.
 const MAX_HEADERS: usize = 100;
 
 /// The minor version of HTTP/1.1.
 const HTTP_1_1_MINOR: u8 = 1;
 
-/// `Framing` is how a request's body ends.
+/// How the end of a request body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Framing {
-    /// After this many bytes.
+    /// By its length in bytes.
     Length(u64),
-    /// With the last chunk.
+    /// By the last chunk.
     Chunked,
 }
 
-/// `Seen` is what the bytes so far hold.
+/// Result of inspecting the bytes received so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum HeadStatus {
-    /// A head that goes on.
+    /// The head is incomplete.
     Incomplete,
-    /// A whole head of `len` bytes.
+    /// The head is complete and has `len` bytes.
     Complete { len: usize, framing: Framing },
-    /// A head to refuse.
+    /// The head must be refused.
     Invalid(Refused),
 }
 
-/// Inspects a head that ends somewhere within `bytes`.
+/// Inspects a head at the start of `bytes`.
 pub(super) fn inspect(bytes: &[u8], limits: &Limits) -> HeadStatus {
     let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut request = Request::new(&mut headers);
@@ -67,7 +67,7 @@
 }
 
 fn check_request(request: &Request<'_, '_>, limits: &Limits) -> Result<Framing, Refused> {
-    // An older caller could not tell a broken answer from a whole one.
+    // Callers with older versions could not distinguish a truncated response from a complete one.
     if request.version != Some(HTTP_1_1_MINOR) {
         return Err(Refused::Version);
     }
@@ -77,7 +77,7 @@
     if header_values(request.headers, header::HOST.as_str()).count() != 1 {
         return Err(Refused::BadHead);
     }
-    // hyper would refuse the path by a bare status, once the gate had let it through.
+    // Otherwise hyper would refuse the path with a bare status code.
     if request.path.is_none_or(|p| p.parse::<Uri>().is_err()) {
         return Err(Refused::BadHead);
     }
@@ -101,14 +101,14 @@
 }
 
 fn content_length(value: &[u8], limits: &Limits) -> Result<Framing, Refused> {
-    // Parsing takes a sign, which the field does not allow.
+    // Integer parsing accepts a sign, which the header does not allow.
     if value.is_empty() || !value.iter().all(u8::is_ascii_digit) {
         return Err(Refused::Framing);
     }
     let length = std::str::from_utf8(value).ok().and_then(|t| t.parse().ok());
     match length {
         Some(length) if length <= limits.body => Ok(Framing::Length(length)),
-        // Digits that overflow are a length beyond every limit.
+        // A length that overflows exceeds every limit.
         _ => Err(Refused::BodyTooBig),
     }
 }
--- a/crates/peppercrank-wire/src/edge/limits.rs
+++ b/crates/peppercrank-wire/src/edge/limits.rs
@@ -1,36 +1,36 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What an edge allows each connection and call.
+//! Limits of a server on connections and calls.
 
 use std::time::Duration;
 
-/// `Limits` are what an edge allows each connection and call.
+/// Limits of a server on connections and calls.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Connections open at once; one more is answered 503 and closed.
+    /// Maximum number of open connections; further connections are answered with 503 and closed.
     pub connections: usize,
-    /// The longest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head: usize,
-    /// The longest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body: u64,
-    /// Request bodies held at once by all calls in progress, in bytes.
+    /// Maximum total size of the request bodies of all calls in progress, in bytes.
     pub bodies: u64,
-    /// Time from a head's first byte to its last.
+    /// Maximum time from the first to the last byte of a head.
     pub head_time: Duration,
-    /// Time from a head's end to its body's last byte.
+    /// Maximum time from the end of the head to the last byte of the body.
     pub body_time: Duration,
-    /// Time that a connection stays open without a request.
+    /// Maximum time that a connection stays open without a request.
     pub idle: Duration,
-    /// Time that a caller may leave an answer unread.
+    /// Maximum time that a caller may leave a response unread.
     pub write: Duration,
-    /// Time from a head's end to the answer's end.
+    /// Maximum time from the end of the head to the end of the response.
     pub total: Duration,
-    /// Time for which a refused caller may still send, so that it reads the refusal.
+    /// Time that a refused caller may continue to send, so that it can read the refusal.
     pub linger: Duration,
-    /// Once stopping, the time that unused connections stay open and new ones are taken up.
+    /// During shutdown, the time that idle connections stay open and new ones are accepted.
     pub stop_idle: Duration,
-    /// Once stopping, the time left to what is in progress.
+    /// During shutdown, the time that calls in progress get to complete.
     pub drain: Duration,
 }
 
@@ -40,7 +40,7 @@
             connections: 4_096,
             head: 32 * 1_024,
             body: 8 * 1_024 * 1_024,
-            // A quarter of the 256 MB that a daemon may take.
+            // A quarter of the 256 MB memory limit of a daemon.
             bodies: 64 * 1_024 * 1_024,
             head_time: Duration::from_secs(10),
             body_time: Duration::from_secs(60),
--- a/crates/peppercrank-wire/src/edge/mod.rs
+++ b/crates/peppercrank-wire/src/edge/mod.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! HTTP/1.1 edges: servers that stream their answers and bound what callers can hold.
+//! HTTP/1.1 servers that stream their responses and limit the resources that callers can hold.
 
 mod call;
 mod connection;
@@ -44,17 +44,20 @@
 use connection::Shared;
 use flow::deadline_after;
 
-/// Pause after a failed accept, so that a full descriptor table is not polled in a tight loop.
+/// Pause after a failed accept, which avoids a busy loop while the file descriptor table is full.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Connections that the system may hold ready; the default of 128 drops a burst's first packets,
-/// which come again a second later.
+/// Length of the accept queue of the system.
+///
+/// With the default of 128, a burst of connections loses its first packets, which the clients
+/// retransmit only a second later.
 const BACKLOG: u32 = 4_096;
 
-/// Callers over the limit that are told so at once; those beyond are closed without a word.
+/// Maximum number of connections over the limit that are answered at the same time; others are
+/// closed without a response.
 const MAX_REJECTED_CONNECTIONS: u64 = 64;
 
-/// `Edge` is a listening HTTP/1.1 server.
+/// A listening HTTP/1.1 server.
 #[derive(Debug)]
 pub struct Edge {
     listener: TcpListener,
@@ -62,21 +65,21 @@
     counters: Arc<Counters>,
 }
 
-/// `Finished` is how an edge ended.
+/// Summary of a server that has shut down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServeSummary {
-    /// Calls taken up since the start.
+    /// Number of calls since the start.
     pub calls: u64,
-    /// Calls cut off since they outlasted the time for stopping.
+    /// Number of calls aborted because they exceeded the shutdown timeout.
     pub cut: u64,
 }
 
 impl Edge {
-    /// `bind` listens on an address; port 0 takes a free one.
+    /// Binds the server to an address; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// Returns [`crate::Error::Io`] when the address cannot be bound.
+    /// Returns [`crate::Error::Io`] if the address cannot be bound.
     #[expect(
         clippy::unused_async,
         reason = "listening needs a runtime, which an async function has"
@@ -91,22 +94,22 @@
         })
     }
 
-    /// `local_addr` is where the edge listens.
+    /// Returns the address that the server listens on.
     #[must_use]
     pub const fn local_addr(&self) -> SocketAddr {
         self.address
     }
 
-    /// `counters` are the edge's counters, which outlive it.
+    /// Returns the counters of the server, which outlive it.
     #[must_use]
     pub fn counters(&self) -> Arc<Counters> {
         Arc::clone(&self.counters)
     }
 
-    /// `serve` answers callers until told to stop, then finishes what is in progress.
+    /// Serves callers until `stop` is signalled, then completes the calls in progress.
     ///
-    /// Each call's answering future is dropped when its caller goes away. Once stopping, answers
-    /// close their connections and what outlasts [`Limits::drain`] is cut.
+    /// The future of a call is dropped when its caller disconnects. During shutdown, each response
+    /// closes its connection, and calls that exceed [`Limits::drain`] are aborted.
     pub async fn serve<F, R>(self, limits: Limits, stop: Stop, answer: F) -> ServeSummary
     where
         F: Fn(Call) -> R + Send + Sync + 'static,
@@ -116,8 +119,9 @@
         self.serve_within(limits, stop, answer).await
     }
 
-    /// `serve_within` is [`Edge::serve`] with limits that may change; a connection keeps those
-    /// that it began with.
+    /// Serves callers like [`Edge::serve`], with limits that may change.
+    ///
+    /// A connection keeps the limits with which it started.
     pub async fn serve_within<F, R>(
         self,
         limits: watch::Receiver<Arc<Limits>>,
@@ -141,8 +145,8 @@
         }
         let limits = shared.limits();
         let end = deadline_after(Instant::now(), limits.drain);
-        // Callers hear of the stop by and by. One that the system connects as the listener closes
-        // is reset, so it closes only when few come any more.
+        // Callers learn of the shutdown gradually. The system resets connections that are
+        // established while the listener closes, so it stays open until few new ones arrive.
         let late = self.accept(&mut tasks, &shared, &stop);
         let time = limits.stop_idle.min(limits.drain);
         let _over = timeout(time, late).await;
@@ -157,7 +161,7 @@
 }
 
 impl Edge {
-    /// Takes up connections for ever.
+    /// Accepts connections forever.
     async fn accept<F, R>(&self, tasks: &mut JoinSet<()>, shared: &Arc<Shared<F>>, stop: &Stop)
     where
         F: Fn(Call) -> R + Send + Sync + 'static,
@@ -179,19 +183,19 @@
     }
 }
 
-/// Listens with a queue that a burst of callers fits in.
+/// Creates a listener whose accept queue fits a burst of callers.
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
     };
-    // A restarted process takes its address back although old connections linger.
+    // Lets a restarted process bind its address while old connections linger.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
 }
 
-/// `Open` counts a connection as open until it is dropped.
+/// Counts a connection as open until it is dropped.
 struct OpenConnection(Arc<Counters>);
 
 impl Drop for OpenConnection {
@@ -221,7 +225,7 @@
         }
         return;
     }
-    // Without it only the latency suffers.
+    // A failure affects only latency.
     let _set = io.set_nodelay(true);
     let shared = Arc::clone(shared);
     let stop = stop.clone();
@@ -243,7 +247,7 @@
     drop(open);
 }
 
-/// Waits for the connections' ends and returns how many calls were cut.
+/// Waits for the connections to end and returns the number of aborted calls.
 async fn drain(mut tasks: JoinSet<()>, end: Instant, counters: &Counters) -> u64 {
     let all = async { while tasks.join_next().await.is_some() {} };
     if timeout_at(end, all).await.is_ok() {
--- a/crates/peppercrank-wire/src/edge/refusal.rs
+++ b/crates/peppercrank-wire/src/edge/refusal.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What an edge refuses or cuts by itself, and how often.
+//! Reasons for which a server itself refuses requests or closes connections, and its counters.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -10,17 +10,17 @@
 
 macro_rules! refused {
     ($($(#[$doc:meta])* $variant:ident $code:literal $status:ident $text:literal,)*) => {
-        /// `Refused` is why an edge refused a request or cut a connection by itself.
+        /// Why a server refused a request or closed a connection by itself.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum Refused {
             $($(#[$doc])* $variant,)*
         }
 
         impl Refused {
-            /// All reasons, in the order of their definition.
+            /// All reasons in the order of their definition.
             pub const ALL: &[Self] = &[$(Self::$variant,)*];
 
-            /// `code` is the stable code of the reason in answers and metrics.
+            /// Returns the stable code of the reason in responses and metrics.
             #[must_use]
             pub const fn code(self) -> &'static str {
                 match self {
@@ -28,7 +28,7 @@
                 }
             }
 
-            /// `status` is the status that a refused caller is answered with.
+            /// Returns the status of the response to a refused caller.
             #[must_use]
             pub const fn status(self) -> StatusCode {
                 match self {
@@ -36,7 +36,7 @@
                 }
             }
 
-            /// `text` is the message for the caller.
+            /// Returns the message for the caller.
             #[must_use]
             pub const fn text(self) -> &'static str {
                 match self {
@@ -48,36 +48,36 @@
 }
 
 refused! {
-    /// As many connections as allowed were open.
+    /// The maximum number of connections was reached.
     Connections "connections" SERVICE_UNAVAILABLE "too many connections",
-    /// The head does not parse.
+    /// The head could not be parsed.
     BadHead "bad_head" BAD_REQUEST "malformed request head",
-    /// The head says in more than one way where the body ends.
+    /// The head specifies the end of the body in an ambiguous or unsupported way.
     Framing "bad_framing" BAD_REQUEST "ambiguous or unsupported request framing",
-    /// The head is too long or has too many headers.
+    /// The head is too large or has too many headers.
     HeadTooBig "head_too_big" REQUEST_HEADER_FIELDS_TOO_LARGE "request head too large",
     /// The head did not arrive in time.
     HeadTimeout "head_timeout" REQUEST_TIMEOUT "request head not received in time",
     /// The request is not HTTP/1.1.
     Version "http_version" HTTP_VERSION_NOT_SUPPORTED "protocol version not supported",
-    /// The method is not one that is passed on.
+    /// The method is not supported.
     Method "method" METHOD_NOT_ALLOWED "method not supported",
-    /// The body is longer than the limit.
+    /// The body exceeds the maximum size.
     BodyTooBig "body_too_big" PAYLOAD_TOO_LARGE "request body too large",
-    /// The bodies of all calls in progress fill the room that there is for them.
+    /// The bodies of all calls in progress reached their maximum total size.
     BodyMemory "body_memory" SERVICE_UNAVAILABLE "too many request bodies in progress",
     /// The body did not arrive in time.
     BodyTimeout "body_timeout" REQUEST_TIMEOUT "request body not received in time",
-    /// The body broke off or its chunks are malformed.
+    /// The body was truncated or its chunks are malformed.
     BadBody "bad_body" BAD_REQUEST "malformed request body",
-    /// The caller left its answer unread too long.
+    /// The caller did not read the response in time.
     WriteTimeout "write_timeout" REQUEST_TIMEOUT "answer not read in time",
-    /// The call took longer than the total time.
+    /// The call exceeded its total time.
     TotalTime "total_time" GATEWAY_TIMEOUT "call exceeded its total time",
 }
 
 impl Refused {
-    /// `run` tells whether a call that ended so may have run, in the words of answers and metrics.
+    /// Returns whether the refused call may have run, as a code for responses and metrics.
     #[must_use]
     pub const fn run(self) -> &'static str {
         match self {
@@ -87,7 +87,7 @@
     }
 }
 
-/// `Counters` count what happens at one edge.
+/// Counters of a server.
 #[derive(Debug, Default)]
 pub struct Counters {
     refused: [AtomicU64; Refused::ALL.len()],
@@ -100,49 +100,49 @@
 }
 
 impl Counters {
-    /// `refused` is how often the edge refused or cut for this reason.
+    /// Returns how often the server refused a request or closed a connection for `reason`.
     #[must_use]
     pub fn refused(&self, reason: Refused) -> u64 {
         self.refused[reason as usize].load(Ordering::Relaxed)
     }
 
-    /// `open` is how many connections are open.
+    /// Returns the number of open connections.
     #[must_use]
     pub fn open(&self) -> u64 {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// `busy` is how many calls are in progress.
+    /// Returns the number of calls in progress.
     #[must_use]
     pub fn busy(&self) -> u64 {
         self.busy.load(Ordering::Relaxed)
     }
 
-    /// `calls` is how many calls were taken up.
+    /// Returns the number of calls since the start.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// `gone` is how many calls ended early since their callers went away.
+    /// Returns the number of calls that ended early because the caller disconnected.
     #[must_use]
     pub fn gone(&self) -> u64 {
         self.callers_gone.load(Ordering::Relaxed)
     }
 
-    /// `accept_errors` is how often the system failed to accept a connection.
+    /// Returns how often the system failed to accept a connection.
     #[must_use]
     pub fn accept_errors(&self) -> u64 {
         self.accept_errors.load(Ordering::Relaxed)
     }
 
-    /// `body_bytes` is the length of the bodies that calls in progress have sent.
+    /// Returns the bytes of the request bodies of calls in progress.
     #[must_use]
     pub fn body_bytes(&self) -> u64 {
         self.body_bytes.load(Ordering::Relaxed)
     }
 
-    /// Counts bytes of a body as held, if there is room for them.
+    /// Counts bytes of a body as held, and returns whether the total stays within `max`.
     pub(super) fn reserve_body_bytes(&self, bytes: u64, max: u64) -> bool {
         let before = self.body_bytes.fetch_add(bytes, Ordering::Relaxed);
         let fits = before.saturating_add(bytes) <= max;
@@ -168,7 +168,7 @@
         self.accept_errors.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a connection as open and returns how many are.
+    /// Counts a connection as open and returns the number of open connections.
     pub(super) fn connection_opened(&self) -> u64 {
         self.open.fetch_add(1, Ordering::Relaxed) + 1
     }
--- a/crates/peppercrank-wire/src/errors.rs
+++ b/crates/peppercrank-wire/src/errors.rs
@@ -1,15 +1,15 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The crate's error type, its result and small constructors.
+//! The error and result types of this crate, with a constructor for I/O errors.
 
 use std::fmt;
 use std::io;
 
-/// `Result` is the result of every fallible function of this crate.
+/// The result of the fallible functions of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Step` is what an adapter was doing when the system's call failed.
+/// Operation during which a system call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Step {
     /// Binding a socket to its address.
@@ -24,45 +24,45 @@
     Spawn,
 }
 
-/// `Error` names what went wrong at an edge of the process.
+/// An error of the network adapters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Error {
-    /// A call of the operating system failed.
+    /// A system call failed.
     Io {
-        /// What was being done.
+        /// The operation that failed.
         step: Step,
-        /// The system's kind of error.
+        /// The kind of error reported by the system.
         kind: io::ErrorKind,
     },
-    /// The writer of a body went away before the body's end.
+    /// The writer of a body was dropped before the end of the body.
     Aborted,
-    /// The reader of a body went away.
+    /// The reader of a body was dropped.
     ReaderGone,
-    /// A body is longer than the limit.
+    /// A body exceeds the maximum size.
     BodyTooBig,
-    /// The bodies of all calls in progress fill the room that there is for them.
+    /// The bodies of all calls in progress reached their maximum total size.
     BodyMemory,
-    /// A body did not arrive within its time.
+    /// A body did not arrive in time.
     BodyTimeout,
-    /// A body broke off or was framed wrongly.
+    /// A body was truncated or is malformed.
     BodyBroken,
-    /// Nothing of an answer arrived within the idle time.
+    /// No part of a response arrived within the idle timeout.
     ResponseIdle,
-    /// An answer broke off before its end.
+    /// A response was truncated.
     ResponseCut,
-    /// A message does not fit a datagram.
+    /// A message does not fit into a datagram.
     MessageTooBig {
-        /// The message's length, in bytes.
+        /// The length of the message, in bytes.
         len: usize,
-        /// The longest length allowed, in bytes.
+        /// The maximum length, in bytes.
         max: usize,
     },
     /// A message could not be encoded.
     Encode,
 }
 
-/// `io` makes the error for a failed call of the operating system.
+/// Returns the error for a failed system call.
 #[must_use]
 pub fn io(step: Step, error: &io::Error) -> Error {
     let kind = error.kind();
--- a/crates/peppercrank-wire/src/headers.rs
+++ b/crates/peppercrank-wire/src/headers.rs
@@ -1,13 +1,13 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Headers that belong to one connection and are not passed on.
+//! Headers that apply to a single connection and are not forwarded.
 
 use http::HeaderMap;
 use http::HeaderName;
 use http::header;
 
-/// Headers of one connection, whether or not `Connection` names them.
+/// Headers that apply to a single connection even if `Connection` does not list them.
 ///
 /// Source: RFC 9110, section 7.6.1, with the two names that older clients still send.
 const HOP_BY_HOP: [HeaderName; 8] = [
@@ -21,10 +21,10 @@
     header::UPGRADE,
 ];
 
-/// `strip` removes the headers that hold for one connection only.
+/// Removes the headers that apply to a single connection.
 ///
-/// A length that stands beside a transfer coding goes too, since the coding overrides it. The
-/// transfer coding itself is the adapters' to write anew.
+/// If there is a transfer coding, the content length is removed too, because the coding overrides
+/// it. The adapters write the transfer coding themselves.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     for name in named_by_connection(headers) {
         headers.remove(name);
@@ -37,7 +37,7 @@
     }
 }
 
-/// The headers that `Connection` names, but for those that frame the message.
+/// Returns the headers that `Connection` lists, except those that frame the message.
 fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
     let mut names = Vec::new();
     for value in headers.get_all(header::CONNECTION) {
@@ -49,7 +49,7 @@
             names.extend(name);
         }
     }
-    // A caller must not unframe its message by naming the length a hop-by-hop header.
+    // Callers must not be able to remove the framing by listing the length as a hop-by-hop header.
     names.retain(|n| *n != header::CONTENT_LENGTH && *n != header::TRANSFER_ENCODING);
     names
 }
--- a/crates/peppercrank-wire/src/lib.rs
+++ b/crates/peppercrank-wire/src/lib.rs
@@ -9,7 +9,7 @@
 //!
 //! # Examples
 //!
-//! An edge that greets, and a client that calls it:
+//! A server that returns a greeting, and a client that calls it:
 //!
 //! ```
 //! use http_body_util::BodyExt;
--- a/crates/peppercrank-wire/src/pages.rs
+++ b/crates/peppercrank-wire/src/pages.rs
@@ -1,10 +1,10 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Operators' pages: metrics, health, readiness and status.
+//! HTTP endpoints for operators: metrics, health, readiness and status.
 //!
-//! They are served by rouille on an address of their own, which only operators and the balancer
-//! should reach: rouille takes a thread for each connection that sends a request slowly.
+//! They are served by rouille on a separate address, which only operators and the balancer should
+//! be able to reach: rouille uses a thread for each connection that sends its request slowly.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -27,25 +27,25 @@
 use crate::errors::Step;
 use crate::seal::BearerTokens;
 
-/// How often the server looks whether it is to stop.
+/// Interval at which the server checks whether it has to stop.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the paths of the pages of single objects begin with.
+/// Path prefix of the endpoints of single objects.
 const OBJECTS_PREFIX: &str = "/objects/";
 
-/// `Page` is one page as it stands at the moment of asking.
+/// Response of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Page {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
     /// The content type.
     pub content_type: &'static str,
-    /// The text.
+    /// The response text.
     pub text: String,
 }
 
 impl Page {
-    /// `text` is a plain page of this status.
+    /// Returns a plain text response with this status.
     #[must_use]
     pub fn text(status: u16, text: impl Into<String>) -> Self {
         Self {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// `metrics` is a page in the text format that Prometheus reads.
+    /// Returns a response in the `OpenMetrics` text format.
     #[must_use]
     pub const fn metrics(text: String) -> Self {
         Self {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// `json` is a page of JSON.
+    /// Returns a JSON response with this status.
     #[must_use]
     pub const fn json(status: u16, text: String) -> Self {
         Self {
@@ -76,22 +76,22 @@
     }
 }
 
-/// `Source` makes a page anew each time that it is asked for.
+/// Creates the response for each request to an endpoint.
 pub type PageSource = Box<dyn Fn() -> Page + Send + Sync>;
 
 /// `Pages` are the pages of one daemon.
 pub struct Pages {
     /// `/metrics`.
     pub metrics: PageSource,
-    /// `/healthz`: 200 while the process works.
+    /// `/healthz`: 200 while the process is healthy.
     pub healthz: PageSource,
-    /// `/readyz`: 200 while it should be given work, 503 otherwise.
+    /// `/readyz`: 200 while the process accepts requests, 503 otherwise.
     pub readyz: PageSource,
     /// `/status`.
     pub status: PageSource,
-    /// The pages below `/objects/`, by the rest of the path.
+    /// The endpoints below `/objects/`, called with the rest of the path.
     pub objects: Box<dyn Fn(&str) -> Page + Send + Sync>,
-    /// Who may read `/status` and `/objects/`; anybody who reaches the address, if absent.
+    /// Tokens for `/status` and `/objects/`; if absent, these endpoints need no token.
     pub tokens: Option<BearerTokens>,
 }
 
@@ -102,15 +102,15 @@
 }
 
 impl Pages {
-    /// `serve` serves the pages with a number of threads until what it returns is dropped.
+    /// Serves the endpoints with `threads` threads until the returned server is dropped.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Io`] when the address cannot be bound or the thread not be started.
+    /// Returns [`Error::Io`] if the address cannot be bound or the thread cannot be started.
     ///
     /// # Panics
     ///
-    /// Panics when `threads` is 0.
+    /// Panics if `threads` is 0.
     pub fn serve(self, address: SocketAddr, threads: usize) -> Result<PagesServer> {
         let bound = Server::new(address, move |request| respond(&self, request));
         let server = bound.map_err(|e| bind_error(&*e))?.pool_size(threads);
@@ -133,7 +133,7 @@
     }
 }
 
-/// `Serving` is a running server of pages; dropping it ends the server.
+/// A running server of endpoints; dropping it stops the server.
 #[derive(Debug)]
 pub struct PagesServer {
     address: SocketAddr,
@@ -142,7 +142,7 @@
 }
 
 impl PagesServer {
-    /// `local_addr` is where the pages are.
+    /// Returns the address that the server listens on.
     #[must_use]
     pub const fn local_addr(&self) -> SocketAddr {
         self.address
@@ -153,7 +153,7 @@
     fn drop(&mut self) {
         self.stopped.store(true, Ordering::Release);
         if let Some(thread) = self.thread.take() {
-            // A page's panic is answered with 500, so the thread itself has none to tell.
+            // A panic in an endpoint is answered with 500, so the thread itself does not panic.
             let _ended = thread.join();
         }
     }
@@ -185,7 +185,7 @@
         ("/status", _) => (pages.status)(),
         _ => Page::text(404, "no such page\n"),
     };
-    // One page's fault must not end the server.
+    // A panic in one endpoint must not stop the server.
     match catch_unwind(AssertUnwindSafe(make)) {
         Ok(page) => response(page),
         Err(_) => response(Page::text(500, "the page could not be made\n")),
--- a/crates/peppercrank-wire/src/seal/bearer.rs
+++ b/crates/peppercrank-wire/src/seal/bearer.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Operators' bearer tokens, compared in constant time.
+//! Bearer tokens of operators, compared in constant time.
 
 use std::fmt;
 
@@ -12,10 +12,10 @@
 use subtle::Choice;
 use subtle::ConstantTimeEq;
 
-/// The scheme before a token.
+/// The authentication scheme that precedes a token.
 const SCHEME: &str = "Bearer ";
 
-/// `Bearers` knows the tokens that operators may show, by their digests.
+/// The accepted bearer tokens, stored as digests.
 #[derive(Clone)]
 pub struct BearerTokens(Vec<[u8; 32]>);
 
@@ -26,12 +26,12 @@
 }
 
 impl BearerTokens {
-    /// `new` accepts these tokens; without any, nobody is let in.
+    /// Accepts the given tokens; without tokens, all requests are rejected.
     pub fn new<'a>(tokens: impl IntoIterator<Item = &'a str>) -> Self {
         Self(tokens.into_iter().map(digest).collect())
     }
 
-    /// `admits` tells whether the headers show one of the tokens.
+    /// Returns whether the headers contain one of the tokens.
     #[must_use]
     pub fn authorizes(&self, headers: &HeaderMap) -> bool {
         let presented = headers.get(header::AUTHORIZATION);
@@ -40,10 +40,10 @@
             .is_some_and(|v| self.matches(v))
     }
 
-    /// `knows` tells whether an `Authorization` value shows one of the tokens.
+    /// Returns whether the value of an `Authorization` header contains one of the tokens.
     ///
-    /// It compares digests, and all of them, so that neither a token's length nor its place is
-    /// told by the time it takes.
+    /// All digests are compared, so that the duration reveals neither the length of a token nor its
+    /// position in the list.
     #[must_use]
     pub fn matches(&self, value: &str) -> bool {
         let Some(token) = value.strip_prefix(SCHEME) else {
--- a/crates/peppercrank-wire/src/seal/head.rs
+++ b/crates/peppercrank-wire/src/seal/head.rs
@@ -1,11 +1,11 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The code in the head of a request from a router to an agent.
+//! Authentication code in the head of a request from a router to an agent.
 //!
-//! It covers the agent's address, the method, the path and every `x-peppercrank-` header, so
-//! that an agent refuses work that is not from our routers. It does not cover the body. An
-//! attempt's id is never used twice, so the agent refuses a replayed head as a duplicate.
+//! The code covers the address of the agent, the method, the path and all `x-peppercrank-` headers,
+//! so that an agent rejects requests that do not come from a router of the fleet. It does not cover
+//! the body. Attempt ids are unique, so the agent rejects a replayed head as a duplicate attempt.
 
 use std::net::SocketAddr;
 
@@ -22,17 +22,17 @@
 use super::keys::TAG_LEN;
 use super::opener::Rejected;
 
-/// The header that carries the code: the key's number and the code, both in hexadecimal.
+/// The header that carries the key id and the code, both in hexadecimal.
 pub const MAC_HEADER: HeaderName = HeaderName::from_static("x-peppercrank-mac");
 
-/// The start of every header that is covered.
+/// Prefix of the headers that are covered by the code.
 const SIGNED_PREFIX: &str = "x-peppercrank-";
 
-/// `sign_head` is the code for a head, to be set as [`MAC_HEADER`].
+/// Returns the code for a head, as the value of [`MAC_HEADER`].
 ///
 /// # Panics
 ///
-/// Does not panic: hexadecimal digits always make a header's value.
+/// Does not panic: hexadecimal digits always form a valid header value.
 #[must_use]
 pub fn sign_head(
     ring: &KeyRing,
@@ -47,7 +47,7 @@
     HeaderValue::from_str(&text).expect("hexadecimal digits")
 }
 
-/// `check_head` checks the code of a head.
+/// Verifies the code of a head.
 ///
 /// # Errors
 ///
@@ -91,7 +91,7 @@
         .map(|(name, value)| (name.as_str(), value.as_bytes()))
         .filter(|(name, _)| name.starts_with(SIGNED_PREFIX) && *name != MAC_HEADER.as_str())
         .collect();
-    // Headers may be reordered on the way.
+    // Headers may be reordered in transit.
     signed.sort_unstable();
     let path = path.path_and_query().map_or("/", |p| p.as_str());
     let start = MessageMac::new(key, Channel::RequestHead)
--- a/crates/peppercrank-wire/src/seal/keys.rs
+++ b/crates/peppercrank-wire/src/seal/keys.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The keys that our processes share, and their rotation.
+//! Keys shared by the processes of the fleet, and their rotation.
 
 use std::fmt;
 
@@ -12,29 +12,31 @@
 
 use super::Channel;
 
-/// Bytes of a message's code. Half of SHA-256's, as RFC 2104 allows; 2^128 guesses remain.
+/// Length of an authentication code in bytes.
+///
+/// RFC 2104 allows truncating HMAC-SHA256 to half of its length, which leaves 2^128 possible codes.
 pub(super) const TAG_LEN: usize = 16;
 
-/// The shortest secret, in bytes: as strong as the code that it makes.
+/// Minimum length of a secret in bytes, which gives it the same strength as the code.
 const MIN_SECRET_BYTES: usize = 16;
 
-/// `Key` is one shared secret and the number that messages name it by.
+/// A shared secret with the id that messages refer to.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key {
     id: u32,
     secret: Vec<u8>,
 }
 
-/// `KeyError` is what is wrong with a set of keys.
+/// A set of keys is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyError {
-    /// A secret is not hexadecimal.
+    /// The secret of the key with this id is not hexadecimal.
     InvalidHex(u32),
-    /// A secret is shorter than 16 bytes.
+    /// The secret of the key with this id is shorter than 16 bytes.
     SecretTooShort(u32),
-    /// Two keys have one number.
+    /// Two keys have this id.
     DuplicateId(u32),
-    /// There is no key of the number to sign with, or none at all.
+    /// The key ring is empty, or has no key with the id to sign with.
     MissingKey,
 }
 
@@ -54,11 +56,11 @@
 impl std::error::Error for KeyError {}
 
 impl Key {
-    /// `new` makes a key of a number and a secret.
+    /// Creates a key from an id and a secret.
     ///
     /// # Errors
     ///
-    /// Returns [`KeyError::SecretTooShort`] for a secret of fewer than 16 bytes.
+    /// Returns [`KeyError::SecretTooShort`] if the secret is shorter than 16 bytes.
     pub fn new(id: u32, secret: &[u8]) -> Result<Self, KeyError> {
         if secret.len() < MIN_SECRET_BYTES {
             return Err(KeyError::SecretTooShort(id));
@@ -67,7 +69,7 @@
         Ok(Self { id, secret })
     }
 
-    /// `from_hex` makes a key of a number and a secret in hexadecimal, as settings hold it.
+    /// Creates a key from an id and a hexadecimal secret, as written in settings.
     ///
     /// # Errors
     ///
@@ -82,7 +84,7 @@
         Self::new(id, &secret.ok_or(KeyError::InvalidHex(id))?)
     }
 
-    /// `id` is the number that messages name the key by.
+    /// Returns the id that messages refer to.
     #[must_use]
     pub const fn id(&self) -> u32 {
         self.id
@@ -97,17 +99,17 @@
 
 impl fmt::Debug for Key {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // The secret stays out of logs.
+        // Keeps the secret out of logs.
         f.debug_struct("Key")
             .field("id", &self.id)
             .finish_non_exhaustive()
     }
 }
 
-/// `KeyRing` holds the keys that are accepted, and the one that signs.
+/// The accepted keys, one of which signs.
 ///
-/// Rotation takes three rings in turn, each given to every process before the next: old and new
-/// signing with the old; old and new signing with the new; the new alone.
+/// A rotation deploys three key rings one after the other, each to every process: old and new key,
+/// signing with the old one; old and new key, signing with the new one; the new key only.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyRing {
     keys: Vec<Key>,
@@ -115,11 +117,12 @@
 }
 
 impl KeyRing {
-    /// `new` accepts all the keys and signs with that of the highest number.
+    /// Creates a key ring that accepts all keys and signs with the one that has the highest id.
     ///
     /// # Errors
     ///
-    /// Returns [`KeyError::MissingKey`] without a key, [`KeyError::DuplicateId`] for a repeated number.
+    /// Returns [`KeyError::MissingKey`] without keys, or [`KeyError::DuplicateId`] if two keys have
+    /// the same id.
     pub fn new(mut keys: Vec<Key>) -> Result<Self, KeyError> {
         keys.sort_by_key(Key::id);
         for pair in keys.windows(2) {
@@ -131,11 +134,11 @@
         Ok(Self { keys, signer: sign })
     }
 
-    /// `signing_with` is the same ring, signing with the key of this number.
+    /// Returns the same key ring, but signing with the key that has this id.
     ///
     /// # Errors
     ///
-    /// Returns [`KeyError::MissingKey`] when the ring holds no such key.
+    /// Returns [`KeyError::MissingKey`] if the key ring has no such key.
     pub fn signing_with(mut self, id: u32) -> Result<Self, KeyError> {
         let found = self.keys.iter().position(|k| k.id == id);
         self.signer = found.ok_or(KeyError::MissingKey)?;
@@ -151,7 +154,7 @@
     }
 }
 
-/// `Code` computes one message's authentication code.
+/// Computes the authentication code of a message.
 #[derive(Debug)]
 pub(super) struct MessageMac(Hmac<Sha256>);
 
@@ -168,7 +171,8 @@
         self
     }
 
-    /// Adds bytes with their length, so that no two lists of parts have one code.
+    /// Adds bytes with their length, so that different sequences of parts never give the same
+    /// input.
     pub(super) fn bytes(self, bytes: &[u8]) -> Self {
         let mut code = self.number(bytes.len() as u64);
         code.0.update(bytes);
@@ -182,7 +186,7 @@
         tag
     }
 
-    /// Compares in constant time.
+    /// Compares the code in constant time.
     pub(super) fn verify(self, tag: &[u8; TAG_LEN]) -> bool {
         self.0.verify_truncated_left(tag).is_ok()
     }
--- a/crates/peppercrank-wire/src/seal/mod.rs
+++ b/crates/peppercrank-wire/src/seal/mod.rs
@@ -54,21 +54,21 @@
 pub use sealer::Sealer;
 pub use sealer::SenderId;
 
-/// `Channel` is what a sealed message is for; one of another channel does not open.
+/// Purpose of a sealed message; a message sealed for one channel cannot be opened on another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Channel {
     /// A gossip datagram.
     Datagram,
-    /// A control call.
+    /// A control request.
     ControlRequest,
-    /// The answer to a control call.
+    /// The response to a control request.
     ControlResponse,
     /// The head of a request from a router to an agent.
     RequestHead,
 }
 
 impl Channel {
-    /// The byte that stands for the channel in what is authenticated.
+    /// Returns the byte that represents the channel in the authenticated data.
     const fn byte(self) -> u8 {
         match self {
             Self::Datagram => 1,
--- a/crates/peppercrank-wire/src/seal/sealer.rs
+++ b/crates/peppercrank-wire/src/seal/sealer.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The sending side: messages sealed under the ring's signing key.
+//! The sending side: seals messages with the signing key of the key ring.
 
 use peppercrank_core::hash::hash64;
 use peppercrank_core::names::VmName;
@@ -13,35 +13,36 @@
 use super::keys::MessageMac;
 use super::keys::TAG_LEN;
 
-/// The most bytes that sealing adds: key 5, sender 8, boot 10, counter 10, length 3, code 16.
+/// Maximum number of bytes that sealing adds: key 5, sender 8, boot 10, counter 10, length 3, code
+/// 16.
 pub const SEAL_OVERHEAD: usize = 52;
 
-/// `SenderId` stands for the process that sealed a message.
+/// Identifies the process that sealed a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SenderId(pub u64);
 
 impl SenderId {
-    /// `of` is the id of the process on a VM.
+    /// Returns the id of the process on a VM.
     #[must_use]
     pub fn for_vm(vm: &VmName) -> Self {
         Self(hash64(0, vm.as_str().as_bytes()))
     }
 }
 
-/// `Identity` is who seals: the process and its boot.
+/// Identity of a sender: its process and boot number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Identity {
-    /// The process.
+    /// The id of the process.
     pub sender: SenderId,
-    /// A number that grows with each start of the process, such as its start's time.
+    /// A number that increases with each start of the process, such as its start time.
     pub boot: u64,
 }
 
-/// `Envelope` is a sealed message as it travels.
+/// A sealed message as transferred.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Envelope<'a> {
     pub(super) key: u32,
-    // A hash is shorter at its fixed width than as a variable one.
+    // A hash is shorter in fixed-width than in variable-width encoding.
     #[serde(with = "postcard::fixint::le")]
     pub(super) sender: u64,
     pub(super) boot: u64,
@@ -51,7 +52,7 @@
 }
 
 impl Envelope<'_> {
-    /// The code over everything that the envelope claims.
+    /// Adds all fields of the envelope to the authentication code.
     pub(super) fn update_mac(&self, code: MessageMac, audience: &[u8]) -> MessageMac {
         code.number(self.sender)
             .number(self.boot)
@@ -61,7 +62,7 @@
     }
 }
 
-/// `Sealer` seals the messages of one process on one channel.
+/// Seals the messages of a process for one channel.
 #[derive(Debug)]
 pub struct Sealer {
     channel: Channel,
@@ -71,7 +72,7 @@
 }
 
 impl Sealer {
-    /// `new` makes a sealer whose first message has the counter 1.
+    /// Creates a sealer; the counter of its first message is 1.
     #[must_use]
     pub const fn new(channel: Channel, identity: Identity, ring: KeyRing) -> Self {
         Self {
@@ -82,16 +83,16 @@
         }
     }
 
-    /// `rotate` puts another ring in place of the present one.
+    /// Replaces the key ring.
     pub fn rotate(&mut self, ring: KeyRing) {
         self.ring = ring;
     }
 
-    /// `seal` seals a payload for an audience and returns its counter with it.
+    /// Seals a payload for an audience and returns the counter and the sealed message.
     ///
     /// # Panics
     ///
-    /// Does not panic: the envelope's plain fields always encode.
+    /// Does not panic: the fields of the envelope can always be encoded.
     pub fn seal(&mut self, audience: &[u8], payload: &[u8]) -> (u64, Vec<u8>) {
         self.counter += 1;
         let key = self.ring.signer();
--- a/crates/peppercrank-wire/src/seal/window.rs
+++ b/crates/peppercrank-wire/src/seal/window.rs
@@ -1,21 +1,21 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Which counters of one sender have been seen.
+//! Sliding window of the counters received from one sender.
 
-/// Counters behind the highest that are still told apart; datagrams seldom overtake by more.
+/// Number of counters that the window covers; datagrams are seldom reordered by more.
 const WINDOW_BITS: u64 = 128;
 
-/// `Window` remembers the highest counter of a boot and which of those just below it came.
+/// The highest counter of a boot, and which of the counters below it were received.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ReplayWindow {
     pub(super) boot: u64,
     highest: u64,
-    /// Bit n stands for the counter n below the highest.
+    /// Bit n represents the counter that is n below the highest.
     seen: u128,
 }
 
-/// `Place` is where a counter falls.
+/// Status of a counter relative to the window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CounterStatus {
     Fresh,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Notes a counter of this boot and tells where it fell.
+    /// Records a counter of this boot and returns its status.
     pub(super) fn record(&mut self, counter: u64) -> CounterStatus {
         if counter > self.highest {
             self.advance(counter - self.highest);
--- a/crates/peppercrank-wire/src/stop.rs
+++ b/crates/peppercrank-wire/src/stop.rs
@@ -1,19 +1,19 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The signal that tells adapters to stop.
+//! The shutdown signal for adapters.
 
 use tokio::sync::watch;
 
-/// `Stopper` tells every [`Stop`] made with it to stop; dropping it tells them too.
+/// Signals shutdown to all [`Stop`]s created with it; dropping it signals too.
 #[derive(Debug)]
 pub struct Stopper(watch::Sender<bool>);
 
-/// `Stop` waits for its [`Stopper`].
+/// Receives the shutdown signal of its [`Stopper`].
 #[derive(Debug, Clone)]
 pub struct Stop(watch::Receiver<bool>);
 
-/// `stop` makes a stopper and the signal that it gives.
+/// Creates a stopper and the receiver of its signal.
 #[must_use]
 pub fn stop() -> (Stopper, Stop) {
     let (tx, rx) = watch::channel(false);
@@ -21,23 +21,23 @@
 }
 
 impl Stopper {
-    /// `stop` gives the signal; giving it twice does nothing more.
+    /// Sends the signal; sending it again has no effect.
     pub fn stop(&self) {
         self.0.send_replace(true);
     }
 }
 
 impl Stop {
-    /// `is_stopping` tells whether the signal was given.
+    /// Returns whether the signal was sent.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
-        // A dropped stopper can give no signal any more, so it counts as one.
+        // A dropped stopper counts as a signal, because it cannot send one any more.
         *self.0.borrow() || self.0.has_changed().is_err()
     }
 
-    /// `wait` returns once the signal was given.
+    /// Waits until the signal is sent.
     pub async fn wait(&mut self) {
-        // An error means that the stopper is gone, which is a signal too.
+        // An error means that the stopper was dropped, which counts as a signal.
         let _given = self.0.wait_for(|given| *given).await;
     }
 }
--- a/crates/peppercrank-wire/src/traffic.rs
+++ b/crates/peppercrank-wire/src/traffic.rs
@@ -1,38 +1,38 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Control bytes by kind of message.
+//! Counts control traffic by kind of message.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::sync::MutexGuard;
 use std::sync::PoisonError;
 
-/// `Volume` is what one kind of message came to.
+/// Counts of one kind of message.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TrafficCounts {
-    /// Messages sent.
+    /// Number of messages sent.
     pub sent: u64,
-    /// Bytes sent.
+    /// Number of bytes sent.
     pub sent_bytes: u64,
-    /// Messages received.
+    /// Number of messages received.
     pub received: u64,
-    /// Bytes received.
+    /// Number of bytes received.
     pub received_bytes: u64,
 }
 
-/// `Traffic` counts control messages and their bytes by kind.
+/// Counts control messages and their bytes by kind.
 #[derive(Debug, Default)]
 pub struct Traffic(Mutex<BTreeMap<&'static str, TrafficCounts>>);
 
 impl Traffic {
-    /// `volumes` are the counts of each kind so far.
+    /// Returns the current counts of each kind.
     #[must_use]
     pub fn by_kind(&self) -> BTreeMap<&'static str, TrafficCounts> {
         self.kinds().clone()
     }
 
-    /// `total` is the sum over all kinds.
+    /// Returns the sum of the counts of all kinds.
     #[must_use]
     pub fn total(&self) -> TrafficCounts {
         let mut total = TrafficCounts::default();
