--- a/crates/peppercrank-wire/src/client/answer.rs
+++ b/crates/peppercrank-wire/src/client/answer.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The body of an answer as it comes in.
+//! The incoming body of a response.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -30,14 +30,14 @@
 use super::link::Connection;
 use super::pool::Pool;
 
-/// `Framing` is how an answer's body ends.
+/// How the end of a response body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// It has none, or its length is known.
+    /// By its known length, or because there is no body.
     Length,
-    /// With the last chunk.
+    /// By the last chunk.
     Chunked,
-    /// With the connection, so that a part cannot be told from the whole.
+    /// By the end of the connection, so that a truncated body cannot be detected.
     Close,
 }
 
@@ -58,7 +58,7 @@
         Self::Close
     }
 
-    /// Whether the connection can take another request after this answer.
+    /// Returns whether the connection can be used for another request after this response.
     pub(super) fn allows_reuse(self, answer: &Response<Incoming>) -> bool {
         let values = answer.headers().get_all(header::CONNECTION);
         let closes = values.iter().any(|v| {
@@ -70,7 +70,7 @@
     }
 }
 
-/// `AnswerBody` reads an answer's body; dropped before its end, it closes the connection.
+/// Reads the body of a response; dropping it before its end closes the connection.
 #[derive(Debug)]
 pub struct ResponseBody {
     inner: Incoming,
@@ -78,7 +78,7 @@
     connection: Option<Connection>,
     return_to: Option<(Arc<Pool>, SocketAddr)>,
     idle: Duration,
-    /// Since when the reader has waited for the next part.
+    /// The time at which the reader started to wait for the next part.
     waiting_since: Option<Instant>,
     sleep: Option<Pin<Box<Sleep>>>,
 }
@@ -106,13 +106,13 @@
         body
     }
 
-    /// `framing` is how the body ends.
+    /// Returns how the end of the body is determined.
     #[must_use]
     pub const fn framing(&self) -> Framing {
         self.framing
     }
 
-    /// Gives the connection back after the body's end.
+    /// Returns the connection to the pool after the end of the body.
     fn release_connection(&mut self) {
         let connection = self.connection.take();
         if let (Some(connection), Some((pool, to))) = (connection, self.return_to.take()) {
@@ -129,7 +129,7 @@
         sleep.as_mut().poll(cx)
     }
 
-    /// Ends the body early and closes the connection.
+    /// Ends the body with an error and closes the connection.
     fn fail(&mut self, error: Error) -> Poll<Option<Result<Frame<Bytes>>>> {
         self.connection = None;
         self.return_to = None;
--- a/crates/peppercrank-wire/src/client/counters.rs
+++ b/crates/peppercrank-wire/src/client/counters.rs
@@ -1,28 +1,28 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What a client counts.
+//! Counters of a client.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
 use super::SendError;
 
-/// `Count` is one thing that a client counts.
+/// An event that a client counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Count {
-    /// A connection was made.
+    /// A connection was established.
     Connected,
-    /// A kept connection was used again.
+    /// A kept connection was reused.
     Reused,
-    /// A request failed before any of it went out.
+    /// A request failed before any part of it was sent.
     NotSent,
-    /// A request failed after some of it may have gone out.
+    /// A request failed after part of it may have been sent.
     MayHaveBeenSent,
 }
 
 impl Count {
-    /// All counts, in the order of their definition.
+    /// All events in the order of their definition.
     pub const ALL: &[Self] = &[
         Self::Connected,
         Self::Reused,
@@ -30,7 +30,7 @@
         Self::MayHaveBeenSent,
     ];
 
-    /// `code` is the stable code of the count in metrics.
+    /// Returns the stable code of the event in metrics.
     #[must_use]
     pub const fn code(self) -> &'static str {
         match self {
@@ -42,12 +42,12 @@
     }
 }
 
-/// `Counters` are a client's counters.
+/// Counters of a client.
 #[derive(Debug, Default)]
 pub struct Counters([AtomicU64; Count::ALL.len()]);
 
 impl Counters {
-    /// `get` is how often this happened.
+    /// Returns how often the event occurred.
     #[must_use]
     pub fn get(&self, count: Count) -> u64 {
         self.0[count as usize].load(Ordering::Relaxed)
--- a/crates/peppercrank-wire/src/client/link.rs
+++ b/crates/peppercrank-wire/src/client/link.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One connection of a client.
+//! A connection of a client.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,10 +17,10 @@
 
 use super::Cause;
 
-/// Most bytes buffered of a connection's answers, and so of an answer's head.
+/// Maximum size of the read buffer of a connection, and thus of a response head, in bytes.
 const MAX_BUFFER_BYTES: usize = 64 * 1_024;
 
-/// `Driver` runs a connection; dropping it closes the connection at once.
+/// Task that runs a connection; dropping it closes the connection immediately.
 #[derive(Debug)]
 struct Driver(JoinHandle<()>);
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// `Link` is one open connection; dropping it closes the connection.
+/// An open connection, which is closed when dropped.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Body>,
@@ -38,20 +38,20 @@
 }
 
 impl Connection {
-    /// Connects within a time.
+    /// Establishes a connection within a timeout.
     pub(super) async fn open(to: SocketAddr, within: Duration) -> Result<Self, Cause> {
         let Ok(connected) = timeout(within, TcpStream::connect(to)).await else {
             return Err(Cause::ConnectTimeout);
         };
         let io = connected.map_err(|e| Cause::Connect(e.kind()))?;
-        // Without it only the latency suffers.
+        // A failure affects only latency.
         let _set = io.set_nodelay(true);
         let mut builder = http1::Builder::new();
         builder.max_buf_size(MAX_BUFFER_BYTES);
         let Ok((sender, conn)) = builder.handshake(TokioIo::new(io)).await else {
             return Err(Cause::Closed);
         };
-        // The request that runs on the connection hears of its errors.
+        // Errors are reported to the request that runs on the connection.
         let driver = Driver(tokio::spawn(async move {
             let _ended = conn.await;
         }));
--- a/crates/peppercrank-wire/src/client/mod.rs
+++ b/crates/peppercrank-wire/src/client/mod.rs
@@ -1,10 +1,10 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The HTTP/1.1 client between our processes and towards targets.
+//! HTTP/1.1 client for requests between processes of the fleet and to targets.
 //!
-//! Its errors tell the truth about what the other side can have seen, and dropping what it
-//! returns closes the connection, which is how cancellation travels.
+//! Its errors state reliably whether the server can have received any part of a request. Dropping a
+//! returned future or body closes the connection, which is how cancellation propagates.
 
 mod answer;
 mod counters;
@@ -37,26 +37,29 @@
 use link::Connection;
 use pool::Pool;
 
-/// Time for a kept connection to take a request: its driver has but to look at it once more. One whose
-/// server answered before it had read the whole request is not ready until that has gone out,
-/// and a request must not wait for it.
+/// Maximum time for a kept connection to become ready for a request, which normally takes one poll
+/// of its driver.
+///
+/// If the server responded before it had read the whole previous request, the connection is not
+/// ready until that request was sent, and a new request must not wait for it.
 const READY_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// `Answer` is the head of an answer with the body that follows.
+/// Head of a response, with the body that follows.
 pub type ClientResponse = Response<ResponseBody>;
 
-/// `Times` are the client's limits.
+/// Timeouts and limits of a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClientConfig {
-    /// Time for a connection to be made.
+    /// Timeout for establishing a connection.
     pub connect: Duration,
-    /// Time from the request's hand-over to the answer's head.
+    /// Maximum time from the start of a request to the head of its response.
     pub first_byte: Duration,
-    /// Time between two parts of an answer's body.
+    /// Maximum time between two parts of a response body.
     pub idle: Duration,
-    /// Time for which an unused connection is kept; shorter than the server's own.
+    /// Time for which an unused connection is kept; must be shorter than the idle timeout of the
+    /// server.
     pub keep: Duration,
-    /// Unused connections kept for each address.
+    /// Maximum number of unused connections per address.
     pub spare: usize,
 }
 
@@ -72,41 +75,41 @@
     }
 }
 
-/// `Reuse` is whether a request may go out on a connection that was used before.
+/// Whether a request may be sent on a connection that was used before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reuse {
-    /// A kept connection will do.
+    /// The request may use a kept connection.
     Allowed,
-    /// Only a new connection will do.
+    /// The request requires a new connection.
     ///
-    /// A server may close a kept connection just as the request goes out, and then nobody knows
-    /// whether it ran: requests that are not repeatable pay for a new one.
+    /// A server may close a kept connection just when a request is sent, and then it is unknown
+    /// whether the request ran. Requests that must not be repeated therefore use a new connection.
     Never,
 }
 
-/// `Cause` is what went wrong with a request.
+/// Why a request failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
-    /// The connection could not be made.
+    /// The connection could not be established.
     Connect(io::ErrorKind),
-    /// The connection was not made in time.
+    /// The connection was not established in time.
     ConnectTimeout,
-    /// The connection closed.
+    /// The connection was closed.
     Closed,
-    /// No head of an answer came in time.
+    /// No response head arrived in time.
     FirstByte,
-    /// The answer's head is not HTTP/1.1.
+    /// The response head is not valid HTTP/1.1.
     Malformed,
-    /// The request's own body broke off.
+    /// The body of the request was aborted.
     Aborted,
 }
 
-/// `SendError` is a request without an answer, and whether the other side can have seen it.
+/// A request failed; states whether the server can have received any part of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendError {
-    /// Not one byte of the request went out.
+    /// No part of the request was sent.
     NotSent(Cause),
-    /// Some or all of the request may have arrived.
+    /// Part or all of the request may have been received.
     MayHaveBeenSent(Cause),
 }
 
@@ -121,7 +124,7 @@
 
 impl std::error::Error for SendError {}
 
-/// `Client` sends requests and keeps a few connections for each address.
+/// An HTTP client that keeps a limited number of unused connections per address.
 #[derive(Debug, Clone)]
 pub struct Client {
     config: Arc<ClientConfig>,
@@ -131,7 +134,7 @@
 }
 
 impl Client {
-    /// `new` makes a client with no connections yet.
+    /// Creates a client without connections.
     #[must_use]
     pub fn new(times: ClientConfig) -> Self {
         let pool = Pool::new(times.keep, times.spare);
@@ -143,45 +146,47 @@
         }
     }
 
-    /// `openings` are the connections that are being made, and the last one that was.
+    /// Returns the connections that are being established, and the last one that was established.
     #[must_use]
     pub fn pending_connections(&self) -> &PendingConnections {
         &self.pending_connections
     }
 
-    /// `counters` are the client's counters.
+    /// Returns the counters of the client.
     #[must_use]
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// `set_spare` keeps at most so many unused connections for each address from now on.
+    /// Sets the maximum number of unused connections per address.
     pub fn set_spare(&self, spare: usize) {
         self.pool.set_spare(spare);
     }
 
-    /// `close` closes the unused connections to an address, whose server is known to have ended.
+    /// Closes the unused connections to an address whose server is known to have stopped.
     pub fn close(&self, to: SocketAddr) {
         self.pool.close(to);
     }
 
-    /// `close_all` closes all unused connections.
+    /// Closes all unused connections.
     pub fn close_all(&self) {
         self.pool.close_all();
     }
 
-    /// `connect` makes a connection ahead, and keeps it for the next request; it tells whether somebody listens there.
+    /// Establishes a connection in advance and keeps it for the next request.
+    ///
+    /// This also checks whether a server is listening on the address.
     ///
     /// # Errors
     ///
-    /// Returns why there is no connection.
+    /// Returns why the connection could not be established.
     pub async fn connect(&self, to: SocketAddr) -> Result<(), Cause> {
         let connection = self.open(to).await?;
         self.pool.put(to, connection);
         Ok(())
     }
 
-    /// Makes a connection.
+    /// Establishes a connection.
     async fn open(&self, to: SocketAddr) -> Result<Connection, Cause> {
         let pending = self.pending_connections.start();
         let connection = Connection::open(to, self.config.connect).await?;
@@ -190,19 +195,20 @@
         Ok(connection)
     }
 
-    /// `kept` is how many open connections wait for their next request.
+    /// Returns the number of open connections that are unused.
     #[must_use]
     pub fn idle_connections(&self) -> usize {
         self.pool.open_connections()
     }
 
-    /// `send` sends a request and returns the head of its answer.
+    /// Sends a request and returns the head of its response.
     ///
-    /// Dropping the future, or the answer's body before its end, closes the connection.
+    /// Dropping the future, or the response body before its end, closes the connection.
     ///
     /// # Errors
     ///
-    /// Returns [`SendError::NotSent`] only when the other side cannot have seen any of it.
+    /// Returns [`SendError::NotSent`] only if the server cannot have received any part of the
+    /// request.
     pub async fn send(
         &self,
         to: SocketAddr,
@@ -226,7 +232,8 @@
         if reuse == Reuse::Allowed {
             while let Some(connection) = self.pool.take(to) {
                 match self.send_on(connection, to, request, READY_TIMEOUT).await {
-                    // The kept connection had closed unseen, so the request is still ours.
+                    // The kept connection was closed without notice, and the request was returned
+                    // unsent.
                     SendOutcome::Unsent(unsent, _) => request = unsent,
                     SendOutcome::Response(answer) => {
                         self.counters.add(Count::Reused);
@@ -247,7 +254,7 @@
         }
     }
 
-    /// Sends a request on a connection that is `ready` for it within this time.
+    /// Sends a request on a connection if it becomes ready within the time `ready`.
     async fn send_on(
         &self,
         mut connection: Connection,
@@ -286,7 +293,7 @@
     }
 }
 
-/// `Tried` is how a request fared on one connection.
+/// Outcome of sending a request on one connection.
 enum SendOutcome {
     Response(ClientResponse),
     Unsent(Request<Body>, Cause),
@@ -303,14 +310,15 @@
     Cause::Closed
 }
 
-/// Writes the request's first line and host as a server wants them of a client that is no proxy.
+/// Sets the request target and the `Host` header as servers expect them from a client that is not a
+/// proxy.
 fn set_destination(request: &mut Request<Body>, to: SocketAddr) {
     let path = request.uri().path_and_query().cloned();
     *request.uri_mut() = path.map_or_else(Uri::default, Uri::from);
     if request.headers().contains_key(header::HOST) {
         return;
     }
-    // An address holds no character that a header forbids.
+    // An address contains no characters that are invalid in a header.
     if let Ok(host) = HeaderValue::from_str(&to.to_string()) {
         request.headers_mut().insert(header::HOST, host);
     }
--- a/crates/peppercrank-wire/src/client/openings.rs
+++ b/crates/peppercrank-wire/src/client/openings.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The connections that a client is making, and how the last one went.
+//! Connections that a client is establishing, and the last one that it established.
 
 use std::collections::BTreeSet;
 use std::sync::Mutex;
@@ -11,28 +11,28 @@
 
 use tokio::time::Instant;
 
-/// `Made` is a connection that was made.
+/// Time and duration of an established connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EstablishedConnection {
-    /// When it was there.
+    /// Time at which the connection was established.
     pub at: Instant,
-    /// Time that it took.
+    /// Time that it took to establish the connection.
     pub took: Duration,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// When each was begun, with its number.
+    /// Start time of each pending connection, with its sequence number.
     pending: BTreeSet<(Instant, u64)>,
     next: u64,
     last: Option<EstablishedConnection>,
 }
 
-/// `Openings` are the connections that a client is making.
+/// Connections that a client is establishing.
 #[derive(Debug, Default)]
 pub struct PendingConnections(Mutex<Inner>);
 
-/// `Opening` is a connection that is being made, until it is dropped.
+/// A connection counts as pending until this is dropped.
 #[derive(Debug)]
 pub(super) struct PendingConnection<'a> {
     all: &'a PendingConnections,
@@ -44,19 +44,19 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// `count` is how many are being made.
+    /// Returns the number of pending connections.
     #[must_use]
     pub fn count(&self) -> usize {
         self.inner().pending.len()
     }
 
-    /// `oldest` is when the one that takes longest was begun.
+    /// Returns the start time of the connection that has been pending the longest.
     #[must_use]
     pub fn oldest_start(&self) -> Option<Instant> {
         self.inner().pending.first().map(|(begun, _)| *begun)
     }
 
-    /// `last` is the last one that was made.
+    /// Returns the connection that was established last.
     #[must_use]
     pub fn last_established(&self) -> Option<EstablishedConnection> {
         self.inner().last
@@ -72,7 +72,7 @@
 }
 
 impl PendingConnection<'_> {
-    /// `made` notes that the connection is there.
+    /// Records that the connection was established.
     pub(super) fn established(self) {
         let at = Instant::now();
         let took = at.duration_since(self.key.0);
--- a/crates/peppercrank-wire/src/client/pool.rs
+++ b/crates/peppercrank-wire/src/client/pool.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Connections that wait for their next request.
+//! Unused connections that are kept for later requests.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
     last_sweep: Instant,
 }
 
-/// `Pool` keeps a few unused connections for each address.
+/// Keeps a limited number of unused connections per address.
 #[derive(Debug)]
 pub(super) struct Pool {
     keep: Duration,
@@ -43,12 +43,12 @@
         }
     }
 
-    /// Keeps at most so many for each address from now on.
+    /// Sets the maximum number of unused connections per address.
     pub(super) fn set_spare(&self, spare: usize) {
         self.spare.store(spare, Ordering::Relaxed);
     }
 
-    /// Takes the connection that was used last, if one is young enough.
+    /// Takes the most recently used connection that is open and not too old.
     pub(super) fn take(&self, to: SocketAddr) -> Option<Connection> {
         let mut idle = self.lock_idle();
         let connections = idle.by_address.get_mut(&to)?;
@@ -60,7 +60,7 @@
         None
     }
 
-    /// Keeps a connection whose answer was read to its end.
+    /// Keeps a connection whose response was read completely.
     pub(super) fn put(&self, to: SocketAddr, connection: Connection) {
         let now = Instant::now();
         let mut idle = self.lock_idle();
@@ -74,17 +74,17 @@
         }
     }
 
-    /// Closes the connections to an address.
+    /// Closes the unused connections to an address.
     pub(super) fn close(&self, to: SocketAddr) {
         drop(self.lock_idle().by_address.remove(&to));
     }
 
-    /// Closes all connections.
+    /// Closes all unused connections.
     pub(super) fn close_all(&self) {
         self.lock_idle().by_address.clear();
     }
 
-    /// How many of the kept connections are open.
+    /// Returns the number of unused connections that are open.
     pub(super) fn open_connections(&self) -> usize {
         let idle = self.lock_idle();
         let connections = idle.by_address.values().flatten();
@@ -98,7 +98,7 @@
     }
 }
 
-/// Closes what nobody took, so that addresses which are gone leave nothing behind.
+/// Closes expired connections, so that addresses that are no longer used take no memory.
 fn sweep(
     connections: &mut HashMap<SocketAddr, Vec<(Instant, Connection)>>,
     now: Instant,
--- a/crates/peppercrank-wire/src/clock.rs
+++ b/crates/peppercrank-wire/src/clock.rs
@@ -26,7 +26,7 @@
     origin: Duration,
     /// Start of the clock according to the clock of timers.
     timer_origin: StdInstant,
-    /// Milliseconds of suspensions that are played.
+    /// Milliseconds of simulated suspensions.
     simulated_suspension_ms: Option<&'static AtomicU64>,
 }
 
--- a/crates/peppercrank-wire/src/pages.rs
+++ b/crates/peppercrank-wire/src/pages.rs
@@ -79,7 +79,7 @@
 /// Creates the response for each request to an endpoint.
 pub type PageSource = Box<dyn Fn() -> Page + Send + Sync>;
 
-/// `Pages` are the pages of one daemon.
+/// The endpoints of a daemon.
 pub struct Pages {
     /// `/metrics`.
     pub metrics: PageSource,
--- a/crates/peppercrank-wire/src/platform/counters.rs
+++ b/crates/peppercrank-wire/src/platform/counters.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Every call of the platform, counted by kind and outcome.
+//! Counts the calls to the platform by kind and outcome.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -15,10 +15,10 @@
         }
 
         impl $name {
-            /// All values, in the order of their definition.
+            /// All values in the order of their definition.
             pub const ALL: &[Self] = &[$(Self::$variant,)*];
 
-            /// `code` is the stable code in metrics.
+            /// Returns the stable code in metrics.
             #[must_use]
             pub const fn code(self) -> &'static str {
                 match self {
@@ -30,50 +30,50 @@
 }
 
 coded! {
-    /// `Operation` is one kind of call.
+    /// Kind of a call.
     Operation {
-        /// One object read.
+        /// Reads an object.
         Get "get",
-        /// One object written.
+        /// Writes an object.
         Put "put",
-        /// One object deleted.
+        /// Deletes an object.
         Delete "delete",
-        /// A kind's objects listed.
+        /// Lists the objects of a kind.
         List "list",
-        /// A kind watched; a waiting watch is one call.
+        /// Watches the objects of a kind; a waiting watch is a single call.
         Watch "watch",
-        /// The VMs listed.
+        /// Lists the VMs.
         Vms "vms",
     }
 }
 
 coded! {
-    /// `Ending` is how one call ended.
+    /// Outcome of a call.
     CallOutcome {
-        /// With what was asked for.
+        /// The requested data was returned.
         Found "found",
-        /// With nothing there.
+        /// The object does not exist.
         Absent "absent",
-        /// With the write in effect.
+        /// The write took effect.
         Done "done",
-        /// With the condition not held.
+        /// The condition of the write did not hold.
         Conflict "conflict",
-        /// With the revision too old.
+        /// The revision to watch from is too old.
         TooOld "too_old",
-        /// Throttled.
+        /// The call was throttled.
         Throttled "throttled",
-        /// With the platform down.
+        /// The platform is unavailable.
         Down "down",
-        /// Without an answer in time.
+        /// No response arrived in time.
         Slow "slow",
-        /// With a write whose fate is not known.
+        /// It is unknown whether the write took effect.
         Unknown "unknown",
-        /// With an answer that makes no sense.
+        /// The response was invalid, or the platform refused the call.
         Bad "bad",
     }
 }
 
-/// `Calls` count the calls of one process, for its metrics.
+/// Counts the calls of a process for its metrics.
 #[derive(Debug, Default)]
 pub struct Calls {
     counts: [[AtomicU64; CallOutcome::ALL.len()]; Operation::ALL.len()],
@@ -81,20 +81,20 @@
 }
 
 impl Calls {
-    /// `get` is how many calls of one kind ended so.
+    /// Returns the number of calls of a kind with an outcome.
     #[must_use]
     pub fn get(&self, operation: Operation, ending: CallOutcome) -> u64 {
         self.counts[operation as usize][ending as usize].load(Ordering::Relaxed)
     }
 
-    /// `total` is how many calls have ended.
+    /// Returns the number of completed calls.
     #[must_use]
     pub fn total(&self) -> u64 {
         let counts = self.counts.iter().flatten();
         counts.map(|c| c.load(Ordering::Relaxed)).sum()
     }
 
-    /// `waiting` is how many calls wait for their answers.
+    /// Returns the number of calls that wait for their responses.
     #[must_use]
     pub fn waiting(&self) -> u64 {
         self.waiting.load(Ordering::Relaxed)
--- a/crates/peppercrank-wire/src/platform/exchange.rs
+++ b/crates/peppercrank-wire/src/platform/exchange.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One exchange with the platform, and what its failures mean.
+//! Sends single requests to the platform and interprets their failures.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,13 +21,14 @@
 use super::Condition;
 use super::Failure;
 
-/// Unused connections kept: a few watches and the calls beside them.
+/// Maximum number of unused connections, enough for a few watches and concurrent calls.
 const MAX_IDLE_CONNECTIONS: usize = 8;
 
-/// The longest pause that the platform can ask for; a daemon must not sleep for days by one answer.
+/// Maximum pause that the platform can request, so that a single response cannot stop a daemon for
+/// days.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// `Raw` is an answer that came whole.
+/// A completely received response.
 #[derive(Debug)]
 pub(super) struct RawResponse {
     pub(super) status: u16,
@@ -41,7 +42,8 @@
         parsed.map_err(|_malformed| Failure::Bad(self.status))
     }
 
-    /// What an answer to a read means that is neither a result nor an absence.
+    /// Returns the failure that a response to a read represents, if it is neither a result nor an
+    /// absence.
     pub(super) fn failure(&self) -> Failure {
         match self.status {
             429 => Failure::Throttled(self.retry_after),
@@ -50,19 +52,20 @@
         }
     }
 
-    /// What an answer to a write means that the platform did not decide on.
+    /// Returns the failure that a response to a write represents, if the platform did not decide on
+    /// the write.
     pub(super) fn write_failure(&self) -> Failure {
         match self.status {
             429 => Failure::Throttled(self.retry_after),
             503 => Failure::Down,
-            // An answer of the platform's own failure does not say how far the write got.
+            // An internal error of the platform does not reveal whether the write took effect.
             500..=599 => Failure::Unknown,
             status => Failure::Bad(status),
         }
     }
 }
 
-/// `Exchange` sends requests to the platform and reads its answers.
+/// Sends requests to the platform and reads its responses.
 #[derive(Debug, Clone)]
 pub(super) struct Exchange {
     agent: Agent,
@@ -72,7 +75,7 @@
     answer: u64,
 }
 
-/// `Secret` is an `Authorization` value that no log shows.
+/// An `Authorization` value that is kept out of logs.
 #[derive(Clone)]
 struct Secret(String);
 
@@ -88,7 +91,7 @@
             .http_status_as_error(false)
             .max_redirects(0)
             .max_redirects_will_error(false)
-            // The environment must not send our calls elsewhere.
+            // Proxy settings in the environment must not redirect the calls.
             .proxy(None)
             .timeout_connect(Some(access.connect))
             .max_idle_connections_per_host(MAX_IDLE_CONNECTIONS)
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Reads a path; the platform may hold the answer back for `wait`.
+    /// Reads a path; the platform may delay its response by up to `wait`.
     pub(super) fn read(&self, path: &str, wait: Duration) -> Result<RawResponse, Failure> {
         let request = self.request(Method::GET, path).body(());
         let request = request.map_err(|_malformed| Failure::Name)?;
@@ -115,7 +118,7 @@
         read.map_err(|e| read_failure(&e))
     }
 
-    /// Writes under a condition.
+    /// Writes an object if the condition holds.
     pub(super) fn write(
         &self,
         method: Method,
@@ -160,7 +163,7 @@
     }
 }
 
-/// The seconds of `Retry-After`.
+/// Returns the duration in the `Retry-After` header.
 fn retry_after(response: &Response<Body>) -> Option<Duration> {
     let value = response.headers().get(header::RETRY_AFTER)?;
     let seconds = value.to_str().ok()?.trim().parse().ok()?;
@@ -176,7 +179,8 @@
     }
 }
 
-/// A write is known not to be sent only when no connection was made.
+/// Returns the failure of a write, which is known to be unsent only if no connection was
+/// established.
 fn write_failure(error: &Error) -> Failure {
     match error {
         Error::Timeout(Timeout::Connect | Timeout::Resolve) => Failure::Slow,
--- a/crates/peppercrank-wire/src/platform/mod.rs
+++ b/crates/peppercrank-wire/src/platform/mod.rs
@@ -1,9 +1,9 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The client of the platform's object API and its list of VMs.
+//! Client of the platform's object API and its list of VMs.
 //!
-//! Its calls block: run them on plain threads. The API is the one of docs/design/0001-protocols.md.
+//! Its calls block and must run on plain threads. docs/design/0001-protocols.md specifies the API.
 
 mod counters;
 mod exchange;
@@ -36,23 +36,23 @@
 use exchange::Exchange;
 use exchange::RawResponse;
 
-/// `Access` is how to reach the platform, and within what limits.
+/// Address, token and limits for calls to the platform.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Access {
-    /// Where the platform listens.
+    /// The address of the platform.
     pub address: SocketAddr,
-    /// The bearer token, if the platform wants one.
+    /// The bearer token, if the platform requires one.
     pub token: Option<String>,
-    /// Time for a connection to be made.
+    /// Timeout for establishing a connection.
     pub connect: Duration,
-    /// Time for a whole call; a watch gets its own waiting time on top.
+    /// Timeout of a call; the waiting time of a watch is added to it.
     pub call: Duration,
-    /// The longest answer taken, in bytes.
+    /// Maximum size of a response, in bytes.
     pub answer: u64,
 }
 
 impl Access {
-    /// `new` is the access to a platform at an address, with the default limits and no token.
+    /// Returns the access to a platform with default limits and without a token.
     #[must_use]
     pub const fn new(address: SocketAddr) -> Self {
         Self {
@@ -68,7 +68,7 @@
 
 impl std::fmt::Debug for Access {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // The token is a secret, so only its presence is told.
+        // The token is a secret, so only its presence is shown.
         f.debug_struct("Access")
             .field("address", &self.address)
             .field("token", &self.token.is_some())
@@ -79,7 +79,7 @@
     }
 }
 
-/// `Platform` calls the platform; its clones share connections and counts.
+/// A client of the platform; clones share connections and counters.
 #[derive(Debug, Clone)]
 pub struct Platform {
     exchange: Exchange,
@@ -98,7 +98,7 @@
 }
 
 impl Platform {
-    /// `new` makes a client; it connects with its first call.
+    /// Creates a client, which connects on its first call.
     #[must_use]
     pub fn new(access: &Access) -> Self {
         Self {
@@ -107,17 +107,17 @@
         }
     }
 
-    /// `calls` are the counts of all calls.
+    /// Returns the counters of the calls.
     #[must_use]
     pub fn calls(&self) -> Arc<Calls> {
         Arc::clone(&self.calls)
     }
 
-    /// `get` reads one object.
+    /// Reads an object.
     ///
     /// # Errors
     ///
-    /// Returns a [`Failure`] other than [`Failure::Unknown`].
+    /// Returns any [`Failure`] except [`Failure::Unknown`].
     pub fn get(&self, kind: &str, name: &str) -> Result<Fetched, Failure> {
         let path = object_path(kind, name)?;
         self.count_call(Operation::Get, fetch_outcome, || {
@@ -130,11 +130,11 @@
         })
     }
 
-    /// `put` writes one object if the condition holds.
+    /// Writes an object if the condition holds.
     ///
     /// # Errors
     ///
-    /// Returns [`Failure::Unknown`] when the write may have taken effect all the same.
+    /// Returns [`Failure::Unknown`] if the write may have taken effect nevertheless.
     pub fn put(
         &self,
         kind: &str,
@@ -147,22 +147,22 @@
         self.write(Operation::Put, Method::PUT, &path, condition, &text)
     }
 
-    /// `delete` deletes one object of a version and leaves a tombstone.
+    /// Deletes an object if it has this version, which leaves a tombstone.
     ///
     /// # Errors
     ///
-    /// Returns [`Failure::Unknown`] when the delete may have taken effect all the same.
+    /// Returns [`Failure::Unknown`] if the deletion may have taken effect nevertheless.
     pub fn delete(&self, kind: &str, name: &str, version: u64) -> Result<Written, Failure> {
         let path = object_path(kind, name)?;
         let condition = Condition::Version(version);
         self.write(Operation::Delete, Method::DELETE, &path, condition, "")
     }
 
-    /// `list` reads all objects of a kind, tombstones included.
+    /// Reads all objects of a kind, including tombstones.
     ///
     /// # Errors
     ///
-    /// Returns a [`Failure`] other than [`Failure::Unknown`].
+    /// Returns any [`Failure`] except [`Failure::Unknown`].
     pub fn list(&self, kind: &str) -> Result<Listing, Failure> {
         let kind = path_segment(kind)?;
         self.count_call(
@@ -177,11 +177,11 @@
         )
     }
 
-    /// `watch` waits up to `wait` for objects of a kind newer than revision `since`.
+    /// Waits up to `wait` for objects of a kind that are newer than revision `since`.
     ///
     /// # Errors
     ///
-    /// Returns a [`Failure`] other than [`Failure::Unknown`].
+    /// Returns any [`Failure`] except [`Failure::Unknown`].
     pub fn watch(&self, kind: &str, since: u64, wait: Duration) -> Result<Watched, Failure> {
         let kind = path_segment(kind)?;
         let wait_ms = wait.as_millis();
@@ -195,11 +195,11 @@
         })
     }
 
-    /// `vms` reads the list of VMs.
+    /// Reads the list of VMs.
     ///
     /// # Errors
     ///
-    /// Returns a [`Failure`] other than [`Failure::Unknown`].
+    /// Returns any [`Failure`] except [`Failure::Unknown`].
     pub fn vms(&self) -> Result<Vms, Failure> {
         self.count_call(
             Operation::Vms,
@@ -223,7 +223,7 @@
         self.count_call(operation, write_outcome, || {
             let raw = self.exchange.write(method, path, condition, text)?;
             match raw.status {
-                // The version is lost with a malformed answer, though the write is done.
+                // The write took effect, but its version cannot be read from a malformed response.
                 200 => match raw.parse::<Version>() {
                     Ok(done) => Ok(Written::Done(done.version)),
                     Err(_) => Err(Failure::Unknown),
@@ -252,7 +252,7 @@
     }
 }
 
-/// Checks one part of a path, so that no name reaches another object.
+/// Validates a path segment, so that a name cannot refer to another object.
 fn path_segment(text: &str) -> Result<ObjectName, Failure> {
     match ObjectName::new(text) {
         Ok(name) if !matches!(text, "." | "..") => Ok(name),
@@ -268,7 +268,7 @@
     ))
 }
 
-/// Keeps the well-formed entries: one bad entry must not hide every other VM.
+/// Keeps the valid entries: an invalid entry must not hide all other VMs.
 fn parse_vms(entries: Entries) -> Vms {
     let all = entries.vms.len();
     let parsed = entries.vms.into_iter().map(serde_json::from_value);
--- a/crates/peppercrank-wire/src/platform/outcomes.rs
+++ b/crates/peppercrank-wire/src/platform/outcomes.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What the platform's calls come to.
+//! Results and failures of calls to the platform.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,123 +12,123 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// `Object` is one object as the platform holds it.
+/// An object in the store of the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Object {
-    /// The version, taken from the whole store's numbers.
+    /// The version, which is unique in the whole store.
     pub version: u64,
     /// The body; absent for a tombstone.
     #[serde(default)]
     pub body: Option<Value>,
 }
 
-/// `Named` is one object of a list.
+/// An object in a list.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct NamedObject {
-    /// The name within the kind.
+    /// The name, unique within the kind.
     pub name: String,
-    /// The version, taken from the whole store's numbers.
+    /// The version, which is unique in the whole store.
     pub version: u64,
     /// The body; absent for a tombstone.
     #[serde(default)]
     pub body: Option<Value>,
 }
 
-/// `Listing` is what a list or a watch returns.
+/// Result of a list or a watch.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Listing {
-    /// The revision up to which it tells everything.
+    /// The revision up to which the result is complete.
     pub revision: u64,
-    /// The objects, tombstones included.
+    /// The objects, including tombstones.
     pub objects: Vec<NamedObject>,
 }
 
-/// `Role` is which of our daemons a VM runs.
+/// Which daemon runs on a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// An entry VM.
+    /// A router, on an entry VM.
     Router,
-    /// A target's VM.
+    /// An agent, on the VM of a target.
     Agent,
 }
 
-/// `Vm` is one VM of the platform's list, which lags.
+/// A VM in the platform's list, which may be out of date.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Vm {
-    /// The VM's name.
+    /// The name of the VM.
     pub name: VmName,
-    /// Its availability zone.
+    /// The availability zone of the VM.
     pub zone: ZoneName,
-    /// Where its daemon listens.
+    /// The address of the daemon on the VM.
     pub address: SocketAddr,
-    /// Which daemon that is.
+    /// The daemon that runs on the VM.
     pub role: Role,
-    /// Whether the platform is taking it away.
+    /// Whether the platform is removing the VM.
     pub leaving: bool,
 }
 
-/// `Vms` is the platform's list of VMs.
+/// The platform's list of VMs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Vms {
-    /// The list's revision.
+    /// The revision of the list.
     pub revision: u64,
-    /// The VMs whose entries are well formed.
+    /// The VMs with valid entries.
     pub vms: Vec<Vm>,
-    /// Entries left out since they are malformed.
+    /// Number of invalid entries, which are omitted.
     pub invalid: usize,
 }
 
-/// `Condition` is what a write demands of the object as it stands.
+/// Condition of a write on the current state of the object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
-    /// There is none.
+    /// The object does not exist.
     New,
-    /// It has this version.
+    /// The object has this version.
     Version(u64),
 }
 
-/// `Fetched` is the result of a `get`.
+/// Result of a `get`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fetched {
-    /// The object.
+    /// The object exists.
     Found(Object),
-    /// There is none.
+    /// The object does not exist.
     Absent,
 }
 
-/// `Watched` is the result of a watch.
+/// Result of a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Watched {
-    /// What is newer, which may be nothing.
+    /// The newer objects, possibly none.
     Changes(Listing),
-    /// The revision is too old to watch from: list anew.
+    /// The revision is too old to watch from; the objects must be listed again.
     TooOld,
 }
 
-/// `Written` is the result of a write that the platform decided on.
+/// Result of a write that the platform decided on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Written {
-    /// It took effect with this version.
+    /// The write took effect with this version.
     Done(u64),
-    /// The condition did not hold; the object as it stands, where the platform told.
+    /// The condition did not hold; contains the current object if the platform returned it.
     Conflict(Option<Object>),
 }
 
-/// `Failure` is a call without a result.
+/// A call failed without a result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// The platform's limit of calls is reached; it says how long to wait, or not.
+    /// The rate limit of the platform was reached; contains the requested pause, if any.
     Throttled(Option<Duration>),
-    /// The platform cannot be reached, or says that it is out; a write did not take effect.
+    /// The platform is unreachable or unavailable; a write did not take effect.
     Down,
-    /// No answer came in time; a write was not sent.
+    /// The call timed out; a write was not sent.
     Slow,
-    /// A write may or may not have taken effect: read the object to know.
+    /// A write may or may not have taken effect; reading the object tells which.
     Unknown,
-    /// The platform refused the call, or answered outside its protocol.
+    /// The platform refused the call or violated its protocol.
     Bad(u16),
-    /// A kind or name cannot stand in a path, so that no call was made.
+    /// A kind or name is not valid in a path, so no call was made.
     Name,
 }
 
