--- a/crates/peppercrank-wire/tests/verify_client.rs
+++ b/crates/peppercrank-wire/tests/verify_client.rs
@@ -79,7 +79,7 @@
 const BAD: &str = "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nbad";
 
 #[tokio::test]
-async fn verify_fates() {
+async fn verify_send_outcomes() {
     let short = ClientConfig {
         first_byte: Duration::from_millis(300),
         ..ClientConfig::default()
@@ -129,7 +129,7 @@
 }
 
 #[tokio::test]
-async fn verify_connections_that_are_being_made_are_counted_to_their_end() {
+async fn verify_pending_connections_are_counted() {
     let client = Client::new(ClientConfig::default());
     assert_eq!(
         (
@@ -159,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn verify_own_broken_body_is_told() {
+async fn verify_an_aborted_request_body_is_reported() {
     let (to, played) = play(vec![Script::Answer(GOOD)]).await;
     let (feed, body) = body::channel(1);
     drop(feed);
@@ -240,7 +240,7 @@
 }
 
 #[tokio::test]
-async fn verify_late_and_crossed_answers_are_nobodys() {
+async fn verify_late_and_mismatched_responses_are_discarded() {
     let twice = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ngood\
                  HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nbad";
     let closing = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 4\r\n\r\ngood";
@@ -317,7 +317,7 @@
 }
 
 #[tokio::test]
-async fn verify_nothing_follows_a_request_that_is_still_going_out() {
+async fn verify_no_request_waits_for_one_that_is_still_being_sent() {
     /// More than the buffers of both sides of a connection hold.
     const LONG: usize = 16 << 20;
     /// Time after which a test is given up; it is never reached unless it fails.
@@ -388,7 +388,7 @@
 }
 
 #[tokio::test]
-async fn verify_feed_holds_back() {
+async fn verify_body_sender_applies_backpressure() {
     let (feed, body) = body::channel(1);
     let part = Bytes::from_static(b"a");
     feed.send(part.clone()).await.expect("room");
--- a/crates/peppercrank-wire/tests/verify_control.rs
+++ b/crates/peppercrank-wire/tests/verify_control.rs
@@ -35,7 +35,7 @@
 
 struct Running {
     address: SocketAddr,
-    desk: Arc<ControlCodec>,
+    codec: Arc<ControlCodec>,
     stopper: Stopper,
     ended: JoinHandle<()>,
     dropped: mpsc::UnboundedReceiver<()>,
@@ -68,13 +68,13 @@
     let server = ControlServer::bind(at, None, identity(1), ring(1), limits).await;
     let server = server.expect("a free port");
     let address = server.address();
-    let desk = server.codec();
+    let codec = server.codec();
     let (stopper, stop) = stop();
     let (tell, dropped) = mpsc::unbounded_channel();
     let ended = tokio::spawn(server.serve(stop, move |from, ask| answer(from, ask, tell.clone())));
     Running {
         address,
-        desk,
+        codec,
         stopper,
         ended,
         dropped,
@@ -89,7 +89,7 @@
     assert_eq!(from, SenderId(2));
     match ask {
         ControlRequest::Config(message) if message == ENDLESS => {
-            let _told = Dropped(tell);
+            let _told = DropNotifier(tell);
             std::future::pending().await
         }
         ControlRequest::Config(message) if message == CROSSED => {
@@ -102,9 +102,9 @@
 }
 
 /// Tells when a call's answering future is dropped.
-struct Dropped(mpsc::UnboundedSender<()>);
+struct DropNotifier(mpsc::UnboundedSender<()>);
 
-impl Drop for Dropped {
+impl Drop for DropNotifier {
     fn drop(&mut self) {
         // The test may be over.
         let _told = self.0.send(());
@@ -128,7 +128,7 @@
     let crossed = client.send_config(to, CROSSED.to_vec()).await;
     assert_eq!(crossed, Err(ControlError::Unexpected));
     let sent = client.codec().traffic().by_kind();
-    let received = running.desk.traffic().by_kind();
+    let received = running.codec.traffic().by_kind();
     for (kind, calls) in [("config", 2), ("order", 1)] {
         assert_eq!(
             (sent[kind].sent, sent[kind].received),
@@ -145,7 +145,7 @@
         );
     }
     let (sent, received) = client.codec().bytes_transferred();
-    assert_eq!(running.desk.bytes_transferred(), (received, sent));
+    assert_eq!(running.codec.bytes_transferred(), (received, sent));
     assert!(sent > client.codec().traffic().total().sent_bytes);
 }
 
@@ -165,7 +165,7 @@
 }
 
 #[tokio::test]
-async fn verify_caller_gone_ends_the_call() {
+async fn verify_a_disconnect_cancels_the_call() {
     let mut running = start(FREE, ControlLimits::default()).await;
     // Far beyond what the test may take, so that the deadline is not what ends the call.
     let call = Duration::from_secs(600);
@@ -174,17 +174,17 @@
         ..ControlClientConfig::default()
     };
     let client = client(ring(1), times);
-    let mut asking = Box::pin(client.send_config(running.address, ENDLESS.to_vec()));
-    while !running.desk.traffic().by_kind().contains_key("config") {
-        assert!(futures::poll!(&mut asking).is_pending());
+    let mut call = Box::pin(client.send_config(running.address, ENDLESS.to_vec()));
+    while !running.codec.traffic().by_kind().contains_key("config") {
+        assert!(futures::poll!(&mut call).is_pending());
         tokio::task::yield_now().await;
     }
-    drop(asking);
+    drop(call);
     running.dropped.recv().await.expect("the call dropped");
 }
 
 #[tokio::test]
-async fn verify_strangers_are_refused() {
+async fn verify_unknown_keys_are_refused() {
     let running = start(FREE, ControlLimits::default()).await;
     let stranger = client(ring(2), ControlClientConfig::default());
     let refused = ControlError::Refused(Rejected::UnknownKey);
@@ -192,9 +192,9 @@
         stranger.send_config(running.address, PLAIN.to_vec()).await,
         Err(refused)
     );
-    assert_eq!(running.desk.rejected(Rejected::UnknownKey), 1);
+    assert_eq!(running.codec.rejected(Rejected::UnknownKey), 1);
     // The keys are rotated while the server runs.
-    running.desk.rotate(&ring(2));
+    running.codec.rotate(&ring(2));
     assert_eq!(
         stranger.send_config(running.address, PLAIN.to_vec()).await,
         Ok(())
@@ -221,7 +221,7 @@
 }
 
 #[tokio::test]
-async fn verify_garbage_disturbs_nothing() {
+async fn verify_invalid_input_does_not_affect_other_calls() {
     let running = start(
         FREE,
         ControlLimits {
@@ -253,7 +253,7 @@
 }
 
 #[tokio::test]
-async fn verify_long_messages_are_told() {
+async fn verify_oversized_messages_are_reported() {
     let running = start(
         FREE,
         ControlLimits {
@@ -308,7 +308,7 @@
     let gate = Arc::new(Semaphore::new(0));
     let held = Arc::clone(&gate);
     let (stopper, stop) = stop();
-    let desk = server.codec();
+    let codec = server.codec();
     let ended = tokio::spawn(server.serve(stop, move |_, _| {
         let held = Arc::clone(&held);
         async move {
@@ -323,17 +323,17 @@
         ..ControlClientConfig::default()
     };
     let client = client(ring(1), times);
-    let asking = tokio::spawn({
+    let call = tokio::spawn({
         let client = client.clone();
         async move { client.send_order(address, order("{}")).await }
     });
-    while desk.traffic().total().received == 0 {
+    while codec.traffic().total().received == 0 {
         tokio::task::yield_now().await;
     }
     stopper.stop();
     while TcpStream::connect(address).await.is_ok() {}
     gate.add_permits(1);
-    let told = asking.await.expect("a call without a fault");
+    let told = call.await.expect("a call without a fault");
     assert_eq!(told.map(|t| t.len()), Ok(3_000_000));
     ended.await.expect("an end");
 }
--- a/crates/peppercrank-wire/tests/verify_limits.rs
+++ b/crates/peppercrank-wire/tests/verify_limits.rs
@@ -36,9 +36,9 @@
 const GET: &[u8] = b"GET / HTTP/1.1\r\nhost: a\r\n\r\n";
 
 /// Tells when it is dropped.
-struct Told(mpsc::UnboundedSender<()>);
+struct DropNotifier(mpsc::UnboundedSender<()>);
 
-impl Drop for Told {
+impl Drop for DropNotifier {
     fn drop(&mut self) {
         // The test may be over.
         let _told = self.0.send(());
@@ -46,7 +46,7 @@
 }
 
 /// Never answers, and tells when it is given up.
-async fn never(call: Call, told: Told) -> Reply {
+async fn never(call: Call, told: DropNotifier) -> Reply {
     let _told = told;
     // A caller's leaving is noticed once its body was read.
     call.body.read().await.expect("a body");
@@ -105,7 +105,7 @@
 }
 
 #[tokio::test]
-async fn verify_trickle_is_bounded_by_the_whole_time() {
+async fn verify_slow_heads_are_bounded_by_the_total_time() {
     let limits = Limits {
         head_time: SHORT,
         ..Limits::default()
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test]
-async fn verify_unread_answer_is_cut() {
+async fn verify_an_unread_response_is_aborted() {
     let limits = Limits {
         write: SHORT,
         ..Limits::default()
@@ -135,7 +135,7 @@
     let (tell, mut heard) = mpsc::unbounded_channel();
     let running = start(limits, move |_call| {
         let (feed, body) = body::channel(1);
-        let told = Told(tell.clone());
+        let told = DropNotifier(tell.clone());
         tokio::spawn(async move {
             let frame = Bytes::from(vec![0; 64 * 1_024]);
             while feed.send(frame.clone()).await.is_ok() {}
@@ -159,7 +159,7 @@
         ..Limits::default()
     };
     let (tell, mut heard) = mpsc::unbounded_channel();
-    let running = start(limits, move |call| never(call, Told(tell.clone()))).await;
+    let running = start(limits, move |call| never(call, DropNotifier(tell.clone()))).await;
     let answer = exchange(running.address, GET).await;
     assert!(answer.starts_with("HTTP/1.1 504 "), "{answer}");
     assert!(answer.contains(r#""run":"may_have_run""#), "{answer}");
@@ -169,7 +169,7 @@
 }
 
 #[tokio::test]
-async fn verify_begun_answer_is_cut_without_an_end() {
+async fn verify_a_started_response_is_aborted_without_an_end() {
     let limits = Limits {
         total: LONG,
         ..Limits::default()
@@ -191,10 +191,10 @@
 }
 
 #[tokio::test]
-async fn verify_callers_that_leave_are_noticed() {
+async fn verify_disconnects_are_detected() {
     let (tell, mut heard) = mpsc::unbounded_channel();
     let running = start(Limits::default(), move |call| {
-        never(call, Told(tell.clone()))
+        never(call, DropNotifier(tell.clone()))
     })
     .await;
     let post: &[u8] = b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\n\r\nx";
@@ -262,7 +262,7 @@
 }
 
 #[tokio::test]
-async fn verify_panic_harms_its_own_call_alone() {
+async fn verify_a_panic_affects_only_its_own_call() {
     let running = start(Limits::default(), |call| async move {
         assert_eq!(call.head.uri.path(), "/good", "a fault of this one call");
         Reply::new(body::empty())
@@ -281,14 +281,14 @@
 }
 
 #[tokio::test]
-async fn verify_bodies_held_at_once_are_bounded() {
+async fn verify_total_body_size_is_bounded() {
     let limits = Limits {
         bodies: 10,
         ..Limits::default()
     };
     let (tell, mut heard) = mpsc::unbounded_channel();
     let running = start(limits, move |call| {
-        let told = Told(tell.clone());
+        let told = DropNotifier(tell.clone());
         async move {
             match call.head.uri.path() {
                 "/never" => never(call, told).await,
--- a/crates/peppercrank-wire/tests/verify_platform.rs
+++ b/crates/peppercrank-wire/tests/verify_platform.rs
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn verify_one_bad_vm_hides_no_other() {
+fn verify_an_invalid_vm_entry_hides_no_other() {
     let list = "HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n{\"revision\":3,\"vms\":[\
 {\"name\":\"vm-1\",\"zone\":\"rae\",\"address\":\"10.0.0.1:80\",\"role\":\"agent\",\"leaving\":true},\
 {\"name\":\"VM 2\",\"zone\":\"rae\",\"address\":\"10.0.0.2:80\",\"role\":\"agent\",\"leaving\":false}]}";
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn verify_nobody_listening_is_down() {
+fn verify_a_refused_connection_counts_as_down() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn verify_names_stay_in_their_place() {
+fn verify_names_are_valid_path_segments() {
     let platform = Platform::new(&Access::new((Ipv4Addr::LOCALHOST, 1).into()));
     for name in ["", "..", ".", "a/b", "a?b", "A", "a b", "%2e"] {
         assert_eq!(platform.get("pool", name), Err(Failure::Name), "{name}");
--- a/crates/peppercrank-wire/tests/verify_seal.rs
+++ b/crates/peppercrank-wire/tests/verify_seal.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn verify_open_once_and_in_any_order() {
+fn verify_messages_open_once_and_in_any_order() {
     let mut sealer = sending(&[1], 5);
     let message: Vec<_> = (0..200_u8).map(|n| sealer.seal(b"b", &[n]).1).collect();
     let mut opener = receiving(&[1]);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn verify_foreign_messages() {
+fn verify_messages_for_others_are_rejected() {
     let identity = Identity {
         sender: SenderId(1),
         boot: 1,
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn verify_old_boot_stays_out() {
+fn verify_messages_of_an_earlier_boot_are_rejected() {
     let mut opener = receiving(&[1]);
     let before = sending(&[1], 5).seal(b"b", b"x").1;
     let mut old = sending(&[1], 5);
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn verify_rotation_loses_nothing() {
+fn verify_key_rotation_loses_no_message() {
     let old = ring(&[1]);
     let both = ring(&[1, 2]).signing_with(1).expect("key 1");
     let new_signs = ring(&[1, 2]);
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn verify_key_faults() {
+fn verify_invalid_keys() {
     assert_eq!(Key::new(1, &[0; 15]), Err(KeyError::SecretTooShort(1)));
     assert_eq!(
         Key::from_hex(1, &"0".repeat(33)),
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn verify_bearers() {
+fn verify_bearer_tokens() {
     let bearers = BearerTokens::new(["one", "two"]);
     let cases = [
         ("Bearer one", true),
--- a/crates/peppercrank-wire/tests/verify_stop.rs
+++ b/crates/peppercrank-wire/tests/verify_stop.rs
@@ -83,7 +83,7 @@
 }
 
 #[tokio::test]
-async fn verify_stop_cuts_what_outlasts_it() {
+async fn verify_stop_aborts_calls_after_its_timeout() {
     let limits = Limits {
         drain: Duration::from_millis(20),
         ..Limits::default()
--- a/crates/peppercrank-wire/tests/verify_stream.rs
+++ b/crates/peppercrank-wire/tests/verify_stream.rs
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn verify_broken_answer_is_an_error() {
+async fn verify_a_truncated_response_is_an_error() {
     let step = Arc::new(Semaphore::new(0));
     let gate = Arc::clone(&step);
     let running = start(Limits::default(), move |_call| {
@@ -88,10 +88,10 @@
 }
 
 #[tokio::test]
-async fn verify_caller_gone_drops_answer() {
+async fn verify_a_disconnect_drops_the_response() {
     let (dropped, mut heard) = mpsc::unbounded_channel();
     let running = start(Limits::default(), move |call| {
-        let guard = Told(dropped.clone());
+        let guard = DropNotifier(dropped.clone());
         let early = call.head.uri.path() == "/head";
         async move {
             if early {
@@ -149,12 +149,12 @@
 }
 
 #[tokio::test]
-async fn verify_hop_passes_cuts_and_cancels_on() {
+async fn verify_a_proxy_forwards_truncation_and_cancellation() {
     let (dropped, mut heard) = mpsc::unbounded_channel();
     let step = Arc::new(Semaphore::new(0));
     let gate = Arc::clone(&step);
     let origin = start(Limits::default(), move |call| {
-        let told = Told(dropped.clone());
+        let told = DropNotifier(dropped.clone());
         let gate = Arc::clone(&gate);
         let cuts = call.head.uri.path() == "/cut";
         let (feed, body) = body::channel(1);
@@ -196,9 +196,9 @@
 }
 
 /// Tells when it is dropped.
-struct Told(mpsc::UnboundedSender<()>);
+struct DropNotifier(mpsc::UnboundedSender<()>);
 
-impl Drop for Told {
+impl Drop for DropNotifier {
     fn drop(&mut self) {
         // The test may be over.
         let _told = self.0.send(());
--- a/crates/peppercrank-wire/tests/verify_whole.rs
+++ b/crates/peppercrank-wire/tests/verify_whole.rs
@@ -105,7 +105,7 @@
 }
 
 #[tokio::test]
-async fn verify_requests_in_pieces() {
+async fn verify_fragmented_requests() {
     let running = start(Limits::default(), echo).await;
     let requests = "\r\nGET /a HTTP/1.1\r\nhost: a\r\n\r\n\
                     POST /b HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\n\r\n\r\n\r\n\
@@ -141,7 +141,7 @@
 }
 
 #[tokio::test]
-async fn verify_mutated_requests_disturb_nothing() {
+async fn verify_mutated_requests_do_not_affect_other_calls() {
     let running = start(Limits::default(), echo).await;
     let good = "POST /a HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\nx: y\r\n\r\nabc\
                 POST /b HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
@@ -182,7 +182,7 @@
 }
 
 #[tokio::test]
-async fn verify_early_refusal_reaches_its_caller() {
+async fn verify_an_early_refusal_reaches_the_caller() {
     let limits = Limits {
         body: 100,
         ..Limits::default()
@@ -222,7 +222,7 @@
 }
 
 #[tokio::test]
-async fn verify_stop_under_load_cuts_nothing() {
+async fn verify_stop_under_load_aborts_no_call() {
     let limits = Limits {
         stop_idle: Duration::from_secs(2),
         ..Limits::default()
