--- a/crates/peppercrank-wire/examples/control_cost.rs
+++ b/crates/peppercrank-wire/examples/control_cost.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What sealing and control calls cost, in bytes and in time. Prints Markdown; ends in seconds.
+//! Measures the cost of sealing and of control calls, in bytes and in time. Prints Markdown; takes
+//! seconds.
 
 use std::hint::black_box;
 use std::net::Ipv4Addr;
@@ -23,14 +24,14 @@
 use peppercrank_wire::seal::SenderId;
 use peppercrank_wire::stop::stop;
 
-/// Messages sealed and opened, and calls made, for each line.
+/// Number of messages sealed and opened, and of calls, per row.
 const MESSAGES: u32 = 50_000;
 const CALLS: u32 = 5_000;
 
-/// Senders that an opener of the whole fleet knows.
+/// Number of senders that an opener knows in a whole fleet.
 const FLEET: u64 = 1_670;
 
-/// A boot number as daemons take it: the milliseconds of a date.
+/// A boot number as used by daemons: a date in milliseconds.
 const BOOT: u64 = 1_800_000_000_000;
 
 fn main() {
--- a/crates/peppercrank-wire/examples/edge_cost.rs
+++ b/crates/peppercrank-wire/examples/edge_cost.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What one hop through an edge and a client costs, against calling the origin directly.
+//! Measures the cost of a hop through a server and a client, compared with calling the origin
+//! directly.
 //!
 //! All ends run in this process over loopback, so that one clock times each event. Prints
 //! Markdown; ends within a minute. 2,000 streams need some 8,100 open files (`ulimit -n`).
@@ -30,37 +31,38 @@
 use peppercrank_wire::stop::stop;
 use tokio::task::JoinSet;
 
-/// Worker threads of the runtime that all ends share.
+/// Worker threads of the runtime that all parties share.
 const WORKERS: usize = 4;
 
-/// Calls timed one after the other.
+/// Number of consecutive calls that are timed.
 const CALLS: usize = 4_000;
 
-/// Callers at once where throughput is measured.
+/// Number of concurrent callers for measuring throughput.
 const CALLERS: usize = 32;
 
-/// Rounds in which throughput is measured, and the time of each.
+/// Number of rounds for measuring throughput, and the duration of each.
 const ROUNDS: u32 = 4;
 const ROUND: Duration = Duration::from_millis(700);
 
-/// Streams opened for their first events.
+/// Number of streams for measuring the time to the first event.
 const FIRSTS: usize = 300;
 
-/// Time for which open streams are watched.
+/// Time for which open streams are observed.
 const SPAN: Duration = Duration::from_millis(1_500);
 
-/// Events of a timed stream, and the time between two.
+/// Number of events of a timed stream, and the interval between them.
 const EVENTS: u32 = 2_000;
 const STEP: Duration = Duration::from_millis(1);
 
-/// Open streams at which memory is measured, and the time between two events of each.
+/// Numbers of open streams at which memory is measured, and the interval between the events of
+/// each.
 const STREAMS: [usize; 3] = [50, 500, 2_000];
 const SLOW_STEP: Duration = Duration::from_millis(200);
 
-/// Body of a unary call and its answer: a short chat.
+/// Size of the body of a unary call and of its response, like a short chat.
 const BODY: usize = 2_048;
 
-/// Clock ticks of a second in `/proc/self/stat`, the same on every Linux of today.
+/// Clock ticks per second in `/proc/self/stat`, the same on all current Linux systems.
 const TICKS: f64 = 100.0;
 
 fn main() {
@@ -71,7 +73,7 @@
     runtime.expect("a runtime").block_on(run());
 }
 
-/// The two ways to the origin, and what keeps their edges running.
+/// The two paths to the origin, and the handles that keep their servers running.
 struct Ways {
     direct: SocketAddr,
     hop: SocketAddr,
@@ -93,7 +95,7 @@
         origin,
         _stoppers: [first, second],
     };
-    // First, while the heap holds nothing that was freed.
+    // Runs first, while the heap contains no freed memory.
     memory(&ways).await;
     latency(&ways).await;
     throughput(&ways).await;
@@ -113,7 +115,7 @@
     (address, stopper)
 }
 
-/// The origin: echoes, or streams events that carry the time of their making.
+/// The origin: echoes, or streams events that contain their creation time.
 async fn answer(call: Call, origin: Instant) -> Reply {
     let step = match call.head.uri.path() {
         "/events" => STEP,
@@ -135,7 +137,7 @@
     Reply::new(body)
 }
 
-/// The hop: reads the call and passes the answer through.
+/// The hop: reads the call and forwards the response.
 async fn relay(call: Call, client: Client, to: SocketAddr) -> Reply {
     let (mut head, body) = (call.head, call.body);
     strip_hop_by_hop(&mut head.headers);
@@ -163,7 +165,7 @@
     println!("| way | median | 99th of 100 |\n| --- | ---: | ---: |");
     let client = Client::new(ClientConfig::default());
     let mut times = [Vec::with_capacity(CALLS), Vec::with_capacity(CALLS)];
-    // In turn, so that what else the machine does falls on both ways alike.
+    // Alternates the paths, so that other load on the machine affects both equally.
     for _ in 0..CALLS {
         for (times, to) in times.iter_mut().zip([ways.direct, ways.hop]) {
             let begun = Instant::now();
@@ -240,7 +242,7 @@
     print_places([direct, hop]);
 }
 
-/// How old each event of a stream is when it is read.
+/// Returns the age of each event of a stream when it is read.
 async fn ages(client: &Client, to: SocketAddr, origin: Instant) -> Vec<Duration> {
     let mut body = open(client, to, "/events").await;
     let mut ages = Vec::new();
@@ -248,12 +250,12 @@
         let data = frame.expect("a whole event").into_data().expect("data");
         ages.push(age(&data, origin));
     }
-    // An event is a frame of its own: none was held back to go out with the next.
+    // Each event is a separate frame: none was delayed to be sent with the next.
     assert_eq!(ages.len(), EVENTS as usize);
     ages
 }
 
-/// The time since an event was made.
+/// Returns the time since the creation of an event.
 fn age(event: &[u8], origin: Instant) -> Duration {
     let text = std::str::from_utf8(event).expect("text");
     let made = text.trim_start_matches("data: ").trim_end();
@@ -267,7 +269,7 @@
     println!("| way | streams | memory a stream | threads | core used |");
     println!("| --- | ---: | ---: | ---: | ---: |");
     let before = resident();
-    // Each case holds more than the one before, so what that one freed is used again.
+    // Each case needs more memory than the one before, so memory freed by that one is reused.
     for streams in STREAMS {
         for (name, to) in [("direct", ways.direct), ("one hop", ways.hop)] {
             let client = Arc::new(Client::new(ClientConfig::default()));
@@ -286,7 +288,7 @@
                 used * 100.0
             );
             readers.shutdown().await;
-            // The ends of the closed streams are cleared away.
+            // Waits until the closed streams are cleaned up.
             tokio::time::sleep(Duration::from_millis(300)).await;
         }
     }
@@ -321,7 +323,7 @@
     );
 }
 
-/// The median and the 99th of 100.
+/// Returns the median and the 99th percentile.
 fn places(times: &mut [Duration]) -> (Duration, Duration) {
     times.sort_unstable();
     (times[times.len() / 2], times[times.len() * 99 / 100])
@@ -331,7 +333,7 @@
     format!("{:.0} µs", time.as_secs_f64() * 1e6)
 }
 
-/// Processor time of the whole process, in seconds.
+/// Returns the CPU time of the whole process, in seconds.
 fn core_time() -> f64 {
     let stat = fs::read_to_string("/proc/self/stat").expect("a Linux /proc");
     let fields = stat.rsplit(") ").next().expect("fields after the name");
@@ -341,7 +343,7 @@
     ticks.sum::<f64>() / TICKS
 }
 
-/// Resident memory, in KB.
+/// Returns the resident memory, in KB.
 fn resident() -> u64 {
     status("VmRSS:")
 }
--- a/crates/peppercrank-wire/src/control/client.rs
+++ b/crates/peppercrank-wire/src/control/client.rs
@@ -87,13 +87,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Connect(kind) => write!(f, "no connection: {kind}"),
-            Self::Timeout => f.write_str("no answer in time"),
+            Self::Timeout => f.write_str("no response in time"),
             Self::Closed => f.write_str("the connection closed"),
             Self::Busy => f.write_str("too many calls in progress"),
             Self::Refused(reason) => write!(f, "call refused: {reason}"),
-            Self::ResponseRejected(reason) => write!(f, "answer rejected: {reason}"),
+            Self::ResponseRejected(reason) => write!(f, "response rejected: {reason}"),
             Self::TooLarge => f.write_str("message too long"),
-            Self::Unexpected => f.write_str("answer of another kind"),
+            Self::Unexpected => f.write_str("unexpected kind of response"),
         }
     }
 }
--- a/crates/peppercrank-wire/src/errors.rs
+++ b/crates/peppercrank-wire/src/errors.rs
@@ -73,18 +73,20 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Io { step, kind } => write!(f, "{step:?} failed: {kind}"),
-            Self::Aborted => f.write_str("the body's writer went away before its end"),
-            Self::ReaderGone => f.write_str("the body's reader went away"),
-            Self::BodyTooBig => f.write_str("the body is longer than the limit"),
+            Self::Aborted => f.write_str("the writer of the body was dropped before its end"),
+            Self::ReaderGone => f.write_str("the reader of the body was dropped"),
+            Self::BodyTooBig => f.write_str("the body exceeds the maximum size"),
             Self::BodyMemory => f.write_str("too many request bodies in progress"),
             Self::BodyTimeout => f.write_str("the body did not arrive in time"),
-            Self::BodyBroken => f.write_str("the body broke off or was framed wrongly"),
-            Self::ResponseIdle => f.write_str("nothing of the answer arrived within the idle time"),
-            Self::MessageTooBig { len, max: most } => {
-                write!(f, "the message has {len} bytes, {most} fit")
+            Self::BodyBroken => f.write_str("the body was truncated or is malformed"),
+            Self::ResponseIdle => {
+                f.write_str("no part of the response arrived within the idle timeout")
+            }
+            Self::MessageTooBig { len, max } => {
+                write!(f, "the message has {len} bytes, the maximum is {max}")
             }
             Self::Encode => f.write_str("the message could not be encoded"),
-            Self::ResponseCut => f.write_str("the answer broke off before its end"),
+            Self::ResponseCut => f.write_str("the response was truncated"),
         }
     }
 }
--- a/crates/peppercrank-wire/src/platform/outcomes.rs
+++ b/crates/peppercrank-wire/src/platform/outcomes.rs
@@ -136,14 +136,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Throttled(Some(after)) => {
-                write!(f, "the platform asks to wait {} s", after.as_secs())
+                write!(f, "the platform requested a pause of {} s", after.as_secs())
             }
-            Self::Throttled(None) => f.write_str("the platform's limit of calls is reached"),
-            Self::Down => f.write_str("the platform is down"),
+            Self::Throttled(None) => f.write_str("the rate limit of the platform was reached"),
+            Self::Down => f.write_str("the platform is unavailable"),
             Self::Slow => f.write_str("the platform did not answer in time"),
             Self::Unknown => f.write_str("the write may or may not have taken effect"),
-            Self::Bad(status) => write!(f, "the platform's answer ({status}) makes no sense"),
-            Self::Name => f.write_str("a kind or name cannot stand in a path"),
+            Self::Bad(status) => write!(
+                f,
+                "the platform returned an invalid response (status {status})"
+            ),
+            Self::Name => f.write_str("a kind or name is not valid in a path"),
         }
     }
 }
--- a/crates/peppercrank-wire/src/seal/keys.rs
+++ b/crates/peppercrank-wire/src/seal/keys.rs
@@ -47,7 +47,7 @@
             Self::SecretTooShort(id) => {
                 write!(f, "the secret of key {id} is shorter than 16 bytes")
             }
-            Self::DuplicateId(id) => write!(f, "two keys have the number {id}"),
+            Self::DuplicateId(id) => write!(f, "two keys have the id {id}"),
             Self::MissingKey => f.write_str("there is no key to sign with"),
         }
     }
--- a/crates/peppercrank-wire/tests/support/edge.rs
+++ b/crates/peppercrank-wire/tests/support/edge.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Edges on free ports, shared by test files.
+//! Servers on free ports, shared by test files.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use peppercrank_wire::stop::stop;
 use tokio::task::JoinHandle;
 
-/// A running edge.
+/// A running server.
 pub struct Running {
     pub address: SocketAddr,
     pub counters: Arc<Counters>,
@@ -27,7 +27,7 @@
     pub ended: JoinHandle<ServeSummary>,
 }
 
-/// Starts an edge on a free port.
+/// Starts a server on a free port.
 pub async fn start<F, R>(limits: Limits, answer: F) -> Running
 where
     F: Fn(Call) -> R + Send + Sync + 'static,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Answers with the method, the path and the body.
+/// Responds with the method, the path and the body.
 pub async fn echo(call: Call) -> Reply {
     let head = call.head;
     match call.body.read().await {
@@ -61,7 +61,7 @@
 }
 
 impl Running {
-    /// Tells the edge to stop and waits for its end.
+    /// Stops the server and waits for its end.
     pub async fn stop(self) -> ServeSummary {
         self.stopper.stop();
         self.ended.await.expect("an edge that ends")
--- a/crates/peppercrank-wire/tests/support/http.rs
+++ b/crates/peppercrank-wire/tests/support/http.rs
@@ -8,7 +8,7 @@
 use peppercrank_wire::body;
 use peppercrank_wire::body::Body;
 
-/// A request without a body.
+/// Returns a request without a body.
 pub fn get(path: &str) -> Request<Body> {
     let request = Request::get(path).body(body::empty());
     request.expect("a good path")
--- a/crates/peppercrank-wire/tests/verify_client.rs
+++ b/crates/peppercrank-wire/tests/verify_client.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The client tells what may have been sent, and takes no answer for another's.
+//! Tests that the client reports what may have been sent, and never mixes up responses.
 
 #[path = "support/http.rs"]
 mod requests;
@@ -37,16 +37,16 @@
 use requests::get;
 use requests::text;
 
-/// What the scripted server does with one connection.
+/// What the scripted server does with a connection.
 #[derive(Debug, Clone, Copy)]
 enum Script {
-    /// Answers with these bytes and closes.
+    /// Sends these bytes and closes the connection.
     Answer(&'static str),
-    /// Answers with these bytes and keeps the connection until the client leaves it.
+    /// Sends these bytes and keeps the connection open until the client closes it.
     Keep(&'static str),
 }
 
-/// Plays one script after the other, each to a new connection.
+/// Runs the scripts in order, each on a new connection.
 async fn play(scripts: Vec<Script>) -> (SocketAddr, JoinHandle<()>) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await;
     let listener = listener.expect("a free port");
@@ -56,7 +56,7 @@
             let (mut io, _) = listener.accept().await.expect("a connection");
             request(&mut io).await;
             let (Script::Answer(answer) | Script::Keep(answer)) = script;
-            // The client may have left already.
+            // The client may have disconnected already.
             let _sent = io.write_all(answer.as_bytes()).await;
             if matches!(script, Script::Keep(_)) {
                 let _left = io.read_to_end(&mut Vec::new()).await;
@@ -111,7 +111,7 @@
             1,
             "{script:?}"
         );
-        // The connection was closed, else the script would not end.
+        // The connection was closed; otherwise the script would not end.
         played.await.expect("a script played");
     }
 }
@@ -144,7 +144,7 @@
     played.await.expect("a server");
     let made = client.pending_connections().last_established();
     assert!(made.is_some());
-    // One that fails, and one that nobody waits for any more, count no longer and were not made.
+    // A failed connection and an abandoned one no longer count, and neither was established.
     let failed = client.send(address, get("/"), Reuse::Never).await;
     let _refused = failed.expect_err("nobody listens");
     let given_up = timeout(Duration::ZERO, client.send(address, get("/"), Reuse::Never)).await;
@@ -208,7 +208,7 @@
             Err(Error::ResponseCut),
             Framing::Chunked,
         ),
-        // Nobody can tell whether this is whole, so its framing says so.
+        // It is unknown whether this body is complete, which its framing states.
         (
             Script::Answer("HTTP/1.1 200 OK\r\n\r\ngood"),
             Ok("good"),
@@ -258,7 +258,7 @@
             let sent = client.send(to, get("/"), Reuse::Allowed).await;
             let body = sent.expect("an answer").into_body();
             assert_eq!(text(body).await.as_deref(), Ok("good"), "{first:?}");
-            // A close comes when it comes; the other cases must hold at once.
+            // A close may take a while; the other cases must hold immediately.
             while wait
                 && client.counters().get(Count::Connected) == 1
                 && client.idle_connections() > 0
@@ -280,7 +280,7 @@
         ..ClientConfig::default()
     });
     for expected in ["good", "bad"] {
-        // Kept too long to be trusted.
+        // Kept longer than the limit.
         let answer = client
             .send(to, get("/"), Reuse::Allowed)
             .await
@@ -292,9 +292,10 @@
     played.await.expect("a script played");
 }
 
-/// Answers each connection's first request as soon as its head is there, and reads no more.
+/// Responds to the first request of each connection as soon as its head arrives, and reads nothing
+/// more.
 fn answer_early() -> (SocketAddr, JoinHandle<()>) {
-    /// Bytes that a connection holds unread.
+    /// Bytes that a connection can buffer unread.
     const UNREAD: u32 = 64 << 10;
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(UNREAD).expect("a small buffer");
@@ -318,15 +319,15 @@
 
 #[tokio::test]
 async fn verify_no_request_waits_for_one_that_is_still_being_sent() {
-    /// More than the buffers of both sides of a connection hold.
+    /// More than the buffers on both sides of a connection can hold.
     const LONG: usize = 16 << 20;
-    /// Time after which a test is given up; it is never reached unless it fails.
+    /// Timeout of the test, which is only reached if it fails.
     const GIVEN_UP: Duration = Duration::from_secs(30);
     let (feed, endless) = body::channel(1);
     feed.send("the first part".into()).await.expect("room");
     for unread in [endless, body::full(vec![b'x'; LONG])] {
         let (to, answering) = answer_early();
-        // Whoever waits for the long request waits until the test is given up.
+        // A request that waits for the long one would wait until the timeout of the test.
         let client = Client::new(ClientConfig {
             connect: GIVEN_UP * 2,
             ..ClientConfig::default()
@@ -340,13 +341,13 @@
             }
         };
         let sent = timeout(GIVEN_UP, sending).await;
-        sent.expect("no wait for a request that is still going out");
+        sent.expect("no wait for a request that is still being sent");
         assert_eq!(client.counters().get(Count::Connected), 2);
         answering.abort();
     }
 }
 
-/// A header's name and value.
+/// Name and value of a header.
 type Pair = (&'static str, &'static str);
 
 #[test]
@@ -365,7 +366,7 @@
             &["x-other"],
         ),
         (&[("connection", "keep-alive"), ("keep-alive", "1")], &[]),
-        // Naming the length must not unframe the message.
+        // Listing the length must not remove the framing of the message.
         (
             &[("connection", "content-length"), ("content-length", "4")],
             &["content-length"],
--- a/crates/peppercrank-wire/tests/verify_control.rs
+++ b/crates/peppercrank-wire/tests/verify_control.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Control calls are authentic, bounded in time and size, and survive their connections.
+//! Tests that control calls are authenticated, limited in time and size, and survive the loss of
+//! connections.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -50,7 +51,8 @@
     Identity { sender, boot: 1 }
 }
 
-/// A message that is taken in, one whose taking never ends, and one that gets another's answer.
+/// A message that is accepted, one whose handling never ends, and one that gets the response of
+/// another kind of call.
 const PLAIN: &[u8] = b"plain";
 const ENDLESS: &[u8] = b"endless";
 const CROSSED: &[u8] = b"crossed";
@@ -96,12 +98,12 @@
             ControlResponse::Order(String::new())
         }
         ControlRequest::Config(_) => ControlResponse::Received,
-        // The answer is three times as long as the order.
+        // The response is three times as long as the order.
         ControlRequest::Order(order) => ControlResponse::Order(order.order.repeat(3)),
     }
 }
 
-/// Tells when a call's answering future is dropped.
+/// Sends a notification when the future of a call is dropped.
 struct DropNotifier(mpsc::UnboundedSender<()>);
 
 impl Drop for DropNotifier {
@@ -167,7 +169,7 @@
 #[tokio::test]
 async fn verify_a_disconnect_cancels_the_call() {
     let mut running = start(FREE, ControlLimits::default()).await;
-    // Far beyond what the test may take, so that the deadline is not what ends the call.
+    // Far longer than the test takes, so that the deadline does not end the call.
     let call = Duration::from_secs(600);
     let times = ControlClientConfig {
         call,
@@ -193,7 +195,7 @@
         Err(refused)
     );
     assert_eq!(running.codec.rejected(Rejected::UnknownKey), 1);
-    // The keys are rotated while the server runs.
+    // Keys can be rotated while the server runs.
     running.codec.rotate(&ring(2));
     assert_eq!(
         stranger.send_config(running.address, PLAIN.to_vec()).await,
@@ -211,7 +213,7 @@
     let local = server.local_addr();
     let (_stopper, stop) = stop();
     tokio::spawn(server.serve(stop, |_, _| async { ControlResponse::Received }));
-    // As when a call is taken on its way to one process and sent to another.
+    // Simulates a call that was intercepted on its way to one process and sent to another.
     let client = client(ring(1), ControlClientConfig::default());
     let refused = ControlError::Refused(Rejected::Forged);
     assert_eq!(
@@ -234,7 +236,7 @@
         b"GET / HTTP/1.1\r\n\r\n",
         &[0xff; 64],
         &[0, 0, 0, 4, 1, 2, 3, 4],
-        // A frame that claims more than the limit.
+        // A frame whose length exceeds the limit.
         &[0, 1, 0, 0, 0],
     ];
     for bytes in garbage {
@@ -242,7 +244,7 @@
             .await
             .expect("a connection");
         io.write_all(bytes).await.expect("sent");
-        // The server closes by itself, cleanly or by a reset.
+        // The server closes the connection, cleanly or with a reset.
         let _closed = io.read_to_end(&mut Vec::new()).await;
     }
     let client = client(ring(1), ControlClientConfig::default());
@@ -274,7 +276,7 @@
         client.send_order(running.address, order_of(2_000)).await,
         Err(ControlError::TooLarge)
     );
-    // Fits when asked, but not when told.
+    // The request fits, but the response does not.
     let ordering = client.send_order(running.address, order_of(1_000)).await;
     assert_eq!(ordering, Err(ControlError::TooLarge));
     assert_eq!(
@@ -313,7 +315,7 @@
         let held = Arc::clone(&held);
         async move {
             held.acquire().await.expect("an open gate").forget();
-            // Longer than what a socket takes at once.
+            // More than a socket accepts at once.
             ControlResponse::Order("x".repeat(3_000_000))
         }
     }));
@@ -333,7 +335,7 @@
     stopper.stop();
     while TcpStream::connect(address).await.is_ok() {}
     gate.add_permits(1);
-    let told = call.await.expect("a call without a fault");
+    let told = call.await.expect("a call without a panic");
     assert_eq!(told.map(|t| t.len()), Ok(3_000_000));
     ended.await.expect("an end");
 }
--- a/crates/peppercrank-wire/tests/verify_datagram.rs
+++ b/crates/peppercrank-wire/tests/verify_datagram.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Datagrams arrive once, sealed, counted and within their size.
+//! Tests that datagrams are delivered once, sealed, counted and limited in size.
 
 use std::net::Ipv4Addr;
 
@@ -57,13 +57,13 @@
     let plain = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))
         .await
         .expect("a port");
-    // Loopback keeps the order of one sender after the other.
+    // Loopback preserves the order of consecutive datagrams.
     stranger.send(b.address(), &vec![1]).await.expect("sent");
     plain
         .send_to(&[0; MAX_DATAGRAM + 9], b.address())
         .await
         .expect("sent");
-    // A datagram for A, taken on its way and sent to B twice.
+    // A datagram for A that was intercepted and sent to B twice.
     let tap = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))
         .await
         .expect("a port");
--- a/crates/peppercrank-wire/tests/verify_limits.rs
+++ b/crates/peppercrank-wire/tests/verify_limits.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Callers that are slow, silent, half gone or too many hold nothing for ever.
+//! Tests that callers which are slow, silent, half closed or too many hold no resources forever.
 
 #[path = "support/edge.rs"]
 mod edges;
@@ -26,16 +26,17 @@
 use raw::exchange;
 use raw::read_all;
 
-/// Short enough to wait for, long enough for a loaded machine's own pauses not to matter: each
-/// case ends by its limit, whenever that comes.
+/// Short enough to wait for, and long enough that pauses of a loaded machine do not matter: each
+/// case ends when its limit expires, however late.
 const SHORT: Duration = Duration::from_millis(40);
 
-/// For a limit that must not end a case before its bytes have come, however busy the machine.
+/// For a limit that must not expire before the bytes of a case have arrived, even on a busy
+/// machine.
 const LONG: Duration = Duration::from_millis(800);
 
 const GET: &[u8] = b"GET / HTTP/1.1\r\nhost: a\r\n\r\n";
 
-/// Tells when it is dropped.
+/// Sends a notification when it is dropped.
 struct DropNotifier(mpsc::UnboundedSender<()>);
 
 impl Drop for DropNotifier {
@@ -45,10 +46,10 @@
     }
 }
 
-/// Never answers, and tells when it is given up.
+/// Never responds, and sends a notification when it is cancelled.
 async fn never(call: Call, told: DropNotifier) -> Reply {
     let _told = told;
-    // A caller's leaving is noticed once its body was read.
+    // A disconnect is detected once the body was read.
     call.body.read().await.expect("a body");
     std::future::pending().await
 }
@@ -98,7 +99,7 @@
     };
     let running = start(limits, echo).await;
     assert_eq!(exchange(running.address, b"").await, "");
-    // And one that says nothing more.
+    // And a caller that sends nothing more.
     let answer = exchange(running.address, GET).await;
     assert!(answer.ends_with("GET / "), "{answer}");
     assert_eq!(running.counters.calls(), 1);
@@ -115,7 +116,7 @@
         .await
         .expect("a connection");
     io.write_all(b"GET / HTTP/1.1\r\n").await.expect("sent");
-    // One header after the other: each byte comes in time, the head never does.
+    // Sends one header after the other: each byte arrives in time, but the whole head never does.
     while running.counters.refused(Refused::HeadTimeout) == 0 {
         if io.write_all(b"a: b\r\n").await.is_err() {
             break;
@@ -185,7 +186,7 @@
     })
     .await;
     let answer = exchange(running.address, GET).await;
-    // Neither the last chunk nor a second answer follows.
+    // Neither the last chunk nor a second response follows.
     assert!(answer.ends_with("4\r\npart\r\n"), "{answer}");
     assert_eq!(answer.matches("HTTP/1.1 ").count(), 1, "{answer}");
 }
@@ -199,7 +200,8 @@
     .await;
     let post: &[u8] = b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\n\r\nx";
     let pipelined = [GET, GET].concat();
-    // A caller that half closes, that closes, and that closes with its next request sent ahead.
+    // A caller that half closes, one that closes, and one that closes after it sent its next
+    // request in advance.
     let cases = [
         (GET, true),
         (GET, false),
@@ -314,7 +316,7 @@
     assert!(answer.contains(code), "{answer}");
     assert!(answer.contains("retry-after: 1\r\n"), "{answer}");
     assert_eq!(running.counters.refused(Refused::BodyMemory), 1);
-    // The room is given back with the call, however that ends.
+    // The memory is released with the call, however it ends.
     drop(first);
     heard.recv().await.expect("the call dropped");
     while running.counters.body_bytes() > 0 {
--- a/crates/peppercrank-wire/tests/verify_pages.rs
+++ b/crates/peppercrank-wire/tests/verify_pages.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Operators' pages answer with what their sources say, and refuse the rest.
+//! Tests that the operators' endpoints return the data of their sources and refuse all other
+//! requests.
 
 use std::io::Read;
 use std::io::Write;
@@ -74,6 +75,7 @@
         assert!(answer.contains(part), "{request}{answer}");
     }
     drop(serving);
-    // The accepting thread closes the port a little later, at the latest when it sees us.
+    // The accepting thread closes the port a little later, at the latest when it accepts this
+    // connection.
     while TcpStream::connect(to).is_ok() {}
 }
--- a/crates/peppercrank-wire/tests/verify_platform.rs
+++ b/crates/peppercrank-wire/tests/verify_platform.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Each answer of the platform, and each way to lose it, has its typed outcome.
+//! Tests that each response of the platform, and each way to lose it, has a typed outcome.
 
 use std::io::Read;
 use std::io::Write;
@@ -26,20 +26,20 @@
 use peppercrank_wire::platform::Written;
 use serde_json::json;
 
-/// What the scripted platform does with one connection.
+/// What the scripted platform does with a connection.
 #[derive(Debug, Clone, Copy)]
 enum Script {
-    /// Answers with these bytes and closes.
+    /// Sends these bytes and closes the connection.
     Answer(&'static str),
-    /// Reads the request and closes.
+    /// Reads the request and closes the connection.
     Close,
-    /// Reads the request and says nothing until the client leaves.
+    /// Reads the request and sends nothing until the client disconnects.
     Hang,
 }
 
 const SLOW: Duration = Duration::from_millis(300);
 
-/// Plays one script to one connection and returns the request.
+/// Runs a script on one connection and returns the request.
 fn play(script: Script) -> (Access, JoinHandle<String>) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -50,7 +50,7 @@
             Script::Answer(text) => io.write_all(text.as_bytes()).expect("an open connection"),
             Script::Close => {}
             Script::Hang => {
-                // The client's end is what ends the wait, however it closes.
+                // The wait ends when the client disconnects, however it does so.
                 let _gone = io.read(&mut [0; 64]);
             }
         }
@@ -65,7 +65,7 @@
     (access, server)
 }
 
-/// Reads one request: its head, and a body of the length told.
+/// Reads a request: its head, and a body of the given length.
 fn read(io: &mut TcpStream) -> String {
     let mut text = String::new();
     let mut space = [0; 4_096];
@@ -191,7 +191,7 @@
             Err(Failure::Down),
             CallOutcome::Down,
         ),
-        // From here on the write may have taken effect.
+        // In the remaining cases, the write may have taken effect.
         (
             Script::Answer(FAULT),
             Err(Failure::Unknown),
@@ -294,7 +294,7 @@
     drop(listener);
     let platform = Platform::new(&Access::new(address));
     assert_eq!(platform.get("pool", "a"), Err(Failure::Down));
-    // No connection, no write: this is known not to have taken effect.
+    // Without a connection, the write is known not to have taken effect.
     let wrote = platform.put("pool", "a", Condition::Version(1), &json!({}));
     assert_eq!(wrote, Err(Failure::Down));
 }
--- a/crates/peppercrank-wire/tests/verify_refusals.rs
+++ b/crates/peppercrank-wire/tests/verify_refusals.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Malformed, ambiguous and oversized requests get a clear error and a closed connection.
+//! Tests that malformed, ambiguous and oversized requests get a clear error and a closed
+//! connection.
 
 #[path = "support/edge.rs"]
 mod edges;
@@ -16,7 +17,7 @@
 use edges::start;
 use raw::exchange;
 
-/// A request that a smuggler hopes to have run.
+/// A request that an attacker tries to smuggle.
 const SECOND: &str = "GET /second HTTP/1.1\r\nhost: a\r\n\r\n";
 
 fn post(headers: &str) -> Vec<u8> {
@@ -27,7 +28,7 @@
     format!("{line}\r\n\r\n").into_bytes()
 }
 
-/// Each case as it is sent, and the reason that it is refused for.
+/// The bytes of each case, and the reason for which it is refused.
 fn cases() -> Vec<(Vec<u8>, Refused)> {
     use Refused::BadHead;
     use Refused::BodyTooBig;
@@ -140,7 +141,7 @@
         );
         assert_eq!(running.counters.refused(reason), before + 1, "{shown:?}");
     }
-    // Nothing of it ran, and other callers are served.
+    // None of the requests ran, and other callers are still served.
     assert_eq!(running.counters.calls(), 0);
     let good = "GET /good HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
     let answer = exchange(running.address, good.as_bytes()).await;
@@ -188,14 +189,14 @@
             "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 101\r\n\r\n".to_owned(),
             "413",
         ),
-        // Refused before the caller is told to send it.
+        // Refused before the caller is asked to send the body.
         (
             "POST / HTTP/1.1\r\nhost: a\r\nexpect: 100-continue\r\ncontent-length: 101\r\n\r\n"
                 .to_owned(),
             "413",
         ),
         (format!("{chunked}{chunk}1\r\ny\r\n0\r\n\r\n"), "413"),
-        // Never ending, and far beyond what a socket holds.
+        // Endless, and far more than a socket can buffer.
         (format!("{chunked}{}", chunk.repeat(5_000)), "413"),
         (format!("{chunked}{chunk}0\r\n\r\n"), "200"),
     ];
--- a/crates/peppercrank-wire/tests/verify_seal.rs
+++ b/crates/peppercrank-wire/tests/verify_seal.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Forged, replayed, stale and foreign messages do not open; rotation loses none.
+//! Tests that forged, replayed, old and foreign messages are rejected, and that key rotation loses
+//! no messages.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -28,7 +29,7 @@
 use rand_chacha::rand_core::Rng;
 use rand_chacha::rand_core::SeedableRng;
 
-/// A change of headers on their way.
+/// A modification of the headers in transit.
 type Change = fn(&mut HeaderMap);
 
 fn key(id: u32) -> Key {
@@ -166,7 +167,7 @@
     old.seal(b"b", b"x");
     let held_back = old.seal(b"b", b"y").1;
     opener.open(b"b", &before).expect("a new message");
-    // A new boot starts its counters anew.
+    // The counters start again with each boot.
     opener
         .open(b"b", &sending(&[1], 6).seal(b"b", b"x").1)
         .expect("a new message");
@@ -197,7 +198,7 @@
     let new_signs = ring(&[1, 2]);
     let new = ring(&[2]);
     let steps = [old, both, new_signs, new];
-    // Neighbours in the rotation understand each other, whoever changes first.
+    // Processes at adjacent steps of the rotation accept each other's messages.
     for pair in steps.windows(2) {
         for (from, to) in [(&pair[0], &pair[1]), (&pair[1], &pair[0])] {
             let identity = Identity {
@@ -211,7 +212,7 @@
                 .expect("a new message");
         }
     }
-    // A replay does not open under a ring put in place since.
+    // A replay is rejected even after the key ring was replaced.
     let mut sealer = sending(&[1], 1);
     let mut opener = receiving(&[1]);
     let message = sealer.seal(b"b", b"x").1;
@@ -256,7 +257,7 @@
     headers.insert("x-peppercrank-cost", HeaderValue::from_static("12"));
     let mac = sign_head(&ring(&[1]), agent, &Method::POST, &path, &headers);
     headers.insert(MAC_HEADER, mac);
-    // A header that is not ours may change on the way.
+    // Headers without the signed prefix may change in transit.
     headers.insert("accept", HeaderValue::from_static("*/*"));
     let check = |ids: &[u32], agent, method: Method, path: &Uri, headers: &HeaderMap| {
         verify_head(&ring(ids), agent, &method, path, headers)
--- a/crates/peppercrank-wire/tests/verify_stop.rs
+++ b/crates/peppercrank-wire/tests/verify_stop.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Connections are kept between requests, and a stop cuts nothing within its time.
+//! Tests that connections are kept between requests, and that a shutdown aborts no call within its
+//! timeout.
 
 #[path = "support/edge.rs"]
 mod edges;
@@ -29,7 +30,7 @@
 
 const GET: &[u8] = b"GET / HTTP/1.1\r\nhost: a\r\n\r\n";
 
-/// Streams one part, and the rest once it is let.
+/// Streams one part, and the rest once permitted.
 async fn halting(limits: Limits) -> (Running, Arc<Semaphore>) {
     let gate = Arc::new(Semaphore::new(0));
     let held = Arc::clone(&gate);
@@ -40,7 +41,7 @@
             let part = Bytes::from_static(b"part");
             feed.send(part.clone()).await.expect("a reader");
             held.acquire().await.expect("an open gate").forget();
-            // The edge may have cut the answer by now.
+            // The server may have aborted the response already.
             if feed.send(part).await.is_ok() {
                 feed.finish();
             }
@@ -70,7 +71,7 @@
     let mut second = begin(&running).await;
     let address = running.address;
     running.stopper.stop();
-    // New callers are turned down by the system itself once the listener is closed.
+    // The system refuses new connections once the listener is closed.
     while TcpStream::connect(address).await.is_ok() {}
     assert!(!running.ended.is_finished());
     assert_eq!(running.counters.busy(), 2);
@@ -92,13 +93,13 @@
     let mut io = begin(&running).await;
     let finished = running.stop().await;
     assert_eq!(finished, ServeSummary { calls: 1, cut: 1 });
-    // The cut answer has no end.
+    // The aborted response has no end.
     assert_eq!(read_all(&mut io).await, "");
 }
 
 #[tokio::test]
 async fn verify_stop_answers_on_kept_connections() {
-    // A caller may send on a kept connection just as the edge is told to stop.
+    // A caller may send a request on a kept connection just when the server is told to stop.
     let limits = Limits {
         stop_idle: Duration::from_secs(3),
         ..Limits::default()
@@ -128,7 +129,7 @@
     let chunked =
         "POST /c HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
     let get = "\r\nGET /d HTTP/1.1\r\nhost: a\r\n\r\n";
-    // All sent at once; what follows a chunked body is not taken up.
+    // All requests are sent at once; the one after a chunked body is not handled.
     let sent = [post, ask, get, chunked, get].concat();
     let answer = exchange(running.address, sent.as_bytes()).await;
     let places: Vec<_> = ["POST /a abc", "POST /b abc", "GET /d ", "POST /c abc"]
--- a/crates/peppercrank-wire/tests/verify_stream.rs
+++ b/crates/peppercrank-wire/tests/verify_stream.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Answers stream event by event, break loudly, and are cancelled with their callers.
+//! Tests that responses are streamed event by event, that truncation is an error, and that a
+//! disconnect cancels them.
 
 #[path = "support/edge.rs"]
 mod edges;
@@ -39,7 +40,7 @@
             for n in 0..3 {
                 let event = Bytes::from(format!("data: {n}\n\n"));
                 feed.send(event).await.expect("a reader");
-                // The next event leaves only once the caller has this one.
+                // The next event is sent only after the caller has received this one.
                 gate.acquire().await.expect("an open gate").forget();
             }
             feed.finish();
@@ -71,7 +72,7 @@
         tokio::spawn(async move {
             let half = Bytes::from_static(b"half");
             feed.send(half).await.expect("a reader");
-            // Dropped unfinished, once the caller has the head.
+            // Dropped before the end, once the caller has received the head.
             gate.acquire().await.expect("an open gate").forget();
             drop(feed);
         });
@@ -95,7 +96,7 @@
         let early = call.head.uri.path() == "/head";
         async move {
             if early {
-                // No answer has begun when the caller goes.
+                // No response has started when the caller disconnects.
                 std::future::pending::<()>().await;
             }
             let (feed, body) = body::channel(1);
@@ -195,7 +196,7 @@
     heard.recv().await.expect("the origin's stream dropped");
 }
 
-/// Tells when it is dropped.
+/// Sends a notification when it is dropped.
 struct DropNotifier(mpsc::UnboundedSender<()>);
 
 impl Drop for DropNotifier {
--- a/crates/peppercrank-wire/tests/verify_whole.rs
+++ b/crates/peppercrank-wire/tests/verify_whole.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! However requests are cut up, mixed, dropped and stopped, each caller gets its own whole answer.
+//! Tests that each caller gets its own complete response, however requests are fragmented,
+//! interleaved, dropped or stopped.
 
 #[path = "support/edge.rs"]
 mod edges;
@@ -38,17 +39,17 @@
 use requests::get;
 use requests::text;
 
-/// Callers at once, and the calls of each.
+/// Number of concurrent callers, and of calls per caller.
 const CALLERS: u64 = 16;
 const CALLS: usize = 150;
 
-/// Draws a number below `end`.
+/// Returns a random number below `end`.
 fn draw(rng: &mut ChaCha8Rng, end: usize) -> usize {
     let wide = u64::from(rng.next_u32()) * end as u64;
     usize::try_from(wide >> 32).expect("a number below the end")
 }
 
-/// Answers with the body, in chunks where the path says so.
+/// Responds with the body, in chunks if the path asks for it.
 async fn repeat(call: Call) -> Reply {
     let chunked = call.head.uri.path() == "/chunked";
     let bytes = call.body.read().await.expect("a whole body");
@@ -122,7 +123,7 @@
             let len = left.len().min(1 + draw(&mut rng, longest));
             io.write_all(&left[..len]).await.expect("sent");
             left = &left[len..];
-            // The edge sees the piece by itself, most of the time.
+            // Usually the server receives the fragment separately.
             tokio::task::yield_now().await;
         }
         let mut answer = Vec::new();
@@ -159,7 +160,7 @@
         let mut io = TcpStream::connect(running.address)
             .await
             .expect("a connection");
-        // The edge may have refused and closed by now.
+        // The server may already have refused the request and closed the connection.
         let _sent = io.write_all(&bytes).await;
         let _ended = io.shutdown().await;
         let mut answer = Vec::new();
@@ -189,7 +190,7 @@
     };
     let running = start(limits, echo).await;
     let client = Client::new(ClientConfig::default());
-    // A length that is refused with the head, and chunks that are refused on the way.
+    // A length that is refused with the head, and chunks that are refused while they arrive.
     for (size, sized) in [
         (1_000, true),
         (500_000, true),
@@ -213,7 +214,7 @@
         let text = String::from_utf8_lossy(&text.to_bytes()).into_owned();
         assert!(text.contains("body_too_big"), "{size} {sized}: {text}");
     }
-    // No connection is used again whose request was not taken whole.
+    // No connection is reused whose request was not read completely.
     let sent = client
         .send(running.address, get("/after"), Reuse::Allowed)
         .await;
@@ -232,7 +233,8 @@
     for caller in 0..CALLERS {
         let to = running.address;
         callers.spawn(async move {
-            // A pool of its own for each, so that some connections wait while the edge stops.
+            // Each caller has its own pool, so that some connections are idle while the server
+            // stops.
             let client = Client::new(ClientConfig::default());
             let own = format!("{caller} ").repeat(1_000);
             loop {
@@ -240,7 +242,7 @@
                 let request = request.expect("a good path");
                 let answer = match client.send(to, request, Reuse::Allowed).await {
                     Ok(answer) => answer,
-                    // The listener is closed: this is how a caller that came too late hears it.
+                    // The listener is closed, which is how a late caller learns of the shutdown.
                     Err(SendError::NotSent(_)) => return,
                     Err(e) => panic!("{e}"),
                 };
@@ -248,7 +250,7 @@
                 let whole = answer.into_body().collect().await.expect("a whole answer");
                 assert_eq!(whole.to_bytes(), own.as_bytes());
                 if closes {
-                    // It has heard, and goes elsewhere.
+                    // The caller has learnt of the shutdown and uses another server.
                     return;
                 }
             }
