--- a/crates/peppercrank-gateway/src/attempt.rs
+++ b/crates/peppercrank-gateway/src/attempt.rs
@@ -19,8 +19,8 @@
 use peppercrank_platform::call;
 use peppercrank_platform::call::RouterHeaders;
 use peppercrank_wire::body;
-use peppercrank_wire::client::Answer;
-use peppercrank_wire::client::AnswerBody;
+use peppercrank_wire::client::ClientResponse;
+use peppercrank_wire::client::ResponseBody;
 use peppercrank_wire::client::Reuse;
 use peppercrank_wire::client::SendError;
 
@@ -60,7 +60,7 @@
         /// The first part.
         first: Bytes,
         /// The remaining body.
-        rest: AnswerBody,
+        rest: ResponseBody,
     },
 }
 
@@ -176,7 +176,7 @@
     gateway: &Gateway,
     job: &Job,
     flight: &mut Flight,
-    send_result: Result<Answer, SendError>,
+    send_result: Result<ClientResponse, SendError>,
     answer_deadline: Instant,
 ) -> Result<TargetAnswer, AttemptError> {
     match send_result {
@@ -224,7 +224,7 @@
 async fn classify_answer(
     job: &Job,
     flight: &mut Flight,
-    answer: Answer,
+    answer: ClientResponse,
 ) -> Result<TargetAnswer, AttemptError> {
     let (head, mut body) = answer.into_parts();
     let mut headers = head.headers;
@@ -260,7 +260,7 @@
         }
         AnswerKind::Success | AnswerKind::Failure => {}
     }
-    peppercrank_wire::headers::strip(&mut headers);
+    peppercrank_wire::headers::strip_hop_by_hop(&mut headers);
     answer::strip_router_headers(&mut headers);
     let truncated = AttemptError::connection_lost("answer cut");
     if answer_head.kind == AnswerKind::Success && matches!(job.kind, RouteKind::Stream { .. }) {
@@ -289,7 +289,7 @@
 }
 
 /// Reads a refusal's body so that its connection can be reused.
-async fn drain(body: AnswerBody) {
+async fn drain(body: ResponseBody) {
     /// Time limit for a refusal's body, which normally arrives together with its head.
     const DRAIN_TIMEOUT: Duration = Duration::from_millis(20);
     // If the body fails or does not arrive in time, only the connection is lost.
@@ -301,7 +301,7 @@
 /// # Errors
 ///
 /// Fails when the body breaks off.
-pub async fn next_part(body: &mut AnswerBody) -> Result<Option<Bytes>, ()> {
+pub async fn next_part(body: &mut ResponseBody) -> Result<Option<Bytes>, ()> {
     loop {
         match body.frame().await {
             None => return Ok(None),
--- a/crates/peppercrank-gateway/src/choose.rs
+++ b/crates/peppercrank-gateway/src/choose.rs
@@ -136,11 +136,11 @@
 /// Returns the state of the connections to targets being opened over this router's link.
 #[must_use]
 pub fn link_state(gateway: &Gateway) -> LinkState {
-    let openings = gateway.client.openings();
+    let openings = gateway.client.pending_connections();
     LinkState {
         pending: openings.count(),
-        longest_pending: openings.oldest().map_or(Duration::ZERO, |o| o.elapsed()),
-        last_connected: openings.last().map(|made| (made.at.elapsed(), made.took)),
+        longest_pending: openings.oldest_start().map_or(Duration::ZERO, |o| o.elapsed()),
+        last_connected: openings.last_established().map(|made| (made.at.elapsed(), made.took)),
     }
 }
 
--- a/crates/peppercrank-gateway/src/job.rs
+++ b/crates/peppercrank-gateway/src/job.rs
@@ -177,7 +177,7 @@
         let pool = route
             .pool(call_head.id.as_bytes())
             .ok_or(Reason::NoTarget)?;
-        peppercrank_wire::headers::strip(&mut head.headers);
+        peppercrank_wire::headers::strip_hop_by_hop(&mut head.headers);
         let timeout = call_head
             .timeout
             .unwrap_or(route.timeout)
--- a/crates/peppercrank-gateway/src/relay.rs
+++ b/crates/peppercrank-gateway/src/relay.rs
@@ -20,8 +20,8 @@
 use peppercrank_log::Field;
 use peppercrank_wire::body;
 use peppercrank_wire::body::Body;
-use peppercrank_wire::body::Feed;
-use peppercrank_wire::client::AnswerBody;
+use peppercrank_wire::body::BodySender;
+use peppercrank_wire::client::ResponseBody;
 
 use crate::attempt::CrashEvidence;
 use crate::attempt::TARGET_FAILURE;
@@ -42,8 +42,8 @@
     request: ActiveRequest,
     flight: Flight,
     /// The remaining answer; `None` once this attempt was abandoned.
-    upstream: Option<AnswerBody>,
-    downstream: Feed,
+    upstream: Option<ResponseBody>,
+    downstream: BodySender,
     /// Time from the request's arrival to the first part.
     first_part_after: Duration,
     /// Splits the stream into complete events; only for streams that may be resumed.
@@ -64,7 +64,7 @@
 
 /// Starts a task that forwards a stream, and returns the body for the caller.
 #[must_use]
-pub fn start(request: &ActiveRequest, flight: Flight, first: Bytes, rest: AnswerBody) -> Body {
+pub fn start(request: &ActiveRequest, flight: Flight, first: Bytes, rest: ResponseBody) -> Body {
     let (downstream, body) = body::channel(BUFFERED_PARTS);
     let resumable = matches!(request.job.kind, RouteKind::Stream { resumable: true });
     let relay = Relay {
--- a/crates/peppercrank-gateway/src/store.rs
+++ b/crates/peppercrank-gateway/src/store.rs
@@ -17,11 +17,11 @@
 use peppercrank_direct::era::Era;
 use peppercrank_platform::store;
 use peppercrank_wire::body;
-use peppercrank_wire::client::Answer;
-use peppercrank_wire::client::AnswerBody;
 use peppercrank_wire::client::Client;
+use peppercrank_wire::client::ClientConfig;
+use peppercrank_wire::client::ClientResponse;
+use peppercrank_wire::client::ResponseBody;
 use peppercrank_wire::client::Reuse;
-use peppercrank_wire::client::Times;
 use prometheus_client::metrics::counter::Counter;
 use tokio::time::timeout;
 
@@ -113,7 +113,7 @@
     /// Creates a client for the store at this address that adds the bytes it reads to a counter.
     #[must_use]
     pub fn new(address: SocketAddr, bytes_read: Counter) -> Self {
-        let times = Times {
+        let times = ClientConfig {
             connect: CONNECT_TIMEOUT,
             first_byte: Duration::from_secs(60),
             idle: PART_TIMEOUT,
@@ -138,7 +138,7 @@
     /// # Errors
     ///
     /// Returns the outcome of a call without an answer.
-    pub async fn get(&self, path: &str, within: Duration) -> Result<Answer, CallOutcome> {
+    pub async fn get(&self, path: &str, within: Duration) -> Result<ClientResponse, CallOutcome> {
         self.send(Method::GET, path, Bytes::new(), within).await
     }
 
@@ -170,7 +170,7 @@
         path: &str,
         body: Bytes,
         within: Duration,
-    ) -> Result<Answer, CallOutcome> {
+    ) -> Result<ClientResponse, CallOutcome> {
         let mut request = Request::new(body::full(body));
         *request.method_mut() = method;
         let Ok(uri) = path.parse() else {
@@ -191,7 +191,7 @@
     ///
     /// A time limit on the whole call made routers on slow links abandon half-read answers and
     /// start over from the first byte for 8 s.
-    pub async fn read_answer(&self, answer: Answer) -> CallOutcome {
+    pub async fn read_answer(&self, answer: ClientResponse) -> CallOutcome {
         let (head, body) = answer.into_parts();
         let era = store::era(&head.headers);
         let whole = timeout(BODY_TIMEOUT, self.read_body(body)).await;
@@ -203,7 +203,7 @@
     }
 
     /// Reads the complete body of an answer; `None` if it broke off.
-    async fn read_body(&self, mut body: AnswerBody) -> Option<Bytes> {
+    async fn read_body(&self, mut body: ResponseBody) -> Option<Bytes> {
         let mut whole = BytesMut::new();
         while let Some(frame) = body.frame().await {
             let Ok(part) = frame.ok()?.into_data() else {
--- a/crates/peppercrank-wire/examples/control_cost.rs
+++ b/crates/peppercrank-wire/examples/control_cost.rs
@@ -1,19 +1,20 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What sealing and control calls cost, in bytes and in time. Prints Markdown; ends in seconds.
+//! Measures the cost of sealing and of control calls, in bytes and in time. Prints Markdown; takes
+//! seconds.
 
 use std::hint::black_box;
 use std::net::Ipv4Addr;
 use std::time::Instant;
 
-use peppercrank_wire::control::Ask;
 use peppercrank_wire::control::ControlClient;
+use peppercrank_wire::control::ControlClientConfig;
 use peppercrank_wire::control::ControlLimits;
+use peppercrank_wire::control::ControlRequest;
+use peppercrank_wire::control::ControlResponse;
 use peppercrank_wire::control::ControlServer;
-use peppercrank_wire::control::ControlTimes;
 use peppercrank_wire::control::Order;
-use peppercrank_wire::control::Told;
 use peppercrank_wire::seal::Channel;
 use peppercrank_wire::seal::Identity;
 use peppercrank_wire::seal::Key;
@@ -23,14 +24,14 @@
 use peppercrank_wire::seal::SenderId;
 use peppercrank_wire::stop::stop;
 
-/// Messages sealed and opened, and calls made, for each line.
+/// Number of messages sealed and opened, and of calls, per row.
 const MESSAGES: u32 = 50_000;
 const CALLS: u32 = 5_000;
 
-/// Senders that an opener of the whole fleet knows.
+/// Number of senders that an opener knows in a whole fleet.
 const FLEET: u64 = 1_670;
 
-/// A boot number as daemons take it: the milliseconds of a date.
+/// A boot number as used by daemons: a date in milliseconds.
 const BOOT: u64 = 1_800_000_000_000;
 
 fn main() {
@@ -89,8 +90,8 @@
     let (_stopper, stop) = stop();
     tokio::spawn(server.serve(stop, |_, ask| async move {
         match ask {
-            Ask::Config(_) => Told::Received,
-            Ask::Order(order) => Told::Order(order.order),
+            ControlRequest::Config(_) => ControlResponse::Received,
+            ControlRequest::Order(order) => ControlResponse::Order(order.order),
         }
     }));
     println!("### Control calls on a kept connection, {CALLS} one after the other\n");
@@ -102,18 +103,21 @@
         order: r#"{"load_model":"galley-large"}"#.to_owned(),
     };
     let asks = [
-        ("config of 300 bytes", Ask::Config(vec![0; 300])),
-        ("config of 30,000 bytes", Ask::Config(vec![0; 30_000])),
-        ("order of 29 bytes", Ask::Order(order)),
+        ("config of 300 bytes", ControlRequest::Config(vec![0; 300])),
+        (
+            "config of 30,000 bytes",
+            ControlRequest::Config(vec![0; 30_000]),
+        ),
+        ("order of 29 bytes", ControlRequest::Order(order)),
     ];
     for (sender, (name, ask)) in (2..).zip(asks) {
-        let client = ControlClient::new(identity(sender), ring(), ControlTimes::default());
+        let client = ControlClient::new(identity(sender), ring(), ControlClientConfig::default());
         let begun = Instant::now();
         for _ in 0..CALLS {
-            client.ask(to, &ask).await.expect("an answer");
+            client.call(to, &ask).await.expect("an answer");
         }
         let time = begun.elapsed() / CALLS;
-        let (sent, received) = client.desk().carried();
+        let (sent, received) = client.codec().bytes_transferred();
         let calls = u64::from(CALLS);
         println!(
             "| {name} | {} | {} | {time:.0?} |",
--- a/crates/peppercrank-wire/src/client/answer.rs
+++ b/crates/peppercrank-wire/src/client/answer.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The body of an answer as it comes in.
+//! The incoming body of a response.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -27,22 +27,22 @@
 use crate::Error;
 use crate::Result;
 
-use super::link::Link;
+use super::link::Connection;
 use super::pool::Pool;
 
-/// `Framing` is how an answer's body ends.
+/// How the end of a response body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// It has none, or its length is known.
+    /// By its known length, or because there is no body.
     Length,
-    /// With the last chunk.
+    /// By the last chunk.
     Chunked,
-    /// With the connection, so that a part cannot be told from the whole.
+    /// By the end of the connection, so that a truncated body cannot be detected.
     Close,
 }
 
 impl Framing {
-    pub(super) fn of(answer: &Response<Incoming>) -> Self {
+    pub(super) fn of_response(answer: &Response<Incoming>) -> Self {
         let headers = answer.headers();
         if headers.contains_key(header::TRANSFER_ENCODING) {
             return Self::Chunked;
@@ -58,8 +58,8 @@
         Self::Close
     }
 
-    /// Whether the connection can take another request after this answer.
-    pub(super) fn keeps(self, answer: &Response<Incoming>) -> bool {
+    /// Returns whether the connection can be used for another request after this response.
+    pub(super) fn allows_reuse(self, answer: &Response<Incoming>) -> bool {
         let values = answer.headers().get_all(header::CONNECTION);
         let closes = values.iter().any(|v| {
             let text = v.to_str().unwrap_or("close");
@@ -70,58 +70,58 @@
     }
 }
 
-/// `AnswerBody` reads an answer's body; dropped before its end, it closes the connection.
+/// Reads the body of a response; dropping it before its end closes the connection.
 #[derive(Debug)]
-pub struct AnswerBody {
+pub struct ResponseBody {
     inner: Incoming,
     framing: Framing,
-    link: Option<Link>,
-    home: Option<(Arc<Pool>, SocketAddr)>,
+    connection: Option<Connection>,
+    return_to: Option<(Arc<Pool>, SocketAddr)>,
     idle: Duration,
-    /// Since when the reader has waited for the next part.
-    since: Option<Instant>,
+    /// The time at which the reader started to wait for the next part.
+    waiting_since: Option<Instant>,
     sleep: Option<Pin<Box<Sleep>>>,
 }
 
-impl AnswerBody {
+impl ResponseBody {
     pub(super) fn new(
         inner: Incoming,
         framing: Framing,
-        link: Link,
-        home: Option<(Arc<Pool>, SocketAddr)>,
+        connection: Connection,
+        return_to: Option<(Arc<Pool>, SocketAddr)>,
         idle: Duration,
     ) -> Self {
         let mut body = Self {
             inner,
             framing,
-            link: Some(link),
-            home,
+            connection: Some(connection),
+            return_to,
             idle,
-            since: None,
+            waiting_since: None,
             sleep: None,
         };
         if body.inner.is_end_stream() {
-            body.give_back();
+            body.release_connection();
         }
         body
     }
 
-    /// `framing` is how the body ends.
+    /// Returns how the end of the body is determined.
     #[must_use]
     pub const fn framing(&self) -> Framing {
         self.framing
     }
 
-    /// Gives the connection back after the body's end.
-    fn give_back(&mut self) {
-        let link = self.link.take();
-        if let (Some(link), Some((pool, to))) = (link, self.home.take()) {
-            pool.put(to, link);
+    /// Returns the connection to the pool after the end of the body.
+    fn release_connection(&mut self) {
+        let connection = self.connection.take();
+        if let (Some(connection), Some((pool, to))) = (connection, self.return_to.take()) {
+            pool.put(to, connection);
         }
     }
 
     fn poll_idle(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        let end = *self.since.get_or_insert_with(Instant::now) + self.idle;
+        let end = *self.waiting_since.get_or_insert_with(Instant::now) + self.idle;
         let sleep = self.sleep.get_or_insert_with(|| Box::pin(sleep_until(end)));
         if sleep.deadline() != end {
             sleep.as_mut().reset(end);
@@ -129,15 +129,15 @@
         sleep.as_mut().poll(cx)
     }
 
-    /// Ends the body early and closes the connection.
+    /// Ends the body with an error and closes the connection.
     fn fail(&mut self, error: Error) -> Poll<Option<Result<Frame<Bytes>>>> {
-        self.link = None;
-        self.home = None;
+        self.connection = None;
+        self.return_to = None;
         Poll::Ready(Some(Err(error)))
     }
 }
 
-impl HttpBody for AnswerBody {
+impl HttpBody for ResponseBody {
     type Data = Bytes;
     type Error = Error;
 
@@ -148,18 +148,18 @@
         let body = &mut *self;
         let Poll::Ready(next) = Pin::new(&mut body.inner).poll_frame(cx) else {
             ready!(body.poll_idle(cx));
-            return body.fail(Error::AnswerIdle);
+            return body.fail(Error::ResponseIdle);
         };
-        body.since = None;
+        body.waiting_since = None;
         match next {
             None => {
-                body.give_back();
+                body.release_connection();
                 Poll::Ready(None)
             }
-            Some(Err(_)) => body.fail(Error::AnswerCut),
+            Some(Err(_)) => body.fail(Error::ResponseCut),
             Some(Ok(frame)) => {
                 if body.inner.is_end_stream() {
-                    body.give_back();
+                    body.release_connection();
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
--- a/crates/peppercrank-wire/src/client/openings.rs
+++ b/crates/peppercrank-wire/src/client/openings.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The connections that a client is making, and how the last one went.
+//! Connections that a client is establishing, and the last one that it established.
 
 use std::collections::BTreeSet;
 use std::sync::Mutex;
@@ -11,76 +11,76 @@
 
 use tokio::time::Instant;
 
-/// `Made` is a connection that was made.
+/// Time and duration of an established connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Made {
-    /// When it was there.
+pub struct EstablishedConnection {
+    /// Time at which the connection was established.
     pub at: Instant,
-    /// Time that it took.
+    /// Time that it took to establish the connection.
     pub took: Duration,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// When each was begun, with its number.
+    /// Start time of each pending connection, with its sequence number.
     pending: BTreeSet<(Instant, u64)>,
     next: u64,
-    last: Option<Made>,
+    last: Option<EstablishedConnection>,
 }
 
-/// `Openings` are the connections that a client is making.
+/// Connections that a client is establishing.
 #[derive(Debug, Default)]
-pub struct Openings(Mutex<Inner>);
+pub struct PendingConnections(Mutex<Inner>);
 
-/// `Opening` is a connection that is being made, until it is dropped.
+/// A connection counts as pending until this is dropped.
 #[derive(Debug)]
-pub(super) struct Opening<'a> {
-    all: &'a Openings,
+pub(super) struct PendingConnection<'a> {
+    all: &'a PendingConnections,
     key: (Instant, u64),
 }
 
-impl Openings {
+impl PendingConnections {
     fn inner(&self) -> MutexGuard<'_, Inner> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// `count` is how many are being made.
+    /// Returns the number of pending connections.
     #[must_use]
     pub fn count(&self) -> usize {
         self.inner().pending.len()
     }
 
-    /// `oldest` is when the one that takes longest was begun.
+    /// Returns the start time of the connection that has been pending the longest.
     #[must_use]
-    pub fn oldest(&self) -> Option<Instant> {
+    pub fn oldest_start(&self) -> Option<Instant> {
         self.inner().pending.first().map(|(begun, _)| *begun)
     }
 
-    /// `last` is the last one that was made.
+    /// Returns the connection that was established last.
     #[must_use]
-    pub fn last(&self) -> Option<Made> {
+    pub fn last_established(&self) -> Option<EstablishedConnection> {
         self.inner().last
     }
 
-    pub(super) fn begin(&self) -> Opening<'_> {
+    pub(super) fn start(&self) -> PendingConnection<'_> {
         let mut inner = self.inner();
         let key = (Instant::now(), inner.next);
         inner.next += 1;
         inner.pending.insert(key);
-        Opening { all: self, key }
+        PendingConnection { all: self, key }
     }
 }
 
-impl Opening<'_> {
-    /// `made` notes that the connection is there.
-    pub(super) fn made(self) {
+impl PendingConnection<'_> {
+    /// Records that the connection was established.
+    pub(super) fn established(self) {
         let at = Instant::now();
         let took = at.duration_since(self.key.0);
-        self.all.inner().last = Some(Made { at, took });
+        self.all.inner().last = Some(EstablishedConnection { at, took });
     }
 }
 
-impl Drop for Opening<'_> {
+impl Drop for PendingConnection<'_> {
     fn drop(&mut self) {
         self.all.inner().pending.remove(&self.key);
     }
--- a/crates/peppercrank-wire/src/control/server.rs
+++ b/crates/peppercrank-wire/src/control/server.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The answering side of control calls.
+//! The server side of control calls.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -25,38 +25,38 @@
 use crate::errors::Step;
 use crate::seal::Identity;
 use crate::seal::KeyRing;
-use crate::seal::OVERHEAD;
+use crate::seal::SEAL_OVERHEAD;
 use crate::seal::SenderId;
 use crate::stop::Stop;
 
 use super::MAX_FRAME;
-use super::desk::Desk;
-use super::desk::Reply;
-use super::desk::Sealed;
-use super::messages::Ask;
-use super::messages::Told;
-use super::transport::wrap;
-
-/// Pause after a failed accept, so that a full descriptor table is not polled in a tight loop.
+use super::desk::ControlCodec;
+use super::desk::SealedReply;
+use super::desk::SealedRequest;
+use super::messages::ControlRequest;
+use super::messages::ControlResponse;
+use super::transport::rpc_transport;
+
+/// Pause after a failed accept, which avoids a busy loop while the file descriptor table is full.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Once stopping, a connection closes when it has carried nothing for so long and no call runs.
-const QUIET: Duration = Duration::from_millis(100);
+/// Idle time after which a connection without calls is closed during shutdown.
+const STOP_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// `ControlLimits` are what a server of control calls allows.
+/// Limits of a [`ControlServer`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ControlLimits {
-    /// Connections open at once; one more is closed.
+    /// Maximum number of open connections; further connections are closed.
     pub connections: usize,
-    /// Calls in progress on one connection; one more is refused.
+    /// Maximum number of calls in progress per connection; further calls are refused.
     pub calls: usize,
-    /// The longest message, in bytes.
+    /// Maximum size of a message, in bytes.
     pub frame: usize,
-    /// Time that a connection may carry nothing.
+    /// Idle time after which a connection is closed.
     pub idle: Duration,
-    /// Senders remembered against replays.
-    pub room: usize,
-    /// Once stopping, the time left to calls in progress.
+    /// Maximum number of senders remembered for replay protection.
+    pub max_senders: usize,
+    /// Time that calls in progress get to complete during shutdown.
     pub drain: Duration,
 }
 
@@ -67,33 +67,33 @@
             calls: 64,
             frame: MAX_FRAME,
             idle: Duration::from_secs(60),
-            // More than twice the fleet of 1,670 processes.
-            room: 4_096,
-            // Longer than a call's deadline.
+            // More than twice the fleet size of 1,670 processes.
+            max_senders: 4_096,
+            // Longer than the deadline of a call.
             drain: Duration::from_secs(3),
         }
     }
 }
 
-/// `ControlServer` answers control calls.
+/// A server for control calls.
 #[derive(Debug)]
 pub struct ControlServer {
     listener: TcpListener,
     local: SocketAddr,
     address: SocketAddr,
     limits: ControlLimits,
-    desk: Arc<Desk>,
+    codec: Arc<ControlCodec>,
 }
 
 impl ControlServer {
-    /// `bind` listens on an address; port 0 takes a free one.
+    /// Binds the server to an address; port 0 selects a free port.
     ///
-    /// Calls are sealed for the address that they are sent to, so a process that others reach by
-    /// another address than the bound one names it as `advertised`.
+    /// Calls are sealed for the address that they are sent to. A process that others reach by an
+    /// address other than the bound one must pass that address as `advertised`.
     ///
     /// # Errors
     ///
-    /// Returns [`crate::Error::Io`] when the address cannot be bound.
+    /// Returns [`crate::Error::Io`] if the address cannot be bound.
     pub async fn bind(
         address: SocketAddr,
         advertised: Option<SocketAddr>,
@@ -105,44 +105,44 @@
         let listener = bound.map_err(|e| errors::io(Step::Bind, &e))?;
         let local = listener.local_addr();
         let local = local.map_err(|e| errors::io(Step::Bind, &e))?;
-        let desk = Desk::answering(identity, ring, limits.room);
+        let codec = ControlCodec::for_server(identity, ring, limits.max_senders);
         Ok(Self {
             listener,
             local,
             address: advertised.unwrap_or(local),
             limits,
-            desk: Arc::new(desk),
+            codec: Arc::new(codec),
         })
     }
 
-    /// `address` is where others call.
+    /// Returns the address at which other processes reach the server.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// `local_addr` is where the server listens.
+    /// Returns the address that the server listens on.
     #[must_use]
     pub const fn local_addr(&self) -> SocketAddr {
         self.local
     }
 
-    /// `desk` rotates the server's keys and tells its counts; it outlives the server.
+    /// Returns the codec, which rotates the keys of the server and provides its counters; it
+    /// outlives the server.
     #[must_use]
-    pub fn desk(&self) -> Arc<Desk> {
-        Arc::clone(&self.desk)
+    pub fn codec(&self) -> Arc<ControlCodec> {
+        Arc::clone(&self.codec)
     }
 
-    /// `serve` answers calls until told to stop, then finishes those in progress.
+    /// Serves calls until `stop` is signalled, then completes the calls in progress.
     ///
-    /// The future that answers a call is dropped at the call's deadline, and when its caller goes
-    /// away.
+    /// The future of a call is dropped at its deadline or when the caller disconnects.
     pub async fn serve<F, R>(self, mut stop: Stop, answer: F)
     where
-        F: Fn(SenderId, Ask) -> R + Clone + Send + Sync + 'static,
-        R: Future<Output = Told> + Send + 'static,
+        F: Fn(SenderId, ControlRequest) -> R + Clone + Send + Sync + 'static,
+        R: Future<Output = ControlResponse> + Send + 'static,
     {
-        let here: Arc<str> = self.address.to_string().into();
+        let address: Arc<str> = self.address.to_string().into();
         let mut tasks = JoinSet::new();
         loop {
             tokio::select! {
@@ -155,70 +155,80 @@
                     if tasks.len() >= self.limits.connections {
                         continue;
                     }
-                    let desk = Arc::clone(&self.desk);
-                    let here = Arc::clone(&here);
+                    let codec = Arc::clone(&self.codec);
+                    let address = Arc::clone(&address);
                     let limits = self.limits.clone();
-                    tasks.spawn(run(io, here, desk, limits, stop.clone(), answer.clone()));
+                    tasks.spawn(serve_connection(io, address, codec, limits, stop.clone(), answer.clone()));
                 }
                 Some(_) = tasks.join_next(), if !tasks.is_empty() => {}
             }
         }
         drop(self.listener);
         let all = async { while tasks.join_next().await.is_some() {} };
-        // What outlasts the time is cut when the tasks are dropped.
+        // Calls that exceed the time are aborted when the tasks are dropped.
         let _over = timeout(self.limits.drain, all).await;
     }
 }
 
-async fn run<F, R>(
+async fn serve_connection<F, R>(
     io: TcpStream,
-    here: Arc<str>,
-    desk: Arc<Desk>,
+    address: Arc<str>,
+    codec: Arc<ControlCodec>,
     limits: ControlLimits,
     mut stop: Stop,
     answer: F,
 ) where
-    F: Fn(SenderId, Ask) -> R + Clone + Send + Sync + 'static,
-    R: Future<Output = Told> + Send + 'static,
+    F: Fn(SenderId, ControlRequest) -> R + Clone + Send + Sync + 'static,
+    R: Future<Output = ControlResponse> + Send + 'static,
 {
-    let (wire, activity) = wrap(io, limits.frame, Arc::clone(&desk.carried));
-    let most = limits.frame.saturating_sub(OVERHEAD);
-    let handler = serve(move |_: Context, sealed: Sealed| async move {
-        Ok(reply(&desk, &here, most, &sealed, answer).await)
+    let (transport, activity) = rpc_transport(io, limits.frame, Arc::clone(&codec.byte_counters));
+    let max_len = limits.frame.saturating_sub(SEAL_OVERHEAD);
+    let handler = serve(move |_: Context, sealed: SealedRequest| async move {
+        Ok(handle_call(&codec, &address, max_len, &sealed, answer).await)
     });
-    let channel = BaseChannel::with_defaults(wire).max_concurrent_requests(limits.calls);
+    let channel = BaseChannel::with_defaults(transport).max_concurrent_requests(limits.calls);
     let mut requests = pin!(channel.execute(handler));
     let mut calls = FuturesUnordered::new();
     let mut stopping = false;
-    // Calls run within this task, so that they end when their connection does.
+    // Calls run within this task, so that they end with their connection.
     loop {
-        let quiet = stopping && calls.is_empty();
-        let time = if quiet { QUIET } else { limits.idle };
+        let is_draining_idle = stopping && calls.is_empty();
+        let time = if is_draining_idle {
+            STOP_IDLE_TIMEOUT
+        } else {
+            limits.idle
+        };
         tokio::select! {
-            // Answers go out when the requests are polled, so the time is looked at last.
+            // Responses are sent when the requests are polled, so the idle timeout is checked last.
             biased;
             Some(()) = calls.next(), if !calls.is_empty() => {}
             next = requests.next() => match next {
                 Some(call) => calls.push(call),
                 None => return,
             },
-            () = activity.ended() => return,
+            () = activity.closed_by_peer() => return,
             () = stop.wait(), if !stopping => stopping = true,
-            () = activity.idle(time) => return,
+            () = activity.idle_for(time) => return,
         }
     }
 }
 
-async fn reply<F, R>(desk: &Desk, here: &str, most: usize, sealed: &Sealed, answer: F) -> Reply
+async fn handle_call<F, R>(
+    codec: &ControlCodec,
+    address: &str,
+    max_len: usize,
+    sealed: &SealedRequest,
+    answer: F,
+) -> SealedReply
 where
-    F: Fn(SenderId, Ask) -> R,
-    R: Future<Output = Told>,
+    F: Fn(SenderId, ControlRequest) -> R,
+    R: Future<Output = ControlResponse>,
 {
-    let (caller, ask) = match desk.open_ask(here, &sealed.0) {
+    let (caller, request) = match codec.open_request(address, &sealed.0) {
         Ok(opened) => opened,
-        Err(reason) => return Reply::Rejected(reason),
+        Err(reason) => return SealedReply::Rejected(reason),
     };
-    let kind = ask.kind();
-    let told = answer(caller.identity.sender, ask).await;
-    Reply::Sealed(desk.seal_told(caller, kind, &told, most))
+    let kind = request.kind();
+    let response = answer(caller.identity.sender, request).await;
+    SealedReply::Sealed(codec.seal_response(caller, kind, &response, max_len))
 }
--- a/crates/peppercrank-wire/src/errors.rs
+++ b/crates/peppercrank-wire/src/errors.rs
@@ -1,15 +1,15 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The crate's error type, its result and small constructors.
+//! The error and result types of this crate, with a constructor for I/O errors.
 
 use std::fmt;
 use std::io;
 
-/// `Result` is the result of every fallible function of this crate.
+/// The result of the fallible functions of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Step` is what an adapter was doing when the system's call failed.
+/// Operation during which a system call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Step {
     /// Binding a socket to its address.
@@ -24,45 +24,45 @@
     Spawn,
 }
 
-/// `Error` names what went wrong at an edge of the process.
+/// An error of the network adapters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Error {
-    /// A call of the operating system failed.
+    /// A system call failed.
     Io {
-        /// What was being done.
+        /// The operation that failed.
         step: Step,
-        /// The system's kind of error.
+        /// The kind of error reported by the system.
         kind: io::ErrorKind,
     },
-    /// The writer of a body went away before the body's end.
+    /// The writer of a body was dropped before the end of the body.
     Aborted,
-    /// The reader of a body went away.
+    /// The reader of a body was dropped.
     ReaderGone,
-    /// A body is longer than the limit.
+    /// A body exceeds the maximum size.
     BodyTooBig,
-    /// The bodies of all calls in progress fill the room that there is for them.
+    /// The bodies of all calls in progress reached their maximum total size.
     BodyMemory,
-    /// A body did not arrive within its time.
+    /// A body did not arrive in time.
     BodyTimeout,
-    /// A body broke off or was framed wrongly.
+    /// A body was truncated or is malformed.
     BodyBroken,
-    /// Nothing of an answer arrived within the idle time.
-    AnswerIdle,
-    /// An answer broke off before its end.
-    AnswerCut,
-    /// A message does not fit a datagram.
+    /// No part of a response arrived within the idle timeout.
+    ResponseIdle,
+    /// A response was truncated.
+    ResponseCut,
+    /// A message does not fit into a datagram.
     MessageTooBig {
-        /// The message's length, in bytes.
+        /// The length of the message, in bytes.
         len: usize,
-        /// The longest length allowed, in bytes.
-        most: usize,
+        /// The maximum length, in bytes.
+        max: usize,
     },
     /// A message could not be encoded.
     Encode,
 }
 
-/// `io` makes the error for a failed call of the operating system.
+/// Returns the error for a failed system call.
 #[must_use]
 pub fn io(step: Step, error: &io::Error) -> Error {
     let kind = error.kind();
@@ -73,18 +73,20 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Io { step, kind } => write!(f, "{step:?} failed: {kind}"),
-            Self::Aborted => f.write_str("the body's writer went away before its end"),
-            Self::ReaderGone => f.write_str("the body's reader went away"),
-            Self::BodyTooBig => f.write_str("the body is longer than the limit"),
+            Self::Aborted => f.write_str("the writer of the body was dropped before its end"),
+            Self::ReaderGone => f.write_str("the reader of the body was dropped"),
+            Self::BodyTooBig => f.write_str("the body exceeds the maximum size"),
             Self::BodyMemory => f.write_str("too many request bodies in progress"),
             Self::BodyTimeout => f.write_str("the body did not arrive in time"),
-            Self::BodyBroken => f.write_str("the body broke off or was framed wrongly"),
-            Self::AnswerIdle => f.write_str("nothing of the answer arrived within the idle time"),
-            Self::MessageTooBig { len, most } => {
-                write!(f, "the message has {len} bytes, {most} fit")
+            Self::BodyBroken => f.write_str("the body was truncated or is malformed"),
+            Self::ResponseIdle => {
+                f.write_str("no part of the response arrived within the idle timeout")
+            }
+            Self::MessageTooBig { len, max } => {
+                write!(f, "the message has {len} bytes, the maximum is {max}")
             }
             Self::Encode => f.write_str("the message could not be encoded"),
-            Self::AnswerCut => f.write_str("the answer broke off before its end"),
+            Self::ResponseCut => f.write_str("the response was truncated"),
         }
     }
 }
--- a/crates/peppercrank-wire/src/pages.rs
+++ b/crates/peppercrank-wire/src/pages.rs
@@ -1,10 +1,10 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Operators' pages: metrics, health, readiness and status.
+//! HTTP endpoints for operators: metrics, health, readiness and status.
 //!
-//! They are served by rouille on an address of their own, which only operators and the balancer
-//! should reach: rouille takes a thread for each connection that sends a request slowly.
+//! They are served by rouille on a separate address, which only operators and the balancer should
+//! be able to reach: rouille uses a thread for each connection that sends its request slowly.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -25,74 +25,74 @@
 use crate::errors;
 use crate::errors::Error;
 use crate::errors::Step;
-use crate::seal::Bearers;
+use crate::seal::BearerTokens;
 
-/// How often the server looks whether it is to stop.
-const POLL: Duration = Duration::from_millis(50);
+/// Interval at which the server checks whether it has to stop.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the paths of the pages of single objects begin with.
-const OBJECTS: &str = "/objects/";
+/// Path prefix of the endpoints of single objects.
+const OBJECTS_PREFIX: &str = "/objects/";
 
-/// `Page` is one page as it stands at the moment of asking.
+/// Response of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Page {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
     /// The content type.
-    pub kind: &'static str,
-    /// The text.
+    pub content_type: &'static str,
+    /// The response text.
     pub text: String,
 }
 
 impl Page {
-    /// `text` is a plain page of this status.
+    /// Returns a plain text response with this status.
     #[must_use]
     pub fn text(status: u16, text: impl Into<String>) -> Self {
         Self {
             status,
-            kind: "text/plain; charset=utf-8",
+            content_type: "text/plain; charset=utf-8",
             text: text.into(),
         }
     }
 
-    /// `metrics` is a page in the text format that Prometheus reads.
+    /// Returns a response in the `OpenMetrics` text format.
     #[must_use]
     pub const fn metrics(text: String) -> Self {
         Self {
             status: 200,
-            kind: "application/openmetrics-text; version=1.0.0; charset=utf-8",
+            content_type: "application/openmetrics-text; version=1.0.0; charset=utf-8",
             text,
         }
     }
 
-    /// `json` is a page of JSON.
+    /// Returns a JSON response with this status.
     #[must_use]
     pub const fn json(status: u16, text: String) -> Self {
         Self {
             status,
-            kind: "application/json",
+            content_type: "application/json",
             text,
         }
     }
 }
 
-/// `Source` makes a page anew each time that it is asked for.
-pub type Source = Box<dyn Fn() -> Page + Send + Sync>;
+/// Creates the response for each request to an endpoint.
+pub type PageSource = Box<dyn Fn() -> Page + Send + Sync>;
 
-/// `Pages` are the pages of one daemon.
+/// The endpoints of a daemon.
 pub struct Pages {
     /// `/metrics`.
-    pub metrics: Source,
-    /// `/healthz`: 200 while the process works.
-    pub healthz: Source,
-    /// `/readyz`: 200 while it should be given work, 503 otherwise.
-    pub readyz: Source,
+    pub metrics: PageSource,
+    /// `/healthz`: 200 while the process is healthy.
+    pub healthz: PageSource,
+    /// `/readyz`: 200 while the process accepts requests, 503 otherwise.
+    pub readyz: PageSource,
     /// `/status`.
-    pub status: Source,
-    /// The pages below `/objects/`, by the rest of the path.
+    pub status: PageSource,
+    /// The endpoints below `/objects/`, called with the rest of the path.
     pub objects: Box<dyn Fn(&str) -> Page + Send + Sync>,
-    /// Who may read `/status` and `/objects/`; anybody who reaches the address, if absent.
-    pub bearers: Option<Bearers>,
+    /// Tokens for `/status` and `/objects/`; if absent, these endpoints need no token.
+    pub tokens: Option<BearerTokens>,
 }
 
 impl fmt::Debug for Pages {
@@ -102,16 +102,16 @@
 }
 
 impl Pages {
-    /// `serve` serves the pages with a number of threads until what it returns is dropped.
+    /// Serves the endpoints with `threads` threads until the returned server is dropped.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Io`] when the address cannot be bound or the thread not be started.
+    /// Returns [`Error::Io`] if the address cannot be bound or the thread cannot be started.
     ///
     /// # Panics
     ///
-    /// Panics when `threads` is 0.
-    pub fn serve(self, address: SocketAddr, threads: usize) -> Result<Serving> {
+    /// Panics if `threads` is 0.
+    pub fn serve(self, address: SocketAddr, threads: usize) -> Result<PagesServer> {
         let bound = Server::new(address, move |request| respond(&self, request));
         let server = bound.map_err(|e| bind_error(&*e))?.pool_size(threads);
         let address = server.server_addr();
@@ -119,41 +119,41 @@
         let stop = Arc::clone(&over);
         let run = move || {
             while !stop.load(Ordering::Acquire) {
-                server.poll_timeout(POLL);
+                server.poll_timeout(STOP_POLL_INTERVAL);
             }
             server.join();
         };
         let spawned = thread::Builder::new().name("pages".to_owned()).spawn(run);
         let thread = spawned.map_err(|e| errors::io(Step::Spawn, &e))?;
-        Ok(Serving {
+        Ok(PagesServer {
             address,
-            over,
+            stopped: over,
             thread: Some(thread),
         })
     }
 }
 
-/// `Serving` is a running server of pages; dropping it ends the server.
+/// A running server of endpoints; dropping it stops the server.
 #[derive(Debug)]
-pub struct Serving {
+pub struct PagesServer {
     address: SocketAddr,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Serving {
-    /// `local_addr` is where the pages are.
+impl PagesServer {
+    /// Returns the address that the server listens on.
     #[must_use]
     pub const fn local_addr(&self) -> SocketAddr {
         self.address
     }
 }
 
-impl Drop for Serving {
+impl Drop for PagesServer {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Release);
+        self.stopped.store(true, Ordering::Release);
         if let Some(thread) = self.thread.take() {
-            // A page's panic is answered with 500, so the thread itself has none to tell.
+            // A panic in an endpoint is answered with 500, so the thread itself does not panic.
             let _ended = thread.join();
         }
     }
@@ -172,8 +172,8 @@
             .with_additional_header("Allow", "GET, HEAD");
     }
     let url = request.url();
-    let object = url.strip_prefix(OBJECTS);
-    if (url == "/status" || object.is_some()) && !admitted(pages, request) {
+    let object = url.strip_prefix(OBJECTS_PREFIX);
+    if (url == "/status" || object.is_some()) && !is_authorized(pages, request) {
         let page = response(Page::text(401, "a token is wanted\n"));
         return page.with_additional_header("WWW-Authenticate", "Bearer");
     }
@@ -185,23 +185,23 @@
         ("/status", _) => (pages.status)(),
         _ => Page::text(404, "no such page\n"),
     };
-    // One page's fault must not end the server.
+    // A panic in one endpoint must not stop the server.
     match catch_unwind(AssertUnwindSafe(make)) {
         Ok(page) => response(page),
         Err(_) => response(Page::text(500, "the page could not be made\n")),
     }
 }
 
-fn admitted(pages: &Pages, request: &Request) -> bool {
-    let Some(bearers) = &pages.bearers else {
+fn is_authorized(pages: &Pages, request: &Request) -> bool {
+    let Some(bearers) = &pages.tokens else {
         return true;
     };
     request
         .header("Authorization")
-        .is_some_and(|v| bearers.knows(v))
+        .is_some_and(|v| bearers.matches(v))
 }
 
 fn response(page: Page) -> Response {
-    let response = Response::from_data(page.kind, page.text);
+    let response = Response::from_data(page.content_type, page.text);
     response.with_status_code(page.status).with_no_cache()
 }
--- a/crates/peppercrank-wire/src/platform/exchange.rs
+++ b/crates/peppercrank-wire/src/platform/exchange.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One exchange with the platform, and what its failures mean.
+//! Sends single requests to the platform and interprets their failures.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,48 +21,51 @@
 use super::Condition;
 use super::Failure;
 
-/// Unused connections kept: a few watches and the calls beside them.
-const SPARE: usize = 8;
+/// Maximum number of unused connections, enough for a few watches and concurrent calls.
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
-/// The longest pause that the platform can ask for; a daemon must not sleep for days by one answer.
-const MOST_PAUSE: Duration = Duration::from_secs(60);
+/// Maximum pause that the platform can request, so that a single response cannot stop a daemon for
+/// days.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// `Raw` is an answer that came whole.
+/// A completely received response.
 #[derive(Debug)]
-pub(super) struct Raw {
+pub(super) struct RawResponse {
     pub(super) status: u16,
-    after: Option<Duration>,
+    retry_after: Option<Duration>,
     body: Vec<u8>,
 }
 
-impl Raw {
+impl RawResponse {
     pub(super) fn parse<T: DeserializeOwned>(&self) -> Result<T, Failure> {
         let parsed = serde_json::from_slice(&self.body);
         parsed.map_err(|_malformed| Failure::Bad(self.status))
     }
 
-    /// What an answer to a read means that is neither a result nor an absence.
+    /// Returns the failure that a response to a read represents, if it is neither a result nor an
+    /// absence.
     pub(super) fn failure(&self) -> Failure {
         match self.status {
-            429 => Failure::Throttled(self.after),
+            429 => Failure::Throttled(self.retry_after),
             500..=599 => Failure::Down,
             status => Failure::Bad(status),
         }
     }
 
-    /// What an answer to a write means that the platform did not decide on.
+    /// Returns the failure that a response to a write represents, if the platform did not decide on
+    /// the write.
     pub(super) fn write_failure(&self) -> Failure {
         match self.status {
-            429 => Failure::Throttled(self.after),
+            429 => Failure::Throttled(self.retry_after),
             503 => Failure::Down,
-            // An answer of the platform's own failure does not say how far the write got.
+            // An internal error of the platform does not reveal whether the write took effect.
             500..=599 => Failure::Unknown,
             status => Failure::Bad(status),
         }
     }
 }
 
-/// `Exchange` sends requests to the platform and reads its answers.
+/// Sends requests to the platform and reads its responses.
 #[derive(Debug, Clone)]
 pub(super) struct Exchange {
     agent: Agent,
@@ -72,7 +75,7 @@
     answer: u64,
 }
 
-/// `Secret` is an `Authorization` value that no log shows.
+/// An `Authorization` value that is kept out of logs.
 #[derive(Clone)]
 struct Secret(String);
 
@@ -88,10 +91,10 @@
             .http_status_as_error(false)
             .max_redirects(0)
             .max_redirects_will_error(false)
-            // The environment must not send our calls elsewhere.
+            // Proxy settings in the environment must not redirect the calls.
             .proxy(None)
             .timeout_connect(Some(access.connect))
-            .max_idle_connections_per_host(SPARE)
+            .max_idle_connections_per_host(MAX_IDLE_CONNECTIONS)
             .build();
         let token = access.token.as_ref();
         Self {
@@ -103,26 +106,26 @@
         }
     }
 
-    /// Reads a path; the platform may hold the answer back for `wait`.
-    pub(super) fn read(&self, path: &str, wait: Duration) -> Result<Raw, Failure> {
+    /// Reads a path; the platform may delay its response by up to `wait`.
+    pub(super) fn read(&self, path: &str, wait: Duration) -> Result<RawResponse, Failure> {
         let request = self.request(Method::GET, path).body(());
         let request = request.map_err(|_malformed| Failure::Name)?;
         let agent = &self.agent;
         let within = Some(self.call.saturating_add(wait));
         let request = agent.configure_request(request);
         let request = request.timeout_per_call(within).build();
-        let read = agent.run(request).and_then(|r| self.whole(r));
+        let read = agent.run(request).and_then(|r| self.read_response(r));
         read.map_err(|e| read_failure(&e))
     }
 
-    /// Writes under a condition.
+    /// Writes an object if the condition holds.
     pub(super) fn write(
         &self,
         method: Method,
         path: &str,
         condition: Condition,
         text: &str,
-    ) -> Result<Raw, Failure> {
+    ) -> Result<RawResponse, Failure> {
         let request = self.request(method, path);
         let request = match condition {
             Condition::New => request.header(header::IF_NONE_MATCH, "*"),
@@ -134,7 +137,7 @@
         let agent = &self.agent;
         let request = agent.configure_request(request);
         let request = request.timeout_per_call(Some(self.call)).build();
-        let wrote = agent.run(request).and_then(|r| self.whole(r));
+        let wrote = agent.run(request).and_then(|r| self.read_response(r));
         wrote.map_err(|e| write_failure(&e))
     }
 
@@ -147,24 +150,24 @@
         }
     }
 
-    fn whole(&self, mut response: Response<Body>) -> Result<Raw, Error> {
+    fn read_response(&self, mut response: Response<Body>) -> Result<RawResponse, Error> {
         let status = response.status().as_u16();
-        let after = pause(&response);
+        let after = retry_after(&response);
         let body = response.body_mut();
         let body = body.with_config().limit(self.answer).read_to_vec()?;
-        Ok(Raw {
+        Ok(RawResponse {
             status,
-            after,
+            retry_after: after,
             body,
         })
     }
 }
 
-/// The seconds of `Retry-After`.
-fn pause(response: &Response<Body>) -> Option<Duration> {
+/// Returns the duration in the `Retry-After` header.
+fn retry_after(response: &Response<Body>) -> Option<Duration> {
     let value = response.headers().get(header::RETRY_AFTER)?;
     let seconds = value.to_str().ok()?.trim().parse().ok()?;
-    Some(Duration::from_secs(seconds).min(MOST_PAUSE))
+    Some(Duration::from_secs(seconds).min(MAX_RETRY_AFTER))
 }
 
 fn read_failure(error: &Error) -> Failure {
@@ -176,7 +179,8 @@
     }
 }
 
-/// A write is known not to be sent only when no connection was made.
+/// Returns the failure of a write, which is known to be unsent only if no connection was
+/// established.
 fn write_failure(error: &Error) -> Failure {
     match error {
         Error::Timeout(Timeout::Connect | Timeout::Resolve) => Failure::Slow,
--- a/crates/peppercrank-wire/src/platform/mod.rs
+++ b/crates/peppercrank-wire/src/platform/mod.rs
@@ -1,9 +1,9 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The client of the platform's object API and its list of VMs.
+//! Client of the platform's object API and its list of VMs.
 //!
-//! Its calls block: run them on plain threads. The API is the one of docs/design/0001-protocols.md.
+//! Its calls block and must run on plain threads. docs/design/0001-protocols.md specifies the API.
 
 mod counters;
 mod exchange;
@@ -18,14 +18,14 @@
 use serde::Deserialize;
 use serde_json::Value;
 
+pub use counters::CallOutcome;
 pub use counters::Calls;
-pub use counters::Ending;
 pub use counters::Operation;
 pub use outcomes::Condition;
 pub use outcomes::Failure;
 pub use outcomes::Fetched;
 pub use outcomes::Listing;
-pub use outcomes::Named;
+pub use outcomes::NamedObject;
 pub use outcomes::Object;
 pub use outcomes::Role;
 pub use outcomes::Vm;
@@ -34,25 +34,25 @@
 pub use outcomes::Written;
 
 use exchange::Exchange;
-use exchange::Raw;
+use exchange::RawResponse;
 
-/// `Access` is how to reach the platform, and within what limits.
+/// Address, token and limits for calls to the platform.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Access {
-    /// Where the platform listens.
+    /// The address of the platform.
     pub address: SocketAddr,
-    /// The bearer token, if the platform wants one.
+    /// The bearer token, if the platform requires one.
     pub token: Option<String>,
-    /// Time for a connection to be made.
+    /// Timeout for establishing a connection.
     pub connect: Duration,
-    /// Time for a whole call; a watch gets its own waiting time on top.
+    /// Timeout of a call; the waiting time of a watch is added to it.
     pub call: Duration,
-    /// The longest answer taken, in bytes.
+    /// Maximum size of a response, in bytes.
     pub answer: u64,
 }
 
 impl Access {
-    /// `new` is the access to a platform at an address, with the default limits and no token.
+    /// Returns the access to a platform with default limits and without a token.
     #[must_use]
     pub const fn new(address: SocketAddr) -> Self {
         Self {
@@ -68,7 +68,7 @@
 
 impl std::fmt::Debug for Access {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // The token is a secret, so only its presence is told.
+        // The token is a secret, so only its presence is shown.
         f.debug_struct("Access")
             .field("address", &self.address)
             .field("token", &self.token.is_some())
@@ -79,7 +79,7 @@
     }
 }
 
-/// `Platform` calls the platform; its clones share connections and counts.
+/// A client of the platform; clones share connections and counters.
 #[derive(Debug, Clone)]
 pub struct Platform {
     exchange: Exchange,
@@ -98,7 +98,7 @@
 }
 
 impl Platform {
-    /// `new` makes a client; it connects with its first call.
+    /// Creates a client, which connects on its first call.
     #[must_use]
     pub fn new(access: &Access) -> Self {
         Self {
@@ -107,20 +107,20 @@
         }
     }
 
-    /// `calls` are the counts of all calls.
+    /// Returns the counters of the calls.
     #[must_use]
     pub fn calls(&self) -> Arc<Calls> {
         Arc::clone(&self.calls)
     }
 
-    /// `get` reads one object.
+    /// Reads an object.
     ///
     /// # Errors
     ///
-    /// Returns a [`Failure`] other than [`Failure::Unknown`].
+    /// Returns any [`Failure`] except [`Failure::Unknown`].
     pub fn get(&self, kind: &str, name: &str) -> Result<Fetched, Failure> {
-        let path = object(kind, name)?;
-        self.counted(Operation::Get, fetched, || {
+        let path = object_path(kind, name)?;
+        self.count_call(Operation::Get, fetch_outcome, || {
             let raw = self.exchange.read(&path, Duration::ZERO)?;
             match raw.status {
                 200 => raw.parse().map(Fetched::Found),
@@ -130,11 +130,11 @@
         })
     }
 
-    /// `put` writes one object if the condition holds.
+    /// Writes an object if the condition holds.
     ///
     /// # Errors
     ///
-    /// Returns [`Failure::Unknown`] when the write may have taken effect all the same.
+    /// Returns [`Failure::Unknown`] if the write may have taken effect nevertheless.
     pub fn put(
         &self,
         kind: &str,
@@ -142,72 +142,72 @@
         condition: Condition,
         body: &Value,
     ) -> Result<Written, Failure> {
-        let path = object(kind, name)?;
+        let path = object_path(kind, name)?;
         let text = body.to_string();
         self.write(Operation::Put, Method::PUT, &path, condition, &text)
     }
 
-    /// `delete` deletes one object of a version and leaves a tombstone.
+    /// Deletes an object if it has this version, which leaves a tombstone.
     ///
     /// # Errors
     ///
-    /// Returns [`Failure::Unknown`] when the delete may have taken effect all the same.
+    /// Returns [`Failure::Unknown`] if the deletion may have taken effect nevertheless.
     pub fn delete(&self, kind: &str, name: &str, version: u64) -> Result<Written, Failure> {
-        let path = object(kind, name)?;
+        let path = object_path(kind, name)?;
         let condition = Condition::Version(version);
         self.write(Operation::Delete, Method::DELETE, &path, condition, "")
     }
 
-    /// `list` reads all objects of a kind, tombstones included.
+    /// Reads all objects of a kind, including tombstones.
     ///
     /// # Errors
     ///
-    /// Returns a [`Failure`] other than [`Failure::Unknown`].
+    /// Returns any [`Failure`] except [`Failure::Unknown`].
     pub fn list(&self, kind: &str) -> Result<Listing, Failure> {
-        let kind = part(kind)?;
-        self.counted(
+        let kind = path_segment(kind)?;
+        self.count_call(
             Operation::List,
-            |_| Ending::Found,
+            |_| CallOutcome::Found,
             || {
                 let raw = self
                     .exchange
                     .read(&format!("/objects/{kind}"), Duration::ZERO)?;
-                raw.found()
+                raw.parse_found()
             },
         )
     }
 
-    /// `watch` waits up to `wait` for objects of a kind newer than revision `since`.
+    /// Waits up to `wait` for objects of a kind that are newer than revision `since`.
     ///
     /// # Errors
     ///
-    /// Returns a [`Failure`] other than [`Failure::Unknown`].
+    /// Returns any [`Failure`] except [`Failure::Unknown`].
     pub fn watch(&self, kind: &str, since: u64, wait: Duration) -> Result<Watched, Failure> {
-        let kind = part(kind)?;
+        let kind = path_segment(kind)?;
         let wait_ms = wait.as_millis();
         let path = format!("/watch/{kind}?since={since}&wait_ms={wait_ms}");
-        self.counted(Operation::Watch, watched, || {
+        self.count_call(Operation::Watch, watch_outcome, || {
             let raw = self.exchange.read(&path, wait)?;
             match raw.status {
                 410 => Ok(Watched::TooOld),
-                _ => raw.found().map(Watched::News),
+                _ => raw.parse_found().map(Watched::Changes),
             }
         })
     }
 
-    /// `vms` reads the list of VMs.
+    /// Reads the list of VMs.
     ///
     /// # Errors
     ///
-    /// Returns a [`Failure`] other than [`Failure::Unknown`].
+    /// Returns any [`Failure`] except [`Failure::Unknown`].
     pub fn vms(&self) -> Result<Vms, Failure> {
-        self.counted(
+        self.count_call(
             Operation::Vms,
-            |_| Ending::Found,
+            |_| CallOutcome::Found,
             || {
                 let raw = self.exchange.read("/vms", Duration::ZERO)?;
-                let entries: Entries = raw.found()?;
-                Ok(sort_out(entries))
+                let entries: Entries = raw.parse_found()?;
+                Ok(parse_vms(entries))
             },
         )
     }
@@ -220,10 +220,10 @@
         condition: Condition,
         text: &str,
     ) -> Result<Written, Failure> {
-        self.counted(operation, written, || {
+        self.count_call(operation, write_outcome, || {
             let raw = self.exchange.write(method, path, condition, text)?;
             match raw.status {
-                // The version is lost with a malformed answer, though the write is done.
+                // The write took effect, but its version cannot be read from a malformed response.
                 200 => match raw.parse::<Version>() {
                     Ok(done) => Ok(Written::Done(done.version)),
                     Err(_) => Err(Failure::Unknown),
@@ -235,37 +235,41 @@
         })
     }
 
-    fn counted<T>(
+    fn count_call<T>(
         &self,
         operation: Operation,
-        ending: impl FnOnce(&T) -> Ending,
+        ending: impl FnOnce(&T) -> CallOutcome,
         call: impl FnOnce() -> Result<T, Failure>,
     ) -> Result<T, Failure> {
         self.calls.begin();
         let result = call();
         let ending = match &result {
             Ok(value) => ending(value),
-            Err(failure) => failed(*failure),
+            Err(failure) => failure_outcome(*failure),
         };
         self.calls.end(operation, ending);
         result
     }
 }
 
-/// Checks one part of a path, so that no name reaches another object.
-fn part(text: &str) -> Result<ObjectName, Failure> {
+/// Validates a path segment, so that a name cannot refer to another object.
+fn path_segment(text: &str) -> Result<ObjectName, Failure> {
     match ObjectName::new(text) {
         Ok(name) if !matches!(text, "." | "..") => Ok(name),
         _ => Err(Failure::Name),
     }
 }
 
-fn object(kind: &str, name: &str) -> Result<String, Failure> {
-    Ok(format!("/objects/{}/{}", part(kind)?, part(name)?))
+fn object_path(kind: &str, name: &str) -> Result<String, Failure> {
+    Ok(format!(
+        "/objects/{}/{}",
+        path_segment(kind)?,
+        path_segment(name)?
+    ))
 }
 
-/// Keeps the well-formed entries: one bad entry must not hide every other VM.
-fn sort_out(entries: Entries) -> Vms {
+/// Keeps the valid entries: an invalid entry must not hide all other VMs.
+fn parse_vms(entries: Entries) -> Vms {
     let all = entries.vms.len();
     let parsed = entries.vms.into_iter().map(serde_json::from_value);
     let vms: Vec<Vm> = parsed.filter_map(Result::ok).collect();
@@ -276,39 +280,39 @@
     }
 }
 
-const fn fetched(value: &Fetched) -> Ending {
+const fn fetch_outcome(value: &Fetched) -> CallOutcome {
     match value {
-        Fetched::Found(_) => Ending::Found,
-        Fetched::Absent => Ending::Absent,
+        Fetched::Found(_) => CallOutcome::Found,
+        Fetched::Absent => CallOutcome::Absent,
     }
 }
 
-const fn watched(value: &Watched) -> Ending {
+const fn watch_outcome(value: &Watched) -> CallOutcome {
     match value {
-        Watched::News(_) => Ending::Found,
-        Watched::TooOld => Ending::TooOld,
+        Watched::Changes(_) => CallOutcome::Found,
+        Watched::TooOld => CallOutcome::TooOld,
     }
 }
 
-const fn written(value: &Written) -> Ending {
+const fn write_outcome(value: &Written) -> CallOutcome {
     match value {
-        Written::Done(_) => Ending::Done,
-        Written::Conflict(_) => Ending::Conflict,
+        Written::Done(_) => CallOutcome::Done,
+        Written::Conflict(_) => CallOutcome::Conflict,
     }
 }
 
-const fn failed(failure: Failure) -> Ending {
+const fn failure_outcome(failure: Failure) -> CallOutcome {
     match failure {
-        Failure::Throttled(_) => Ending::Throttled,
-        Failure::Down => Ending::Down,
-        Failure::Slow => Ending::Slow,
-        Failure::Unknown => Ending::Unknown,
-        Failure::Bad(_) | Failure::Name => Ending::Bad,
+        Failure::Throttled(_) => CallOutcome::Throttled,
+        Failure::Down => CallOutcome::Down,
+        Failure::Slow => CallOutcome::Slow,
+        Failure::Unknown => CallOutcome::Unknown,
+        Failure::Bad(_) | Failure::Name => CallOutcome::Bad,
     }
 }
 
-impl Raw {
-    fn found<T: serde::de::DeserializeOwned>(&self) -> Result<T, Failure> {
+impl RawResponse {
+    fn parse_found<T: serde::de::DeserializeOwned>(&self) -> Result<T, Failure> {
         match self.status {
             200 => self.parse(),
             _ => Err(self.failure()),
--- a/crates/peppercrank-wire/src/seal/bearer.rs
+++ b/crates/peppercrank-wire/src/seal/bearer.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Operators' bearer tokens, compared in constant time.
+//! Bearer tokens of operators, compared in constant time.
 
 use std::fmt;
 
@@ -12,45 +12,45 @@
 use subtle::Choice;
 use subtle::ConstantTimeEq;
 
-/// The scheme before a token.
+/// The authentication scheme that precedes a token.
 const SCHEME: &str = "Bearer ";
 
-/// `Bearers` knows the tokens that operators may show, by their digests.
+/// The accepted bearer tokens, stored as digests.
 #[derive(Clone)]
-pub struct Bearers(Vec<[u8; 32]>);
+pub struct BearerTokens(Vec<[u8; 32]>);
 
-impl fmt::Debug for Bearers {
+impl fmt::Debug for BearerTokens {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Bearers({})", self.0.len())
     }
 }
 
-impl Bearers {
-    /// `new` accepts these tokens; without any, nobody is let in.
+impl BearerTokens {
+    /// Accepts the given tokens; without tokens, all requests are rejected.
     pub fn new<'a>(tokens: impl IntoIterator<Item = &'a str>) -> Self {
         Self(tokens.into_iter().map(digest).collect())
     }
 
-    /// `admits` tells whether the headers show one of the tokens.
+    /// Returns whether the headers contain one of the tokens.
     #[must_use]
-    pub fn admits(&self, headers: &HeaderMap) -> bool {
-        let shown = headers.get(header::AUTHORIZATION);
-        shown
+    pub fn authorizes(&self, headers: &HeaderMap) -> bool {
+        let presented = headers.get(header::AUTHORIZATION);
+        presented
             .and_then(|v| v.to_str().ok())
-            .is_some_and(|v| self.knows(v))
+            .is_some_and(|v| self.matches(v))
     }
 
-    /// `knows` tells whether an `Authorization` value shows one of the tokens.
+    /// Returns whether the value of an `Authorization` header contains one of the tokens.
     ///
-    /// It compares digests, and all of them, so that neither a token's length nor its place is
-    /// told by the time it takes.
+    /// All digests are compared, so that the duration reveals neither the length of a token nor its
+    /// position in the list.
     #[must_use]
-    pub fn knows(&self, value: &str) -> bool {
+    pub fn matches(&self, value: &str) -> bool {
         let Some(token) = value.strip_prefix(SCHEME) else {
             return false;
         };
-        let shown = digest(token);
-        let equal = |choice: Choice, known: &[u8; 32]| choice | known.ct_eq(&shown);
+        let presented = digest(token);
+        let equal = |choice: Choice, known: &[u8; 32]| choice | known.ct_eq(&presented);
         self.0.iter().fold(Choice::from(0), equal).into()
     }
 }
--- a/crates/peppercrank-wire/src/seal/mod.rs
+++ b/crates/peppercrank-wire/src/seal/mod.rs
@@ -1,10 +1,10 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Authentication of the messages between our own processes.
+//! Authentication of messages between processes of the fleet.
 //!
-//! It has no input or output of its own: keys, boot numbers and messages are passed in. A sealed
-//! message names its key, its sender, the sender's boot and a counter, and carries a truncated
+//! This module performs no input or output; keys, boot numbers and messages are passed in. A sealed
+//! message carries a key id, a sender, the boot number of the sender, a counter, and a truncated
 //! HMAC-SHA256 over all of these, the channel, the audience and the payload.
 //!
 //! # Examples
@@ -39,10 +39,10 @@
 mod sealer;
 mod window;
 
-pub use bearer::Bearers;
+pub use bearer::BearerTokens;
 pub use head::MAC_HEADER;
-pub use head::check_head;
 pub use head::sign_head;
+pub use head::verify_head;
 pub use keys::Key;
 pub use keys::KeyError;
 pub use keys::KeyRing;
@@ -50,31 +50,31 @@
 pub use opener::Opener;
 pub use opener::Rejected;
 pub use sealer::Identity;
-pub use sealer::OVERHEAD;
+pub use sealer::SEAL_OVERHEAD;
 pub use sealer::Sealer;
 pub use sealer::SenderId;
 
-/// `Channel` is what a sealed message is for; one of another channel does not open.
+/// Purpose of a sealed message; a message sealed for one channel cannot be opened on another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Channel {
     /// A gossip datagram.
     Datagram,
-    /// A control call.
-    Ask,
-    /// The answer to a control call.
-    Told,
+    /// A control request.
+    ControlRequest,
+    /// The response to a control request.
+    ControlResponse,
     /// The head of a request from a router to an agent.
-    Head,
+    RequestHead,
 }
 
 impl Channel {
-    /// The byte that stands for the channel in what is authenticated.
+    /// Returns the byte that represents the channel in the authenticated data.
     const fn byte(self) -> u8 {
         match self {
             Self::Datagram => 1,
-            Self::Ask => 2,
-            Self::Told => 3,
-            Self::Head => 4,
+            Self::ControlRequest => 2,
+            Self::ControlResponse => 3,
+            Self::RequestHead => 4,
         }
     }
 }
--- a/crates/peppercrank-wire/src/traffic.rs
+++ b/crates/peppercrank-wire/src/traffic.rs
@@ -1,41 +1,41 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Control bytes by kind of message.
+//! Counts control traffic by kind of message.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::sync::MutexGuard;
 use std::sync::PoisonError;
 
-/// `Volume` is what one kind of message came to.
+/// Counts of one kind of message.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Volume {
-    /// Messages sent.
+pub struct TrafficCounts {
+    /// Number of messages sent.
     pub sent: u64,
-    /// Bytes sent.
+    /// Number of bytes sent.
     pub sent_bytes: u64,
-    /// Messages received.
+    /// Number of messages received.
     pub received: u64,
-    /// Bytes received.
+    /// Number of bytes received.
     pub received_bytes: u64,
 }
 
-/// `Traffic` counts control messages and their bytes by kind.
+/// Counts control messages and their bytes by kind.
 #[derive(Debug, Default)]
-pub struct Traffic(Mutex<BTreeMap<&'static str, Volume>>);
+pub struct Traffic(Mutex<BTreeMap<&'static str, TrafficCounts>>);
 
 impl Traffic {
-    /// `volumes` are the counts of each kind so far.
+    /// Returns the current counts of each kind.
     #[must_use]
-    pub fn volumes(&self) -> BTreeMap<&'static str, Volume> {
+    pub fn by_kind(&self) -> BTreeMap<&'static str, TrafficCounts> {
         self.kinds().clone()
     }
 
-    /// `total` is the sum over all kinds.
+    /// Returns the sum of the counts of all kinds.
     #[must_use]
-    pub fn total(&self) -> Volume {
-        let mut total = Volume::default();
+    pub fn total(&self) -> TrafficCounts {
+        let mut total = TrafficCounts::default();
         for volume in self.kinds().values() {
             total.sent += volume.sent;
             total.sent_bytes += volume.sent_bytes;
@@ -59,7 +59,7 @@
         volume.received_bytes += bytes as u64;
     }
 
-    fn kinds(&self) -> MutexGuard<'_, BTreeMap<&'static str, Volume>> {
+    fn kinds(&self) -> MutexGuard<'_, BTreeMap<&'static str, TrafficCounts>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/peppercrank-wire/tests/support/edge.rs
+++ b/crates/peppercrank-wire/tests/support/edge.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Edges on free ports, shared by test files.
+//! Servers on free ports, shared by test files.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -11,23 +11,23 @@
 use peppercrank_wire::edge::Call;
 use peppercrank_wire::edge::Counters;
 use peppercrank_wire::edge::Edge;
-use peppercrank_wire::edge::Finished;
 use peppercrank_wire::edge::Limits;
 use peppercrank_wire::edge::Reply;
+use peppercrank_wire::edge::ServeSummary;
 use peppercrank_wire::edge::refuse_body;
 use peppercrank_wire::stop::Stopper;
 use peppercrank_wire::stop::stop;
 use tokio::task::JoinHandle;
 
-/// A running edge.
+/// A running server.
 pub struct Running {
     pub address: SocketAddr,
     pub counters: Arc<Counters>,
     pub stopper: Stopper,
-    pub ended: JoinHandle<Finished>,
+    pub ended: JoinHandle<ServeSummary>,
 }
 
-/// Starts an edge on a free port.
+/// Starts a server on a free port.
 pub async fn start<F, R>(limits: Limits, answer: F) -> Running
 where
     F: Fn(Call) -> R + Send + Sync + 'static,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Answers with the method, the path and the body.
+/// Responds with the method, the path and the body.
 pub async fn echo(call: Call) -> Reply {
     let head = call.head;
     match call.body.read().await {
@@ -61,8 +61,8 @@
 }
 
 impl Running {
-    /// Tells the edge to stop and waits for its end.
-    pub async fn stop(self) -> Finished {
+    /// Stops the server and waits for its end.
+    pub async fn stop(self) -> ServeSummary {
         self.stopper.stop();
         self.ended.await.expect("an edge that ends")
     }
--- a/crates/peppercrank-wire/tests/verify_client.rs
+++ b/crates/peppercrank-wire/tests/verify_client.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The client tells what may have been sent, and takes no answer for another's.
+//! Tests that the client reports what may have been sent, and never mixes up responses.
 
 #[path = "support/http.rs"]
 mod requests;
@@ -20,12 +20,12 @@
 use peppercrank_wire::body;
 use peppercrank_wire::client::Cause;
 use peppercrank_wire::client::Client;
+use peppercrank_wire::client::ClientConfig;
 use peppercrank_wire::client::Count;
 use peppercrank_wire::client::Framing;
 use peppercrank_wire::client::Reuse;
 use peppercrank_wire::client::SendError;
-use peppercrank_wire::client::Times;
-use peppercrank_wire::headers::strip;
+use peppercrank_wire::headers::strip_hop_by_hop;
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
@@ -37,16 +37,16 @@
 use requests::get;
 use requests::text;
 
-/// What the scripted server does with one connection.
+/// What the scripted server does with a connection.
 #[derive(Debug, Clone, Copy)]
 enum Script {
-    /// Answers with these bytes and closes.
+    /// Sends these bytes and closes the connection.
     Answer(&'static str),
-    /// Answers with these bytes and keeps the connection until the client leaves it.
+    /// Sends these bytes and keeps the connection open until the client closes it.
     Keep(&'static str),
 }
 
-/// Plays one script after the other, each to a new connection.
+/// Runs the scripts in order, each on a new connection.
 async fn play(scripts: Vec<Script>) -> (SocketAddr, JoinHandle<()>) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await;
     let listener = listener.expect("a free port");
@@ -56,7 +56,7 @@
             let (mut io, _) = listener.accept().await.expect("a connection");
             request(&mut io).await;
             let (Script::Answer(answer) | Script::Keep(answer)) = script;
-            // The client may have left already.
+            // The client may have disconnected already.
             let _sent = io.write_all(answer.as_bytes()).await;
             if matches!(script, Script::Keep(_)) {
                 let _left = io.read_to_end(&mut Vec::new()).await;
@@ -79,12 +79,12 @@
 const BAD: &str = "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nbad";
 
 #[tokio::test]
-async fn verify_fates() {
-    let short = Times {
+async fn verify_send_outcomes() {
+    let short = ClientConfig {
         first_byte: Duration::from_millis(300),
-        ..Times::default()
+        ..ClientConfig::default()
     };
-    let long = Times::default();
+    let long = ClientConfig::default();
     let endless = format!("HTTP/1.1 200 OK\r\na: {}", "a".repeat(200_000));
     let endless: &str = Box::leak(endless.into_boxed_str());
     let cases = [
@@ -111,7 +111,7 @@
             1,
             "{script:?}"
         );
-        // The connection was closed, else the script would not end.
+        // The connection was closed; otherwise the script would not end.
         played.await.expect("a script played");
     }
 }
@@ -121,7 +121,7 @@
     let listener = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     let to = listener.local_addr().expect("an address");
     drop(listener);
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     let sent = client.send(to, get("/"), Reuse::Allowed).await;
     let refused = SendError::NotSent(Cause::Connect(io::ErrorKind::ConnectionRefused));
     assert_eq!(sent.expect_err("no answer"), refused);
@@ -129,36 +129,42 @@
 }
 
 #[tokio::test]
-async fn verify_connections_that_are_being_made_are_counted_to_their_end() {
-    let client = Client::new(Times::default());
+async fn verify_pending_connections_are_counted() {
+    let client = Client::new(ClientConfig::default());
     assert_eq!(
-        (client.openings().count(), client.openings().last()),
+        (
+            client.pending_connections().count(),
+            client.pending_connections().last_established()
+        ),
         (0, None)
     );
     let (address, played) = play(vec![Script::Answer(GOOD)]).await;
     let answer = client.send(address, get("/"), Reuse::Never).await;
     let _whole = answer.expect("an answer");
     played.await.expect("a server");
-    let made = client.openings().last();
+    let made = client.pending_connections().last_established();
     assert!(made.is_some());
-    // One that fails, and one that nobody waits for any more, count no longer and were not made.
+    // A failed connection and an abandoned one no longer count, and neither was established.
     let failed = client.send(address, get("/"), Reuse::Never).await;
     let _refused = failed.expect_err("nobody listens");
     let given_up = timeout(Duration::ZERO, client.send(address, get("/"), Reuse::Never)).await;
     assert!(!given_up.is_ok_and(|sent| sent.is_ok()));
     assert_eq!(
-        (client.openings().count(), client.openings().last()),
+        (
+            client.pending_connections().count(),
+            client.pending_connections().last_established()
+        ),
         (0, made)
     );
 }
 
 #[tokio::test]
-async fn verify_own_broken_body_is_told() {
+async fn verify_an_aborted_request_body_is_reported() {
     let (to, played) = play(vec![Script::Answer(GOOD)]).await;
     let (feed, body) = body::channel(1);
     drop(feed);
     let request = Request::post("/").body(body).expect("a good path");
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     let sent = client.send(to, request, Reuse::Allowed).await;
     assert_eq!(
         sent.expect_err("no answer"),
@@ -169,20 +175,20 @@
 
 #[tokio::test]
 async fn verify_bodies() {
-    let times = Times {
+    let times = ClientConfig {
         idle: Duration::from_millis(300),
-        ..Times::default()
+        ..ClientConfig::default()
     };
     let cases = [
         (Script::Keep(GOOD), Ok("good"), Framing::Length),
         (
             Script::Answer(&GOOD[..GOOD.len() - 1]),
-            Err(Error::AnswerCut),
+            Err(Error::ResponseCut),
             Framing::Length,
         ),
         (
             Script::Keep(&GOOD[..GOOD.len() - 1]),
-            Err(Error::AnswerIdle),
+            Err(Error::ResponseIdle),
             Framing::Length,
         ),
         (
@@ -194,15 +200,15 @@
         ),
         (
             Script::Answer("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\ngood\r\n"),
-            Err(Error::AnswerCut),
+            Err(Error::ResponseCut),
             Framing::Chunked,
         ),
         (
             Script::Answer("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nxx\r\n"),
-            Err(Error::AnswerCut),
+            Err(Error::ResponseCut),
             Framing::Chunked,
         ),
-        // Nobody can tell whether this is whole, so its framing says so.
+        // It is unknown whether this body is complete, which its framing states.
         (
             Script::Answer("HTTP/1.1 200 OK\r\n\r\ngood"),
             Ok("good"),
@@ -234,7 +240,7 @@
 }
 
 #[tokio::test]
-async fn verify_late_and_crossed_answers_are_nobodys() {
+async fn verify_late_and_mismatched_responses_are_discarded() {
     let twice = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ngood\
                  HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nbad";
     let closing = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 4\r\n\r\ngood";
@@ -247,13 +253,16 @@
     ];
     for (first, wait) in cases {
         let (to, played) = play(vec![first, Script::Keep(GOOD)]).await;
-        let client = Client::new(Times::default());
+        let client = Client::new(ClientConfig::default());
         for _ in 0..2 {
             let sent = client.send(to, get("/"), Reuse::Allowed).await;
             let body = sent.expect("an answer").into_body();
             assert_eq!(text(body).await.as_deref(), Ok("good"), "{first:?}");
-            // A close comes when it comes; the other cases must hold at once.
-            while wait && client.counters().get(Count::Connected) == 1 && client.kept() > 0 {
+            // A close may take a while; the other cases must hold immediately.
+            while wait
+                && client.counters().get(Count::Connected) == 1
+                && client.idle_connections() > 0
+            {
                 tokio::task::yield_now().await;
             }
         }
@@ -266,12 +275,12 @@
 #[tokio::test]
 async fn verify_kept_connections() {
     let (to, played) = play(vec![Script::Keep(GOOD), Script::Keep(BAD)]).await;
-    let client = Client::new(Times {
+    let client = Client::new(ClientConfig {
         keep: Duration::ZERO,
-        ..Times::default()
+        ..ClientConfig::default()
     });
     for expected in ["good", "bad"] {
-        // Kept too long to be trusted.
+        // Kept longer than the limit.
         let answer = client
             .send(to, get("/"), Reuse::Allowed)
             .await
@@ -283,9 +292,10 @@
     played.await.expect("a script played");
 }
 
-/// Answers each connection's first request as soon as its head is there, and reads no more.
+/// Responds to the first request of each connection as soon as its head arrives, and reads nothing
+/// more.
 fn answer_early() -> (SocketAddr, JoinHandle<()>) {
-    /// Bytes that a connection holds unread.
+    /// Bytes that a connection can buffer unread.
     const UNREAD: u32 = 64 << 10;
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(UNREAD).expect("a small buffer");
@@ -308,19 +318,19 @@
 }
 
 #[tokio::test]
-async fn verify_nothing_follows_a_request_that_is_still_going_out() {
-    /// More than the buffers of both sides of a connection hold.
+async fn verify_no_request_waits_for_one_that_is_still_being_sent() {
+    /// More than the buffers on both sides of a connection can hold.
     const LONG: usize = 16 << 20;
-    /// Time after which a test is given up; it is never reached unless it fails.
+    /// Timeout of the test, which is only reached if it fails.
     const GIVEN_UP: Duration = Duration::from_secs(30);
     let (feed, endless) = body::channel(1);
     feed.send("the first part".into()).await.expect("room");
     for unread in [endless, body::full(vec![b'x'; LONG])] {
         let (to, answering) = answer_early();
-        // Whoever waits for the long request waits until the test is given up.
-        let client = Client::new(Times {
+        // A request that waits for the long one would wait until the timeout of the test.
+        let client = Client::new(ClientConfig {
             connect: GIVEN_UP * 2,
-            ..Times::default()
+            ..ClientConfig::default()
         });
         let long = Request::post("/").body(unread).expect("a request");
         let sending = async {
@@ -331,13 +341,13 @@
             }
         };
         let sent = timeout(GIVEN_UP, sending).await;
-        sent.expect("no wait for a request that is still going out");
+        sent.expect("no wait for a request that is still being sent");
         assert_eq!(client.counters().get(Count::Connected), 2);
         answering.abort();
     }
 }
 
-/// A header's name and value.
+/// Name and value of a header.
 type Pair = (&'static str, &'static str);
 
 #[test]
@@ -356,7 +366,7 @@
             &["x-other"],
         ),
         (&[("connection", "keep-alive"), ("keep-alive", "1")], &[]),
-        // Naming the length must not unframe the message.
+        // Listing the length must not remove the framing of the message.
         (
             &[("connection", "content-length"), ("content-length", "4")],
             &["content-length"],
@@ -372,14 +382,14 @@
             let name = HeaderName::from_bytes(name.as_bytes()).expect("a name");
             headers.append(name, HeaderValue::from_str(value).expect("a value"));
         }
-        strip(&mut headers);
+        strip_hop_by_hop(&mut headers);
         let names: Vec<_> = headers.keys().map(HeaderName::as_str).collect();
         assert_eq!(names, left, "{given:?}");
     }
 }
 
 #[tokio::test]
-async fn verify_feed_holds_back() {
+async fn verify_body_sender_applies_backpressure() {
     let (feed, body) = body::channel(1);
     let part = Bytes::from_static(b"a");
     feed.send(part.clone()).await.expect("room");
--- a/crates/peppercrank-wire/tests/verify_limits.rs
+++ b/crates/peppercrank-wire/tests/verify_limits.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Callers that are slow, silent, half gone or too many hold nothing for ever.
+//! Tests that callers which are slow, silent, half closed or too many hold no resources forever.
 
 #[path = "support/edge.rs"]
 mod edges;
@@ -26,29 +26,30 @@
 use raw::exchange;
 use raw::read_all;
 
-/// Short enough to wait for, long enough for a loaded machine's own pauses not to matter: each
-/// case ends by its limit, whenever that comes.
+/// Short enough to wait for, and long enough that pauses of a loaded machine do not matter: each
+/// case ends when its limit expires, however late.
 const SHORT: Duration = Duration::from_millis(40);
 
-/// For a limit that must not end a case before its bytes have come, however busy the machine.
+/// For a limit that must not expire before the bytes of a case have arrived, even on a busy
+/// machine.
 const LONG: Duration = Duration::from_millis(800);
 
 const GET: &[u8] = b"GET / HTTP/1.1\r\nhost: a\r\n\r\n";
 
-/// Tells when it is dropped.
-struct Told(mpsc::UnboundedSender<()>);
+/// Sends a notification when it is dropped.
+struct DropNotifier(mpsc::UnboundedSender<()>);
 
-impl Drop for Told {
+impl Drop for DropNotifier {
     fn drop(&mut self) {
         // The test may be over.
         let _told = self.0.send(());
     }
 }
 
-/// Never answers, and tells when it is given up.
-async fn never(call: Call, told: Told) -> Reply {
+/// Never responds, and sends a notification when it is cancelled.
+async fn never(call: Call, told: DropNotifier) -> Reply {
     let _told = told;
-    // A caller's leaving is noticed once its body was read.
+    // A disconnect is detected once the body was read.
     call.body.read().await.expect("a body");
     std::future::pending().await
 }
@@ -98,14 +99,14 @@
     };
     let running = start(limits, echo).await;
     assert_eq!(exchange(running.address, b"").await, "");
-    // And one that says nothing more.
+    // And a caller that sends nothing more.
     let answer = exchange(running.address, GET).await;
     assert!(answer.ends_with("GET / "), "{answer}");
     assert_eq!(running.counters.calls(), 1);
 }
 
 #[tokio::test]
-async fn verify_trickle_is_bounded_by_the_whole_time() {
+async fn verify_slow_heads_are_bounded_by_the_total_time() {
     let limits = Limits {
         head_time: SHORT,
         ..Limits::default()
@@ -115,7 +116,7 @@
         .await
         .expect("a connection");
     io.write_all(b"GET / HTTP/1.1\r\n").await.expect("sent");
-    // One header after the other: each byte comes in time, the head never does.
+    // Sends one header after the other: each byte arrives in time, but the whole head never does.
     while running.counters.refused(Refused::HeadTimeout) == 0 {
         if io.write_all(b"a: b\r\n").await.is_err() {
             break;
@@ -127,7 +128,7 @@
 }
 
 #[tokio::test]
-async fn verify_unread_answer_is_cut() {
+async fn verify_an_unread_response_is_aborted() {
     let limits = Limits {
         write: SHORT,
         ..Limits::default()
@@ -135,7 +136,7 @@
     let (tell, mut heard) = mpsc::unbounded_channel();
     let running = start(limits, move |_call| {
         let (feed, body) = body::channel(1);
-        let told = Told(tell.clone());
+        let told = DropNotifier(tell.clone());
         tokio::spawn(async move {
             let frame = Bytes::from(vec![0; 64 * 1_024]);
             while feed.send(frame.clone()).await.is_ok() {}
@@ -159,7 +160,7 @@
         ..Limits::default()
     };
     let (tell, mut heard) = mpsc::unbounded_channel();
-    let running = start(limits, move |call| never(call, Told(tell.clone()))).await;
+    let running = start(limits, move |call| never(call, DropNotifier(tell.clone()))).await;
     let answer = exchange(running.address, GET).await;
     assert!(answer.starts_with("HTTP/1.1 504 "), "{answer}");
     assert!(answer.contains(r#""run":"may_have_run""#), "{answer}");
@@ -169,7 +170,7 @@
 }
 
 #[tokio::test]
-async fn verify_begun_answer_is_cut_without_an_end() {
+async fn verify_a_started_response_is_aborted_without_an_end() {
     let limits = Limits {
         total: LONG,
         ..Limits::default()
@@ -185,21 +186,22 @@
     })
     .await;
     let answer = exchange(running.address, GET).await;
-    // Neither the last chunk nor a second answer follows.
+    // Neither the last chunk nor a second response follows.
     assert!(answer.ends_with("4\r\npart\r\n"), "{answer}");
     assert_eq!(answer.matches("HTTP/1.1 ").count(), 1, "{answer}");
 }
 
 #[tokio::test]
-async fn verify_callers_that_leave_are_noticed() {
+async fn verify_disconnects_are_detected() {
     let (tell, mut heard) = mpsc::unbounded_channel();
     let running = start(Limits::default(), move |call| {
-        never(call, Told(tell.clone()))
+        never(call, DropNotifier(tell.clone()))
     })
     .await;
     let post: &[u8] = b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\n\r\nx";
     let pipelined = [GET, GET].concat();
-    // A caller that half closes, that closes, and that closes with its next request sent ahead.
+    // A caller that half closes, one that closes, and one that closes after it sent its next
+    // request in advance.
     let cases = [
         (GET, true),
         (GET, false),
@@ -262,7 +264,7 @@
 }
 
 #[tokio::test]
-async fn verify_panic_harms_its_own_call_alone() {
+async fn verify_a_panic_affects_only_its_own_call() {
     let running = start(Limits::default(), |call| async move {
         assert_eq!(call.head.uri.path(), "/good", "a fault of this one call");
         Reply::new(body::empty())
@@ -281,14 +283,14 @@
 }
 
 #[tokio::test]
-async fn verify_bodies_held_at_once_are_bounded() {
+async fn verify_total_body_size_is_bounded() {
     let limits = Limits {
         bodies: 10,
         ..Limits::default()
     };
     let (tell, mut heard) = mpsc::unbounded_channel();
     let running = start(limits, move |call| {
-        let told = Told(tell.clone());
+        let told = DropNotifier(tell.clone());
         async move {
             match call.head.uri.path() {
                 "/never" => never(call, told).await,
@@ -314,7 +316,7 @@
     assert!(answer.contains(code), "{answer}");
     assert!(answer.contains("retry-after: 1\r\n"), "{answer}");
     assert_eq!(running.counters.refused(Refused::BodyMemory), 1);
-    // The room is given back with the call, however that ends.
+    // The memory is released with the call, however it ends.
     drop(first);
     heard.recv().await.expect("the call dropped");
     while running.counters.body_bytes() > 0 {
--- a/crates/peppercrank-wire/tests/verify_pages.rs
+++ b/crates/peppercrank-wire/tests/verify_pages.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Operators' pages answer with what their sources say, and refuse the rest.
+//! Tests that the operators' endpoints return the data of their sources and refuse all other
+//! requests.
 
 use std::io::Read;
 use std::io::Write;
@@ -11,17 +12,17 @@
 
 use peppercrank_wire::pages::Page;
 use peppercrank_wire::pages::Pages;
-use peppercrank_wire::pages::Serving;
-use peppercrank_wire::seal::Bearers;
+use peppercrank_wire::pages::PagesServer;
+use peppercrank_wire::seal::BearerTokens;
 
-fn start() -> Serving {
+fn start() -> PagesServer {
     let pages = Pages {
         metrics: Box::new(|| Page::metrics("up 1\n# EOF\n".to_owned())),
         healthz: Box::new(|| panic!("a fault of the page's source")),
         readyz: Box::new(|| Page::text(503, "starting\n")),
         status: Box::new(|| Page::json(200, "{}".to_owned())),
         objects: Box::new(|rest| Page::json(200, format!("\"{rest}\""))),
-        bearers: Some(Bearers::new(["token-1"])),
+        tokens: Some(BearerTokens::new(["token-1"])),
     };
     let served = pages.serve((Ipv4Addr::LOCALHOST, 0).into(), 2);
     served.expect("a free port")
@@ -74,6 +75,7 @@
         assert!(answer.contains(part), "{request}{answer}");
     }
     drop(serving);
-    // The accepting thread closes the port a little later, at the latest when it sees us.
+    // The accepting thread closes the port a little later, at the latest when it accepts this
+    // connection.
     while TcpStream::connect(to).is_ok() {}
 }
--- a/crates/peppercrank-wire/tests/verify_platform.rs
+++ b/crates/peppercrank-wire/tests/verify_platform.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Each answer of the platform, and each way to lose it, has its typed outcome.
+//! Tests that each response of the platform, and each way to lose it, has a typed outcome.
 
 use std::io::Read;
 use std::io::Write;
@@ -13,12 +13,12 @@
 use std::time::Duration;
 
 use peppercrank_wire::platform::Access;
+use peppercrank_wire::platform::CallOutcome;
 use peppercrank_wire::platform::Condition;
-use peppercrank_wire::platform::Ending;
 use peppercrank_wire::platform::Failure;
 use peppercrank_wire::platform::Fetched;
 use peppercrank_wire::platform::Listing;
-use peppercrank_wire::platform::Named;
+use peppercrank_wire::platform::NamedObject;
 use peppercrank_wire::platform::Object;
 use peppercrank_wire::platform::Operation;
 use peppercrank_wire::platform::Platform;
@@ -26,20 +26,20 @@
 use peppercrank_wire::platform::Written;
 use serde_json::json;
 
-/// What the scripted platform does with one connection.
+/// What the scripted platform does with a connection.
 #[derive(Debug, Clone, Copy)]
 enum Script {
-    /// Answers with these bytes and closes.
+    /// Sends these bytes and closes the connection.
     Answer(&'static str),
-    /// Reads the request and closes.
+    /// Reads the request and closes the connection.
     Close,
-    /// Reads the request and says nothing until the client leaves.
+    /// Reads the request and sends nothing until the client disconnects.
     Hang,
 }
 
 const SLOW: Duration = Duration::from_millis(300);
 
-/// Plays one script to one connection and returns the request.
+/// Runs a script on one connection and returns the request.
 fn play(script: Script) -> (Access, JoinHandle<String>) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -50,7 +50,7 @@
             Script::Answer(text) => io.write_all(text.as_bytes()).expect("an open connection"),
             Script::Close => {}
             Script::Hang => {
-                // The client's end is what ends the wait, however it closes.
+                // The wait ends when the client disconnects, however it does so.
                 let _gone = io.read(&mut [0; 64]);
             }
         }
@@ -65,7 +65,7 @@
     (access, server)
 }
 
-/// Reads one request: its head, and a body of the length told.
+/// Reads a request: its head, and a body of the given length.
 fn read(io: &mut TcpStream) -> String {
     let mut text = String::new();
     let mut space = [0; 4_096];
@@ -114,25 +114,37 @@
         (
             Script::Answer(FOUND),
             Ok(Fetched::Found(seven())),
-            Ending::Found,
+            CallOutcome::Found,
+        ),
+        (
+            Script::Answer(ABSENT),
+            Ok(Fetched::Absent),
+            CallOutcome::Absent,
         ),
-        (Script::Answer(ABSENT), Ok(Fetched::Absent), Ending::Absent),
         (
             Script::Answer(THROTTLED),
             Err(Failure::Throttled(Some(Duration::from_secs(2)))),
-            Ending::Throttled,
+            CallOutcome::Throttled,
+        ),
+        (
+            Script::Answer(OUTAGE),
+            Err(Failure::Down),
+            CallOutcome::Down,
         ),
-        (Script::Answer(OUTAGE), Err(Failure::Down), Ending::Down),
-        (Script::Answer(FAULT), Err(Failure::Down), Ending::Down),
+        (Script::Answer(FAULT), Err(Failure::Down), CallOutcome::Down),
         (
             Script::Answer(FORBIDDEN),
             Err(Failure::Bad(403)),
-            Ending::Bad,
+            CallOutcome::Bad,
         ),
-        (Script::Answer(GARBAGE), Err(Failure::Bad(200)), Ending::Bad),
-        (Script::Answer(CUT), Err(Failure::Down), Ending::Down),
-        (Script::Close, Err(Failure::Down), Ending::Down),
-        (Script::Hang, Err(Failure::Slow), Ending::Slow),
+        (
+            Script::Answer(GARBAGE),
+            Err(Failure::Bad(200)),
+            CallOutcome::Bad,
+        ),
+        (Script::Answer(CUT), Err(Failure::Down), CallOutcome::Down),
+        (Script::Close, Err(Failure::Down), CallOutcome::Down),
+        (Script::Hang, Err(Failure::Slow), CallOutcome::Slow),
     ];
     for (script, expected, ending) in cases {
         let (access, server) = play(script);
@@ -154,37 +166,49 @@
 #[test]
 fn verify_writes() {
     let cases = [
-        (Script::Answer(DONE), Ok(Written::Done(8)), Ending::Done),
+        (
+            Script::Answer(DONE),
+            Ok(Written::Done(8)),
+            CallOutcome::Done,
+        ),
         (
             Script::Answer(CONFLICT),
             Ok(Written::Conflict(Some(seven()))),
-            Ending::Conflict,
+            CallOutcome::Conflict,
         ),
         (
             Script::Answer(BARE_CONFLICT),
             Ok(Written::Conflict(None)),
-            Ending::Conflict,
+            CallOutcome::Conflict,
         ),
         (
             Script::Answer(THROTTLED),
             Err(Failure::Throttled(Some(Duration::from_secs(2)))),
-            Ending::Throttled,
+            CallOutcome::Throttled,
+        ),
+        (
+            Script::Answer(OUTAGE),
+            Err(Failure::Down),
+            CallOutcome::Down,
         ),
-        (Script::Answer(OUTAGE), Err(Failure::Down), Ending::Down),
-        // From here on the write may have taken effect.
+        // In the remaining cases, the write may have taken effect.
         (
             Script::Answer(FAULT),
             Err(Failure::Unknown),
-            Ending::Unknown,
+            CallOutcome::Unknown,
         ),
         (
             Script::Answer(GARBAGE),
             Err(Failure::Unknown),
-            Ending::Unknown,
+            CallOutcome::Unknown,
+        ),
+        (
+            Script::Answer(CUT),
+            Err(Failure::Unknown),
+            CallOutcome::Unknown,
         ),
-        (Script::Answer(CUT), Err(Failure::Unknown), Ending::Unknown),
-        (Script::Close, Err(Failure::Unknown), Ending::Unknown),
-        (Script::Hang, Err(Failure::Unknown), Ending::Unknown),
+        (Script::Close, Err(Failure::Unknown), CallOutcome::Unknown),
+        (Script::Hang, Err(Failure::Unknown), CallOutcome::Unknown),
     ];
     for (script, expected, ending) in cases {
         let (access, server) = play(script);
@@ -210,7 +234,10 @@
     let (access, server) = play(Script::Answer(DONE));
     let platform = Platform::new(&access);
     assert_eq!(platform.delete("mark", "engine-1", 7), Ok(Written::Done(8)));
-    assert_eq!(platform.calls().get(Operation::Delete, Ending::Done), 1);
+    assert_eq!(
+        platform.calls().get(Operation::Delete, CallOutcome::Done),
+        1
+    );
     let request = server.join().expect("a script played").to_lowercase();
     assert!(request.starts_with("delete /objects/mark/engine-1 http/1.1\r\n"));
     assert!(request.contains("if-match: 7\r\n"), "{request}");
@@ -220,7 +247,7 @@
 fn verify_lists_and_watches() {
     let list = "HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n\
 {\"revision\":9,\"objects\":[{\"name\":\"a\",\"version\":9}]}";
-    let tombstone = Named {
+    let tombstone = NamedObject {
         name: "a".to_owned(),
         version: 9,
         body: None,
@@ -235,7 +262,10 @@
     server.join().expect("a script played");
 
     let too_old = "HTTP/1.1 410 Gone\r\ncontent-length: 0\r\n\r\n";
-    let cases = [(list, Watched::News(listing)), (too_old, Watched::TooOld)];
+    let cases = [
+        (list, Watched::Changes(listing)),
+        (too_old, Watched::TooOld),
+    ];
     for (script, expected) in cases {
         let (access, server) = play(Script::Answer(script));
         let watched = Platform::new(&access).watch("pool", 8, SLOW);
@@ -246,7 +276,7 @@
 }
 
 #[test]
-fn verify_one_bad_vm_hides_no_other() {
+fn verify_an_invalid_vm_entry_hides_no_other() {
     let list = "HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n{\"revision\":3,\"vms\":[\
 {\"name\":\"vm-1\",\"zone\":\"rae\",\"address\":\"10.0.0.1:80\",\"role\":\"agent\",\"leaving\":true},\
 {\"name\":\"VM 2\",\"zone\":\"rae\",\"address\":\"10.0.0.2:80\",\"role\":\"agent\",\"leaving\":false}]}";
@@ -258,19 +288,19 @@
 }
 
 #[test]
-fn verify_nobody_listening_is_down() {
+fn verify_a_refused_connection_counts_as_down() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
     let platform = Platform::new(&Access::new(address));
     assert_eq!(platform.get("pool", "a"), Err(Failure::Down));
-    // No connection, no write: this is known not to have taken effect.
+    // Without a connection, the write is known not to have taken effect.
     let wrote = platform.put("pool", "a", Condition::Version(1), &json!({}));
     assert_eq!(wrote, Err(Failure::Down));
 }
 
 #[test]
-fn verify_names_stay_in_their_place() {
+fn verify_names_are_valid_path_segments() {
     let platform = Platform::new(&Access::new((Ipv4Addr::LOCALHOST, 1).into()));
     for name in ["", "..", ".", "a/b", "a?b", "A", "a b", "%2e"] {
         assert_eq!(platform.get("pool", name), Err(Failure::Name), "{name}");
--- a/crates/peppercrank-wire/tests/verify_seal.rs
+++ b/crates/peppercrank-wire/tests/verify_seal.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Forged, replayed, stale and foreign messages do not open; rotation loses none.
+//! Tests that forged, replayed, old and foreign messages are rejected, and that key rotation loses
+//! no messages.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -10,25 +11,25 @@
 use http::HeaderValue;
 use http::Method;
 use http::Uri;
-use peppercrank_wire::seal::Bearers;
+use peppercrank_wire::seal::BearerTokens;
 use peppercrank_wire::seal::Channel;
 use peppercrank_wire::seal::Identity;
 use peppercrank_wire::seal::Key;
 use peppercrank_wire::seal::KeyError;
 use peppercrank_wire::seal::KeyRing;
 use peppercrank_wire::seal::MAC_HEADER;
-use peppercrank_wire::seal::OVERHEAD;
 use peppercrank_wire::seal::Opener;
 use peppercrank_wire::seal::Rejected;
+use peppercrank_wire::seal::SEAL_OVERHEAD;
 use peppercrank_wire::seal::Sealer;
 use peppercrank_wire::seal::SenderId;
-use peppercrank_wire::seal::check_head;
 use peppercrank_wire::seal::sign_head;
+use peppercrank_wire::seal::verify_head;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::Rng;
 use rand_chacha::rand_core::SeedableRng;
 
-/// A change of headers on their way.
+/// A modification of the headers in transit.
 type Change = fn(&mut HeaderMap);
 
 fn key(id: u32) -> Key {
@@ -49,7 +50,7 @@
 }
 
 #[test]
-fn verify_open_once_and_in_any_order() {
+fn verify_messages_open_once_and_in_any_order() {
     let mut sealer = sending(&[1], 5);
     let message: Vec<_> = (0..200_u8).map(|n| sealer.seal(b"b", &[n]).1).collect();
     let mut opener = receiving(&[1]);
@@ -75,7 +76,7 @@
 #[test]
 fn verify_every_altered_bit_is_rejected() {
     let (_, message) = sending(&[1], 5).seal(b"b", b"payload");
-    assert!(message.len() <= b"payload".len() + OVERHEAD);
+    assert!(message.len() <= b"payload".len() + SEAL_OVERHEAD);
     let mut opener = receiving(&[1]);
     for at in 0..message.len() * 8 {
         let mut forged = message.clone();
@@ -95,13 +96,13 @@
 }
 
 #[test]
-fn verify_foreign_messages() {
+fn verify_messages_for_others_are_rejected() {
     let identity = Identity {
         sender: SenderId(1),
         boot: 1,
     };
     let mut other_key = Sealer::new(Channel::Datagram, identity, ring(&[2]));
-    let mut other_channel = Sealer::new(Channel::Ask, identity, ring(&[1]));
+    let mut other_channel = Sealer::new(Channel::ControlRequest, identity, ring(&[1]));
     let mut same_id = {
         let key = Key::new(1, &[9; 32]).expect("a key");
         let ring = KeyRing::new(vec![key]).expect("a ring");
@@ -159,14 +160,14 @@
 }
 
 #[test]
-fn verify_old_boot_stays_out() {
+fn verify_messages_of_an_earlier_boot_are_rejected() {
     let mut opener = receiving(&[1]);
     let before = sending(&[1], 5).seal(b"b", b"x").1;
     let mut old = sending(&[1], 5);
     old.seal(b"b", b"x");
     let held_back = old.seal(b"b", b"y").1;
     opener.open(b"b", &before).expect("a new message");
-    // A new boot starts its counters anew.
+    // The counters start again with each boot.
     opener
         .open(b"b", &sending(&[1], 6).seal(b"b", b"x").1)
         .expect("a new message");
@@ -191,13 +192,13 @@
 }
 
 #[test]
-fn verify_rotation_loses_nothing() {
+fn verify_key_rotation_loses_no_message() {
     let old = ring(&[1]);
     let both = ring(&[1, 2]).signing_with(1).expect("key 1");
     let new_signs = ring(&[1, 2]);
     let new = ring(&[2]);
     let steps = [old, both, new_signs, new];
-    // Neighbours in the rotation understand each other, whoever changes first.
+    // Processes at adjacent steps of the rotation accept each other's messages.
     for pair in steps.windows(2) {
         for (from, to) in [(&pair[0], &pair[1]), (&pair[1], &pair[0])] {
             let identity = Identity {
@@ -211,7 +212,7 @@
                 .expect("a new message");
         }
     }
-    // A replay does not open under a ring put in place since.
+    // A replay is rejected even after the key ring was replaced.
     let mut sealer = sending(&[1], 1);
     let mut opener = receiving(&[1]);
     let message = sealer.seal(b"b", b"x").1;
@@ -227,19 +228,28 @@
 }
 
 #[test]
-fn verify_key_faults() {
-    assert_eq!(Key::new(1, &[0; 15]), Err(KeyError::Short(1)));
-    assert_eq!(Key::from_hex(1, &"0".repeat(33)), Err(KeyError::Text(1)));
-    assert_eq!(Key::from_hex(1, &"0g".repeat(16)), Err(KeyError::Text(1)));
+fn verify_invalid_keys() {
+    assert_eq!(Key::new(1, &[0; 15]), Err(KeyError::SecretTooShort(1)));
+    assert_eq!(
+        Key::from_hex(1, &"0".repeat(33)),
+        Err(KeyError::InvalidHex(1))
+    );
+    assert_eq!(
+        Key::from_hex(1, &"0g".repeat(16)),
+        Err(KeyError::InvalidHex(1))
+    );
     assert_eq!(Key::from_hex(3, &"03".repeat(32)), Ok(key(3)));
-    assert_eq!(KeyRing::new(Vec::new()), Err(KeyError::Missing));
-    assert_eq!(KeyRing::new(vec![key(1), key(1)]), Err(KeyError::Twice(1)));
-    assert_eq!(ring(&[1]).signing_with(2), Err(KeyError::Missing));
+    assert_eq!(KeyRing::new(Vec::new()), Err(KeyError::MissingKey));
+    assert_eq!(
+        KeyRing::new(vec![key(1), key(1)]),
+        Err(KeyError::DuplicateId(1))
+    );
+    assert_eq!(ring(&[1]).signing_with(2), Err(KeyError::MissingKey));
     assert!(!format!("{:?}", ring(&[3])).contains("3, 3"));
 }
 
 #[test]
-fn verify_head() {
+fn verify_request_heads() {
     let agent = SocketAddr::from((Ipv4Addr::LOCALHOST, 80));
     let path: Uri = "/v1/chat/completions?a=1".parse().expect("a path");
     let mut headers = HeaderMap::new();
@@ -247,10 +257,10 @@
     headers.insert("x-peppercrank-cost", HeaderValue::from_static("12"));
     let mac = sign_head(&ring(&[1]), agent, &Method::POST, &path, &headers);
     headers.insert(MAC_HEADER, mac);
-    // A header that is not ours may change on the way.
+    // Headers without the signed prefix may change in transit.
     headers.insert("accept", HeaderValue::from_static("*/*"));
     let check = |ids: &[u32], agent, method: Method, path: &Uri, headers: &HeaderMap| {
-        check_head(&ring(ids), agent, &method, path, headers)
+        verify_head(&ring(ids), agent, &method, path, headers)
     };
     assert_eq!(check(&[1, 2], agent, Method::POST, &path, &headers), Ok(()));
 
@@ -323,8 +333,8 @@
 }
 
 #[test]
-fn verify_bearers() {
-    let bearers = Bearers::new(["one", "two"]);
+fn verify_bearer_tokens() {
+    let bearers = BearerTokens::new(["one", "two"]);
     let cases = [
         ("Bearer one", true),
         ("Bearer two", true),
@@ -337,8 +347,8 @@
     for (value, admitted) in cases {
         let mut headers = HeaderMap::new();
         headers.insert("authorization", HeaderValue::from_static(value));
-        assert_eq!(bearers.admits(&headers), admitted, "{value}");
+        assert_eq!(bearers.authorizes(&headers), admitted, "{value}");
     }
-    assert!(!bearers.admits(&HeaderMap::new()));
-    assert!(!Bearers::new([]).knows("Bearer "));
+    assert!(!bearers.authorizes(&HeaderMap::new()));
+    assert!(!BearerTokens::new([]).matches("Bearer "));
 }
--- a/crates/peppercrank-wire/tests/verify_stream.rs
+++ b/crates/peppercrank-wire/tests/verify_stream.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Answers stream event by event, break loudly, and are cancelled with their callers.
+//! Tests that responses are streamed event by event, that truncation is an error, and that a
+//! disconnect cancels them.
 
 #[path = "support/edge.rs"]
 mod edges;
@@ -15,9 +16,9 @@
 use peppercrank_wire::Error;
 use peppercrank_wire::body;
 use peppercrank_wire::client::Client;
+use peppercrank_wire::client::ClientConfig;
 use peppercrank_wire::client::Count;
 use peppercrank_wire::client::Reuse;
-use peppercrank_wire::client::Times;
 use peppercrank_wire::edge::Limits;
 use peppercrank_wire::edge::Reply;
 use tokio::sync::Semaphore;
@@ -39,7 +40,7 @@
             for n in 0..3 {
                 let event = Bytes::from(format!("data: {n}\n\n"));
                 feed.send(event).await.expect("a reader");
-                // The next event leaves only once the caller has this one.
+                // The next event is sent only after the caller has received this one.
                 gate.acquire().await.expect("an open gate").forget();
             }
             feed.finish();
@@ -47,7 +48,7 @@
         std::future::ready(Reply::new(body))
     })
     .await;
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     let answer = client.send(running.address, get("/"), Reuse::Allowed).await;
     let mut body = answer.expect("an answer").into_body();
     for n in 0..3 {
@@ -62,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn verify_broken_answer_is_an_error() {
+async fn verify_a_truncated_response_is_an_error() {
     let step = Arc::new(Semaphore::new(0));
     let gate = Arc::clone(&step);
     let running = start(Limits::default(), move |_call| {
@@ -71,31 +72,31 @@
         tokio::spawn(async move {
             let half = Bytes::from_static(b"half");
             feed.send(half).await.expect("a reader");
-            // Dropped unfinished, once the caller has the head.
+            // Dropped before the end, once the caller has received the head.
             gate.acquire().await.expect("an open gate").forget();
             drop(feed);
         });
         std::future::ready(Reply::new(body))
     })
     .await;
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     let answer = client.send(running.address, get("/"), Reuse::Allowed).await;
     let body = answer.expect("a head").into_body();
     step.add_permits(1);
-    assert_eq!(text(body).await, Err(Error::AnswerCut));
+    assert_eq!(text(body).await, Err(Error::ResponseCut));
     assert_eq!(running.counters.gone(), 0);
     assert_eq!(running.stop().await.cut, 0);
 }
 
 #[tokio::test]
-async fn verify_caller_gone_drops_answer() {
+async fn verify_a_disconnect_drops_the_response() {
     let (dropped, mut heard) = mpsc::unbounded_channel();
     let running = start(Limits::default(), move |call| {
-        let guard = Told(dropped.clone());
+        let guard = DropNotifier(dropped.clone());
         let early = call.head.uri.path() == "/head";
         async move {
             if early {
-                // No answer has begun when the caller goes.
+                // No response has started when the caller disconnects.
                 std::future::pending::<()>().await;
             }
             let (feed, body) = body::channel(1);
@@ -110,7 +111,7 @@
         }
     })
     .await;
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     let answer = client
         .send(running.address, get("/body"), Reuse::Allowed)
         .await;
@@ -131,7 +132,7 @@
 #[tokio::test]
 async fn verify_unread_connection_is_not_reused() {
     let running = start(Limits::default(), echo).await;
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     let cases = [("read", true, 1), ("dropped", false, 1), ("read", true, 2)];
     for (name, whole, connected) in cases {
         let answer = client
@@ -149,12 +150,12 @@
 }
 
 #[tokio::test]
-async fn verify_hop_passes_cuts_and_cancels_on() {
+async fn verify_a_proxy_forwards_truncation_and_cancellation() {
     let (dropped, mut heard) = mpsc::unbounded_channel();
     let step = Arc::new(Semaphore::new(0));
     let gate = Arc::clone(&step);
     let origin = start(Limits::default(), move |call| {
-        let told = Told(dropped.clone());
+        let told = DropNotifier(dropped.clone());
         let gate = Arc::clone(&gate);
         let cuts = call.head.uri.path() == "/cut";
         let (feed, body) = body::channel(1);
@@ -171,7 +172,7 @@
         std::future::ready(Reply::new(body))
     })
     .await;
-    let upstream = Client::new(Times::default());
+    let upstream = Client::new(ClientConfig::default());
     let hop = start(Limits::default(), move |call| {
         let (client, to) = (upstream.clone(), origin.address);
         async move {
@@ -181,11 +182,11 @@
         }
     })
     .await;
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     let sent = client.send(hop.address, get("/cut"), Reuse::Allowed).await;
     let body = sent.expect("a head").into_body();
     step.add_permits(1);
-    assert_eq!(text(body).await, Err(Error::AnswerCut));
+    assert_eq!(text(body).await, Err(Error::ResponseCut));
     heard.recv().await.expect("the cut stream dropped");
 
     let sent = client.send(hop.address, get("/long"), Reuse::Allowed).await;
@@ -195,10 +196,10 @@
     heard.recv().await.expect("the origin's stream dropped");
 }
 
-/// Tells when it is dropped.
-struct Told(mpsc::UnboundedSender<()>);
+/// Sends a notification when it is dropped.
+struct DropNotifier(mpsc::UnboundedSender<()>);
 
-impl Drop for Told {
+impl Drop for DropNotifier {
     fn drop(&mut self) {
         // The test may be over.
         let _told = self.0.send(());
--- a/crates/peppercrank-wire/tests/verify_whole.rs
+++ b/crates/peppercrank-wire/tests/verify_whole.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! However requests are cut up, mixed, dropped and stopped, each caller gets its own whole answer.
+//! Tests that each caller gets its own complete response, however requests are fragmented,
+//! interleaved, dropped or stopped.
 
 #[path = "support/edge.rs"]
 mod edges;
@@ -17,10 +18,10 @@
 use http_body_util::BodyExt;
 use peppercrank_wire::body;
 use peppercrank_wire::client::Client;
+use peppercrank_wire::client::ClientConfig;
 use peppercrank_wire::client::Count;
 use peppercrank_wire::client::Reuse;
 use peppercrank_wire::client::SendError;
-use peppercrank_wire::client::Times;
 use peppercrank_wire::edge::Call;
 use peppercrank_wire::edge::Limits;
 use peppercrank_wire::edge::Reply;
@@ -38,17 +39,17 @@
 use requests::get;
 use requests::text;
 
-/// Callers at once, and the calls of each.
+/// Number of concurrent callers, and of calls per caller.
 const CALLERS: u64 = 16;
 const CALLS: usize = 150;
 
-/// Draws a number below `end`.
+/// Returns a random number below `end`.
 fn draw(rng: &mut ChaCha8Rng, end: usize) -> usize {
     let wide = u64::from(rng.next_u32()) * end as u64;
     usize::try_from(wide >> 32).expect("a number below the end")
 }
 
-/// Answers with the body, in chunks where the path says so.
+/// Responds with the body, in chunks if the path asks for it.
 async fn repeat(call: Call) -> Reply {
     let chunked = call.head.uri.path() == "/chunked";
     let bytes = call.body.read().await.expect("a whole body");
@@ -70,7 +71,7 @@
 #[tokio::test]
 async fn verify_mixed_calls_get_their_own_answers() {
     let running = start(Limits::default(), repeat).await;
-    let client = Client::new(Times::default());
+    let client = Client::new(ClientConfig::default());
     let mut callers = JoinSet::new();
     for caller in 0..CALLERS {
         let (client, to) = (client.clone(), running.address);
@@ -105,7 +106,7 @@
 }
 
 #[tokio::test]
-async fn verify_requests_in_pieces() {
+async fn verify_fragmented_requests() {
     let running = start(Limits::default(), echo).await;
     let requests = "\r\nGET /a HTTP/1.1\r\nhost: a\r\n\r\n\
                     POST /b HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\n\r\n\r\n\r\n\
@@ -122,7 +123,7 @@
             let len = left.len().min(1 + draw(&mut rng, longest));
             io.write_all(&left[..len]).await.expect("sent");
             left = &left[len..];
-            // The edge sees the piece by itself, most of the time.
+            // Usually the server receives the fragment separately.
             tokio::task::yield_now().await;
         }
         let mut answer = Vec::new();
@@ -141,7 +142,7 @@
 }
 
 #[tokio::test]
-async fn verify_mutated_requests_disturb_nothing() {
+async fn verify_mutated_requests_do_not_affect_other_calls() {
     let running = start(Limits::default(), echo).await;
     let good = "POST /a HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\nx: y\r\n\r\nabc\
                 POST /b HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
@@ -159,7 +160,7 @@
         let mut io = TcpStream::connect(running.address)
             .await
             .expect("a connection");
-        // The edge may have refused and closed by now.
+        // The server may already have refused the request and closed the connection.
         let _sent = io.write_all(&bytes).await;
         let _ended = io.shutdown().await;
         let mut answer = Vec::new();
@@ -182,14 +183,14 @@
 }
 
 #[tokio::test]
-async fn verify_early_refusal_reaches_its_caller() {
+async fn verify_an_early_refusal_reaches_the_caller() {
     let limits = Limits {
         body: 100,
         ..Limits::default()
     };
     let running = start(limits, echo).await;
-    let client = Client::new(Times::default());
-    // A length that is refused with the head, and chunks that are refused on the way.
+    let client = Client::new(ClientConfig::default());
+    // A length that is refused with the head, and chunks that are refused while they arrive.
     for (size, sized) in [
         (1_000, true),
         (500_000, true),
@@ -213,7 +214,7 @@
         let text = String::from_utf8_lossy(&text.to_bytes()).into_owned();
         assert!(text.contains("body_too_big"), "{size} {sized}: {text}");
     }
-    // No connection is used again whose request was not taken whole.
+    // No connection is reused whose request was not read completely.
     let sent = client
         .send(running.address, get("/after"), Reuse::Allowed)
         .await;
@@ -222,7 +223,7 @@
 }
 
 #[tokio::test]
-async fn verify_stop_under_load_cuts_nothing() {
+async fn verify_stop_under_load_aborts_no_call() {
     let limits = Limits {
         stop_idle: Duration::from_secs(2),
         ..Limits::default()
@@ -232,15 +233,16 @@
     for caller in 0..CALLERS {
         let to = running.address;
         callers.spawn(async move {
-            // A pool of its own for each, so that some connections wait while the edge stops.
-            let client = Client::new(Times::default());
+            // Each caller has its own pool, so that some connections are idle while the server
+            // stops.
+            let client = Client::new(ClientConfig::default());
             let own = format!("{caller} ").repeat(1_000);
             loop {
                 let request = Request::post("/chunked").body(body::full(own.clone()));
                 let request = request.expect("a good path");
                 let answer = match client.send(to, request, Reuse::Allowed).await {
                     Ok(answer) => answer,
-                    // The listener is closed: this is how a caller that came too late hears it.
+                    // The listener is closed, which is how a late caller learns of the shutdown.
                     Err(SendError::NotSent(_)) => return,
                     Err(e) => panic!("{e}"),
                 };
@@ -248,7 +250,7 @@
                 let whole = answer.into_body().collect().await.expect("a whole answer");
                 assert_eq!(whole.to_bytes(), own.as_bytes());
                 if closes {
-                    // It has heard, and goes elsewhere.
+                    // The caller has learnt of the shutdown and uses another server.
                     return;
                 }
             }
