--- a/crates/peppercrank-spec/src/cold.rs
+++ b/crates/peppercrank-spec/src/cold.rs
@@ -22,10 +22,10 @@
 use crate::search::Model;
 
 /// The property that a cold target gets no more in a second than it bears.
-pub const RUSH: &str = "a cold target gets more requests in a second than it bears";
+pub const OVERLOADED: &str = "a cold target gets more requests in a second than it bears";
 
 /// The property that a cold target gets something while all know each other.
-pub const UNUSED: &str = "no router may send to a cold target";
+pub const NEVER_USED: &str = "no router may send to a cold target";
 
 /// What one step of time lasts.
 const STRIDE: Duration = Duration::from_millis(500);
@@ -43,7 +43,7 @@
 };
 
 /// What it bears in any second: its rate by the allowance.
-const BOUND: usize = 4;
+const MAX_REQUESTS_PER_SECOND: usize = 4;
 
 /// The routers; the last one registers late.
 const ROUTERS: [&str; 4] = ["a", "b", "c", "late"];
@@ -61,7 +61,7 @@
 
 /// `Rush` is the model with its bounds.
 #[derive(Debug, Clone, Copy)]
-pub struct Rush {
+pub struct ColdTarget {
     /// The rule taken away.
     pub flaw: Flaw,
     /// Times that a router starts again.
@@ -90,12 +90,12 @@
 pub struct State {
     key: TargetKey,
     gates: Vec<Gate>,
-    shape: Shape,
+    vars: Variables,
 }
 
 /// All that tells states apart.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Shape {
+struct Variables {
     strides: u8,
     starts: u8,
     /// How many routers are registered.
@@ -110,7 +110,7 @@
 
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
-        self.shape == other.shape
+        self.vars == other.vars
     }
 }
 
@@ -118,19 +118,19 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.shape.hash(state);
+        self.vars.hash(state);
     }
 }
 
 impl State {
     fn now(&self) -> Moment {
-        Moment::ZERO + STRIDE * u32::from(self.shape.strides)
+        Moment::ZERO + STRIDE * u32::from(self.vars.strides)
     }
 
     /// Lets a router know those that are registered now.
-    fn read(&mut self, router: usize, flaw: Flaw) {
-        let registered = self.shape.registered;
-        self.shape.known[router] = registered;
+    fn read_registrations(&mut self, router: usize, flaw: Flaw) {
+        let registered = self.vars.registered;
+        self.vars.known[router] = registered;
         let others = match flaw {
             Flaw::TakesAll => &[],
             Flaw::None | Flaw::TakesSilence => &ROUTERS[..registered],
@@ -141,8 +141,8 @@
 
     /// Starts a router again, which knows nothing.
     fn restart(&mut self, router: usize, flaw: Flaw) {
-        self.shape.starts += 1;
-        self.shape.known[router] = 0;
+        self.vars.starts += 1;
+        self.vars.known[router] = 0;
         let mut gate = Gate::default();
         if flaw == Flaw::TakesSilence {
             gate.members.set(ROUTERS[router], std::iter::empty());
@@ -151,57 +151,57 @@
     }
 
     /// Whether a router may send.
-    fn opens(&mut self, router: usize, flaw: Flaw) -> bool {
+    fn may_send(&mut self, router: usize, flaw: Flaw) -> bool {
         let now = self.now();
         let requests = shared_out(&WARM_UP, &ALLOWANCE);
         let heard = match flaw {
             Flaw::TakesAll => 1,
-            Flaw::None | Flaw::TakesSilence => self.shape.known[router],
+            Flaw::None | Flaw::TakesSilence => self.vars.known[router],
         };
         self.gates[router].opens(now, (self.key, 7), requests, heard) == Opens::Now
     }
 }
 
-impl Rush {
-    fn take(self, state: &State, step: Step) -> Option<State> {
+impl ColdTarget {
+    fn apply(self, state: &State, step: Step) -> Option<State> {
         let mut next = state.clone();
         match step {
-            Step::Register if next.shape.registered < ROUTERS.len() => {
-                next.shape.registered = ROUTERS.len();
+            Step::Register if next.vars.registered < ROUTERS.len() => {
+                next.vars.registered = ROUTERS.len();
             }
-            Step::Read(router) if next.shape.known[router] != next.shape.registered => {
-                next.read(router, self.flaw);
+            Step::Read(router) if next.vars.known[router] != next.vars.registered => {
+                next.read_registrations(router, self.flaw);
             }
-            Step::Send(router) if next.opens(router, self.flaw) => {
+            Step::Send(router) if next.may_send(router, self.flaw) => {
                 let now = next.now();
                 next.gates[router].sent(now, next.key);
-                next.shape.sent.push(next.shape.strides);
+                next.vars.sent.push(next.vars.strides);
             }
-            Step::Start(router) if next.shape.starts < self.starts => {
+            Step::Start(router) if next.vars.starts < self.starts => {
                 next.restart(router, self.flaw);
             }
-            Step::Stride if next.shape.strides < self.strides => {
-                next.shape.strides += 1;
-                let first = (next.shape.strides + 1).saturating_sub(2);
-                next.shape.sent.retain(|at| *at >= first);
+            Step::Stride if next.vars.strides < self.strides => {
+                next.vars.strides += 1;
+                let first = (next.vars.strides + 1).saturating_sub(2);
+                next.vars.sent.retain(|at| *at >= first);
             }
             _ => return None,
         }
-        next.shape.gates = format!("{:?}", next.gates);
+        next.vars.gates = format!("{:?}", next.gates);
         Some(next)
     }
 }
 
-impl Model for Rush {
+impl Model for ColdTarget {
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         let mut keys = SlotMap::<TargetKey, ()>::with_key();
         let mut state = State {
             key: keys.insert(()),
             gates: vec![Gate::default(); ROUTERS.len()],
-            shape: Shape {
+            vars: Variables {
                 strides: 0,
                 starts: 0,
                 registered: ROUTERS.len() - 1,
@@ -210,8 +210,8 @@
                 gates: String::new(),
             },
         };
-        for router in 0..state.shape.registered {
-            state.read(router, self.flaw);
+        for router in 0..state.vars.registered {
+            state.read_registrations(router, self.flaw);
         }
         state
     }
@@ -221,19 +221,19 @@
         let each = each.flat_map(|r| [Step::Read(r), Step::Send(r), Step::Start(r)]);
         let steps = [Step::Register, Step::Stride].into_iter().chain(each);
         steps
-            .filter_map(|s| Some((s, self.take(state, s)?)))
+            .filter_map(|s| Some((s, self.apply(state, s)?)))
             .collect()
     }
 
     fn violations(&self, state: &State) -> Vec<&'static str> {
-        let shape = &state.shape;
-        let rush = shape.sent.len() > BOUND;
-        let all = shape.known.iter().all(|known| *known == ROUTERS.len());
-        let idle = all && shape.sent.is_empty();
+        let vars = &state.vars;
+        let rush = vars.sent.len() > MAX_REQUESTS_PER_SECOND;
+        let all = vars.known.iter().all(|known| *known == ROUTERS.len());
+        let idle = all && vars.sent.is_empty();
         let mut probe = state.clone();
-        let opens = |router| probe.opens(router, self.flaw);
+        let opens = |router| probe.may_send(router, self.flaw);
         let unused = idle && !(0..ROUTERS.len()).any(opens);
-        let rows = [(rush, RUSH), (unused, UNUSED)];
+        let rows = [(rush, OVERLOADED), (unused, NEVER_USED)];
         let violated = rows.into_iter().filter(|(holds, _)| *holds);
         violated.map(|(_, property)| property).collect()
     }
--- a/crates/peppercrank-spec/src/configuration.rs
+++ b/crates/peppercrank-spec/src/configuration.rs
@@ -27,10 +27,10 @@
 pub const REVERTED: &str = "a configuration in force went back to an older one";
 
 /// The property that all processes come to the accepted configuration once faults stop.
-pub const MISSED: &str = "a live process did not come to the accepted configuration";
+pub const NOT_CONVERGED: &str = "a live process did not come to the accepted configuration";
 
 /// Exchanges after which all processes must agree: the first may need the last's.
-const ROUNDS: usize = 2;
+const CONVERGENCE_ROUNDS: usize = 2;
 
 /// `Flaw` is a rule taken away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -55,11 +55,11 @@
     /// Processes.
     pub processes: usize,
     /// How many of them, from the first, call the API.
-    pub callers: usize,
+    pub api_callers: usize,
     /// Writes of the object: valid, invalid or a deletion.
     pub writes: u8,
     /// Writes of other objects of the kind.
-    pub others: u8,
+    pub other_writes: u8,
     /// What processes tell each other.
     pub messages: u8,
     /// Crashes of processes, with all memory lost.
@@ -85,9 +85,9 @@
     /// What was told, to whom.
     messages: Vec<(usize, Message)>,
     reverted: bool,
-    wrote: u8,
-    other: u8,
-    crashed: u8,
+    writes: u8,
+    other_writes: u8,
+    crashes: u8,
 }
 
 /// `Step` is one step of the model.
@@ -113,13 +113,13 @@
 
 impl Configuration {
     /// Lets a process take something in through its real store.
-    fn take(self, replica: &mut Replica, input: impl Fn(&mut Store)) -> bool {
+    fn update_store(self, replica: &mut Replica, input: impl Fn(&mut Store)) -> bool {
         let mut store = replica.store();
         if self.flaw == Flaw::LastWins {
             store = Store::new();
         }
         input(&mut store);
-        let reverted = replica.keep(&store);
+        let reverted = replica.record_store(&store);
         if self.flaw == Flaw::NoTombstone {
             replica.writes.retain(|w| w.body != Body::Gone);
             replica.complete = 0;
@@ -127,10 +127,10 @@
         reverted
     }
 
-    fn answered(self, replica: &mut Replica, answer: Answer) -> bool {
+    fn receive_answer(self, replica: &mut Replica, answer: Answer) -> bool {
         let objects: Vec<Object> = answer.write.iter().map(|w| w.object()).collect();
         let revision = Version(answer.revision);
-        self.take(replica, |store| match answer.since {
+        self.update_store(replica, |store| match answer.since {
             None => drop(store.merge_list(Kind::Mark, revision, &objects)),
             Some(since) => {
                 let since = if self.flaw == Flaw::Gap { 0 } else { since };
@@ -140,14 +140,14 @@
         })
     }
 
-    fn told(self, replica: &mut Replica, message: &Message) -> bool {
-        self.take(replica, |store| match message {
-            Message::Holds(writes) => {
+    fn receive_message(self, replica: &mut Replica, message: &Message) -> bool {
+        self.update_store(replica, |store| match message {
+            Message::Versions(writes) => {
                 for write in writes {
                     store.merge(&write.object());
                 }
             }
-            Message::Lacks(revision) => {
+            Message::Absent(revision) => {
                 store.merge_absent(&key(), Version(*revision));
             }
         })
@@ -158,7 +158,7 @@
         match step {
             Step::Write(body) => s.write(body),
             Step::Other => {
-                s.other += 1;
+                s.other_writes += 1;
                 s.revision += 1;
             }
             Step::List(at) => s.answers[at] = Some(s.answer(None)),
@@ -169,7 +169,7 @@
             }
             Step::Answer(at) => {
                 if let Some(answer) = s.answers[at].take() {
-                    s.reverted |= self.answered(&mut s.replicas[at], answer);
+                    s.reverted |= self.receive_answer(&mut s.replicas[at], answer);
                 }
             }
             Step::Tell(from, to) => {
@@ -178,10 +178,10 @@
             }
             Step::Arrive(at) => {
                 let (to, message) = s.messages[at].clone();
-                s.reverted |= self.told(&mut s.replicas[to], &message);
+                s.reverted |= self.receive_message(&mut s.replicas[to], &message);
             }
             Step::Crash(at) => {
-                s.crashed += 1;
+                s.crashes += 1;
                 s.replicas[at] = Replica::default();
                 s.answers[at] = None;
             }
@@ -190,18 +190,18 @@
     }
 
     /// Lets everything run without a fault: the first process lists, and all compare.
-    fn settle(self, state: &State) -> Vec<Replica> {
+    fn run_without_faults(self, state: &State) -> Vec<Replica> {
         let mut replicas = state.replicas.clone();
-        self.answered(&mut replicas[0], state.answer(None));
+        self.receive_answer(&mut replicas[0], state.answer(None));
         if self.flaw == Flaw::NoRepair {
             return replicas;
         }
-        for _round in 0..ROUNDS {
+        for _round in 0..CONVERGENCE_ROUNDS {
             for from in 0..self.processes {
                 let message = replicas[from].message();
                 for (to, replica) in replicas.iter_mut().enumerate() {
                     if to != from {
-                        self.told(replica, &message);
+                        self.receive_message(replica, &message);
                     }
                 }
             }
@@ -210,9 +210,9 @@
     }
 
     /// Whether every process came to what the API holds, or to one last good version.
-    fn is_reached(self, state: &State) -> bool {
-        let replicas = self.settle(state);
-        let forces: Vec<Option<Write>> = replicas.iter().map(Replica::force).collect();
+    fn has_converged(self, state: &State) -> bool {
+        let replicas = self.run_without_faults(state);
+        let forces: Vec<Option<Write>> = replicas.iter().map(Replica::in_force).collect();
         let live = |w: &Option<Write>| w.filter(|w| w.body != Body::Gone);
         match state.object {
             Some(object) if object.body == Body::Bad => {
@@ -229,7 +229,7 @@
 
 impl State {
     fn write(&mut self, body: Body) {
-        self.wrote += 1;
+        self.writes += 1;
         self.revision += 1;
         let version = self.revision;
         self.object = Some(Write { version, body });
@@ -250,7 +250,7 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         State {
             revision: 0,
             object: None,
@@ -258,29 +258,29 @@
             answers: vec![None; self.processes],
             messages: Vec::new(),
             reverted: false,
-            wrote: 0,
-            other: 0,
-            crashed: 0,
+            writes: 0,
+            other_writes: 0,
+            crashes: 0,
         }
     }
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
         let mut steps = Vec::new();
-        if state.wrote < self.writes {
+        if state.writes < self.writes {
             let bodies = [Body::Good, Body::Bad, Body::Gone];
             steps.extend(bodies.map(Step::Write));
         }
-        if state.other < self.others {
+        if state.other_writes < self.other_writes {
             steps.push(Step::Other);
         }
         for at in 0..self.processes {
-            if at < self.callers {
+            if at < self.api_callers {
                 steps.extend([Step::List(at), Step::Watch(at)]);
             }
             if state.answers[at].is_some() {
                 steps.push(Step::Answer(at));
             }
-            if state.crashed < self.crashes {
+            if state.crashes < self.crashes {
                 steps.push(Step::Crash(at));
             }
             if state.messages.len() < usize::from(self.messages) {
@@ -298,8 +298,8 @@
         if state.reverted {
             bad.push(REVERTED);
         }
-        if !self.is_reached(state) {
-            bad.push(MISSED);
+        if !self.has_converged(state) {
+            bad.push(NOT_CONVERGED);
         }
         bad
     }
--- a/crates/peppercrank-spec/src/configuration/replica.rs
+++ b/crates/peppercrank-spec/src/configuration/replica.rs
@@ -13,10 +13,10 @@
 use peppercrank_core::objects::ObjectKey;
 
 /// A body that passes the checks.
-const GOOD: &str = r#"{"spec":{"target":"t","action":"shutdown"}}"#;
+const VALID_BODY: &str = r#"{"spec":{"target":"t","action":"shutdown"}}"#;
 
 /// A body that fails them.
-const BAD: &str = r#"{"spec":{"target":"t"}}"#;
+const INVALID_BODY: &str = r#"{"spec":{"target":"t"}}"#;
 
 /// `Body` is what a write makes of the object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -42,16 +42,16 @@
     pub(super) writes: Vec<Write>,
     pub(super) complete: u64,
     /// The highest version that was in force in this life.
-    pub(super) high: Option<Write>,
+    pub(super) highest_in_force: Option<Write>,
 }
 
 /// What a process told another.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Message {
     /// The versions that it holds.
-    Holds(Vec<Write>),
+    Versions(Vec<Write>),
     /// That it knows everything up to a revision and holds nothing.
-    Lacks(u64),
+    Absent(u64),
 }
 
 pub(super) fn key() -> ObjectKey {
@@ -65,8 +65,8 @@
 impl Write {
     pub(super) fn object(self) -> Object {
         let body = match self.body {
-            Body::Good => Some(Arc::from(GOOD)),
-            Body::Bad => Some(Arc::from(BAD)),
+            Body::Good => Some(Arc::from(VALID_BODY)),
+            Body::Bad => Some(Arc::from(INVALID_BODY)),
             Body::Gone => None,
         };
         Object {
@@ -79,7 +79,7 @@
     pub(super) fn of(object: &Object) -> Self {
         let body = match object.body.as_deref() {
             None => Body::Gone,
-            Some(GOOD) => Body::Good,
+            Some(VALID_BODY) => Body::Good,
             Some(_) => Body::Bad,
         };
         Self {
@@ -101,19 +101,19 @@
     }
 
     /// Takes over what the store holds now, and tells whether it went back.
-    pub(super) fn keep(&mut self, store: &Store) -> bool {
+    pub(super) fn record_store(&mut self, store: &Store) -> bool {
         let objects = store.objects(&key());
         self.writes = objects.map(|o| Write::of(&o)).collect();
         self.complete = store.complete(Kind::Mark).0;
         let version = store.in_force(&key()).map_or(0, |v| v.0);
         let mut writes = self.writes.iter().copied();
         let now = writes.find(|w| w.version == version);
-        let Some(high) = self.high else {
-            self.high = now;
+        let Some(high) = self.highest_in_force else {
+            self.highest_in_force = now;
             return false;
         };
         if version >= high.version {
-            self.high = now;
+            self.highest_in_force = now;
             return false;
         }
         // A tombstone may be forgotten: what is not held is as much deleted.
@@ -121,7 +121,7 @@
     }
 
     /// The body in force, if any.
-    pub(super) fn force(&self) -> Option<Write> {
+    pub(super) fn in_force(&self) -> Option<Write> {
         let version = self.store().in_force(&key())?;
         let mut writes = self.writes.iter().copied();
         writes.find(|w| w.version == version.0)
@@ -129,8 +129,8 @@
 
     pub(super) fn message(&self) -> Message {
         if self.writes.is_empty() {
-            return Message::Lacks(self.complete);
+            return Message::Absent(self.complete);
         }
-        Message::Holds(self.writes.clone())
+        Message::Versions(self.writes.clone())
     }
 }
--- a/crates/peppercrank-spec/src/drain.rs
+++ b/crates/peppercrank-spec/src/drain.rs
@@ -24,16 +24,16 @@
 use crate::search::Model;
 
 /// The property that nothing is admitted after the agent has heard the mark.
-pub const LATE: &str = "a request was admitted after the agent knew of the mark";
+pub const ADMITTED_WHILE_DRAINING: &str = "a request was admitted after the agent knew of the mark";
 
 /// The property that nothing in progress is cut.
-pub const CUT: &str = "a request in progress was cut";
+pub const INTERRUPTED: &str = "a request in progress was cut";
 
 /// The property that a target is reported drained only when nothing runs.
-pub const EARLY: &str = "a target was reported drained while a request ran";
+pub const EARLY_DRAIN: &str = "a target was reported drained while a request ran";
 
 /// The property that what will not run any more is refused at once.
-pub const HELD: &str = "a request waited on though it could not run any more";
+pub const LEFT_WAITING: &str = "a request waited on though it could not run any more";
 
 /// What one step of time lasts, in milliseconds; longer than a request may wait.
 const STRIDE_MS: u64 = 2_000;
@@ -105,15 +105,15 @@
 #[derive(Debug, Clone)]
 pub struct State {
     /// What the admission was told since the agent started.
-    log: Vec<(Moment, Step)>,
-    shape: Shape,
+    inputs: Vec<(Moment, Step)>,
+    vars: Variables,
 }
 
 /// What the agent knows in its present life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Life {
+enum Phase {
     /// Nothing: it has not read its configuration.
-    Unread,
+    Unconfigured,
     /// Its configuration, without a mark.
     Serving,
     /// The mark.
@@ -122,37 +122,37 @@
     HandedOver,
 }
 
-impl Life {
+impl Phase {
     /// Whether it knows of the mark.
-    fn knows(self) -> bool {
+    fn knows_mark(self) -> bool {
         matches!(self, Self::Marked | Self::HandedOver)
     }
 }
 
 /// All that tells states apart.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Shape {
+struct Variables {
     now: Moment,
     /// What the admission holds.
-    held: u64,
+    admission_digest: u64,
     /// Requests that run.
-    runs: BTreeMap<u8, Ticket>,
+    running: BTreeMap<u8, Ticket>,
     arrived: u8,
     repeated: u8,
-    strode: u8,
+    strides: u8,
     restarted: u8,
     unmarked: u8,
     stopped: bool,
     published: bool,
-    life: Life,
+    phase: Phase,
     /// Whether any life of the agent knew of the mark.
-    knew: bool,
-    bad: Vec<&'static str>,
+    mark_known: bool,
+    violated: Vec<&'static str>,
 }
 
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
-        self.shape == other.shape
+        self.vars == other.vars
     }
 }
 
@@ -160,7 +160,7 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.shape.hash(state);
+        self.vars.hash(state);
     }
 }
 
@@ -168,102 +168,102 @@
     fn apply(self, state: &State, step: Step) -> State {
         let mut s = state.clone();
         match step {
-            Step::Publish => s.shape.published = true,
+            Step::Publish => s.vars.published = true,
             Step::Restart => s.restart(),
             Step::Read => {
-                s.shape.life = Life::Serving;
-                if s.shape.published {
-                    self.tell(&mut s, Step::Hear);
+                s.vars.phase = Phase::Serving;
+                if s.vars.published {
+                    self.drive_agent(&mut s, Step::Hear);
                 }
             }
-            step => self.tell(&mut s, step),
+            step => self.drive_agent(&mut s, step),
         }
         s
     }
 
     /// Tells the agent of a step, with all that it was told before.
-    fn tell(self, s: &mut State, step: Step) {
-        s.count(step);
+    fn drive_agent(self, s: &mut State, step: Step) {
+        s.record_step(step);
         let mut agent = Agent::new();
-        for (now, past) in &s.log {
+        for (now, past) in &s.inputs {
             agent.drive(*now, *past, self.flaw);
         }
-        let now = s.shape.now;
+        let now = s.vars.now;
         for action in agent.drive(now, step, self.flaw) {
-            s.note(action, &agent);
+            s.record_action(action, &agent);
         }
-        s.log.push((now, step));
-        s.shape.held = agent.held();
-        if s.shape.life.knows() && agent.admission.status().waiting > 0 {
-            s.shape.bad.push(HELD);
+        s.inputs.push((now, step));
+        s.vars.admission_digest = agent.digest();
+        if s.vars.phase.knows_mark() && agent.admission.status().waiting > 0 {
+            s.vars.violated.push(LEFT_WAITING);
         }
     }
 }
 
 impl State {
     /// Notes in the model what a step means.
-    fn count(&mut self, step: Step) {
-        let shape = &mut self.shape;
+    fn record_step(&mut self, step: Step) {
+        let vars = &mut self.vars;
         match step {
-            Step::Arrive(_) => shape.arrived += 1,
-            Step::Repeat(_) => shape.repeated += 1,
+            Step::Arrive(_) => vars.arrived += 1,
+            Step::Repeat(_) => vars.repeated += 1,
             Step::End(request) => {
-                shape.runs.remove(&request);
+                vars.running.remove(&request);
             }
             Step::Hear => {
-                shape.life = Life::Marked;
-                shape.knew = true;
+                vars.phase = Phase::Marked;
+                vars.mark_known = true;
             }
             Step::Unmark => {
-                shape.unmarked += 1;
-                shape.published = false;
+                vars.unmarked += 1;
+                vars.published = false;
                 // What an earlier life knew is over too.
-                shape.knew = false;
-                shape.life = Life::Serving;
+                vars.mark_known = false;
+                vars.phase = Phase::Serving;
             }
             Step::Stop => {
-                shape.stopped = true;
-                shape.knew = true;
-                shape.life = Life::Marked;
+                vars.stopped = true;
+                vars.mark_known = true;
+                vars.phase = Phase::Marked;
             }
-            Step::HandOver => shape.life = Life::HandedOver,
+            Step::HandOver => vars.phase = Phase::HandedOver,
             Step::Stride => {
-                shape.strode += 1;
-                shape.now = shape.now + Duration::from_millis(STRIDE_MS);
+                vars.strides += 1;
+                vars.now = vars.now + Duration::from_millis(STRIDE_MS);
             }
             Step::Leave(_) | Step::Publish | Step::Restart | Step::Read => {}
         }
     }
 
-    fn note(&mut self, action: Action, agent: &Agent) {
-        let shape = &mut self.shape;
+    fn record_action(&mut self, action: Action, agent: &Agent) {
+        let vars = &mut self.vars;
         match action {
             Action::Admit { ticket, .. } => {
                 let mut tickets = agent.tickets.iter();
                 if let Some((request, _)) = tickets.find(|t| *t.1 == ticket) {
-                    shape.runs.insert(*request, ticket);
+                    vars.running.insert(*request, ticket);
                 }
-                if shape.knew {
-                    shape.bad.push(LATE);
+                if vars.mark_known {
+                    vars.violated.push(ADMITTED_WHILE_DRAINING);
                 }
             }
-            Action::Cancel { .. } => shape.bad.push(CUT),
-            Action::Drained if !shape.runs.is_empty() => shape.bad.push(EARLY),
-            Action::Drained if shape.life != Life::HandedOver => shape.bad.push(EARLY),
+            Action::Cancel { .. } => vars.violated.push(INTERRUPTED),
+            Action::Drained if !vars.running.is_empty() => vars.violated.push(EARLY_DRAIN),
+            Action::Drained if vars.phase != Phase::HandedOver => vars.violated.push(EARLY_DRAIN),
             Action::Drained | Action::Refuse { .. } => {}
         }
     }
 
     fn restart(&mut self) {
-        self.log.clear();
-        let shape = &mut self.shape;
-        shape.restarted += 1;
-        shape.runs.clear();
-        shape.held = Agent::new().held();
-        shape.life = Life::Unread;
+        self.inputs.clear();
+        let vars = &mut self.vars;
+        vars.restarted += 1;
+        vars.running.clear();
+        vars.admission_digest = Agent::new().digest();
+        vars.phase = Phase::Unconfigured;
         // A stop ends with the life that was told of it; a mark does not.
-        shape.knew &= !shape.stopped || shape.published;
-        shape.stopped = false;
+        vars.mark_known &= !vars.stopped || vars.published;
+        vars.stopped = false;
     }
 }
 
@@ -271,62 +271,62 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
-        let shape = Shape {
+    fn initial_state(&self) -> State {
+        let vars = Variables {
             now: Moment::ZERO,
-            held: Agent::new().held(),
-            runs: BTreeMap::new(),
+            admission_digest: Agent::new().digest(),
+            running: BTreeMap::new(),
             arrived: 0,
             repeated: 0,
-            strode: 0,
+            strides: 0,
             restarted: 0,
             unmarked: 0,
             stopped: false,
             published: false,
-            life: Life::Serving,
-            knew: false,
-            bad: Vec::new(),
+            phase: Phase::Serving,
+            mark_known: false,
+            violated: Vec::new(),
         };
-        let log = Vec::new();
-        State { log, shape }
+        let inputs = Vec::new();
+        State { inputs, vars }
     }
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
-        let shape = &state.shape;
+        let vars = &state.vars;
         let mut steps = Vec::new();
         // An agent that has not read its configuration refuses all as not ready.
-        if shape.life != Life::Unread || self.flaw == Flaw::ServesUnread {
-            if shape.arrived < self.requests {
-                steps.push(Step::Arrive(shape.arrived));
+        if vars.phase != Phase::Unconfigured || self.flaw == Flaw::ServesUnread {
+            if vars.arrived < self.requests {
+                steps.push(Step::Arrive(vars.arrived));
             }
-            if shape.repeated < self.repeats {
-                steps.extend((0..shape.arrived).map(Step::Repeat));
+            if vars.repeated < self.repeats {
+                steps.extend((0..vars.arrived).map(Step::Repeat));
             }
         }
-        steps.extend(shape.runs.keys().map(|r| Step::End(*r)));
-        steps.extend((0..shape.arrived).map(Step::Leave));
-        if !shape.published {
+        steps.extend(vars.running.keys().map(|r| Step::End(*r)));
+        steps.extend((0..vars.arrived).map(Step::Leave));
+        if !vars.published {
             steps.push(Step::Publish);
         }
-        if shape.published && shape.life == Life::Serving {
+        if vars.published && vars.phase == Phase::Serving {
             steps.push(Step::Hear);
         }
-        if shape.life == Life::Marked {
+        if vars.phase == Phase::Marked {
             steps.push(Step::HandOver);
         }
-        if shape.life.knows() && !shape.stopped && shape.unmarked < self.unmarks {
+        if vars.phase.knows_mark() && !vars.stopped && vars.unmarked < self.unmarks {
             steps.push(Step::Unmark);
         }
-        if self.stops && !shape.stopped && shape.life == Life::Serving {
+        if self.stops && !vars.stopped && vars.phase == Phase::Serving {
             steps.push(Step::Stop);
         }
-        if shape.strode < self.strides {
+        if vars.strides < self.strides {
             steps.push(Step::Stride);
         }
-        if shape.restarted < self.restarts {
+        if vars.restarted < self.restarts {
             steps.push(Step::Restart);
         }
-        if shape.life == Life::Unread {
+        if vars.phase == Phase::Unconfigured {
             steps.push(Step::Read);
         }
         let next = steps.into_iter().map(|s| (s, self.apply(state, s)));
@@ -334,6 +334,6 @@
     }
 
     fn violations(&self, state: &State) -> Vec<&'static str> {
-        state.shape.bad.clone()
+        state.vars.violated.clone()
     }
 }
--- a/crates/peppercrank-spec/src/drain/agent.rs
+++ b/crates/peppercrank-spec/src/drain/agent.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    pub(super) fn hear(&mut self, now: Moment, flaw: Flaw) -> Vec<Action> {
+    pub(super) fn hear_mark(&mut self, now: Moment, flaw: Flaw) -> Vec<Action> {
         let action = if flaw == Flaw::Removes {
             objects::Action::Remove
         } else {
@@ -128,7 +128,7 @@
                 Some(ticket) => self.admission.on(now, Input::CallerGone(*ticket)),
                 None => Vec::new(),
             },
-            Step::Hear => self.hear(now, flaw),
+            Step::Hear => self.hear_mark(now, flaw),
             Step::Unmark => self.admission.on(now, Input::Unmarked),
             Step::Stop => self.admission.on(now, Input::Stopping),
             Step::HandOver => self.admission.on(now, Input::HandedOver),
@@ -138,7 +138,7 @@
     }
 
     /// A digest of all that the admission holds, whatever the order of its hash maps.
-    pub(super) fn held(&self) -> u64 {
+    pub(super) fn digest(&self) -> u64 {
         let text = format!("{:?}", self.admission);
         let mut words: Vec<&str> = text.split([' ', ',', '{', '}', '(', ')']).collect();
         words.sort_unstable();
--- a/crates/peppercrank-spec/src/eras.rs
+++ b/crates/peppercrank-spec/src/eras.rs
@@ -25,25 +25,25 @@
 use crate::search::Model;
 
 /// The property that a router in touch comes to know what the store shows.
-pub const HIDDEN: &str = "a change stayed hidden behind a revision that was given out again";
+pub const STALE: &str = "a change stayed hidden behind a revision that was given out again";
 
 /// The property that a target which is known to be gone gets no work by the word of a copy.
 pub const REVIVED: &str = "a target that was told to be gone gets work again, and is dead";
 
 /// The property that a target which is known to leave gets no work by the word of a copy.
-pub const UNMARKED: &str = "a target that was told to leave gets work again";
+pub const LEAVING_FORGOTTEN: &str = "a target that was told to leave gets work again";
 
 /// The property that a target which said that it leaves gets no work, in touch or not.
-pub const UNHEEDED: &str = "a target that said in an answer that it leaves gets work again";
+pub const NOTICE_IGNORED: &str = "a target that said in an answer that it leaves gets work again";
 
 /// What one step of time lasts: the time in which all write again what the copy lacks.
 const STRIDE: Duration = Duration::from_secs(2);
 
 /// Strides after which a dead target's entry has lapsed.
-const LAPSE: u8 = 2;
+const EXPIRY_STRIDES: u8 = 2;
 
 /// Strides in touch after which a router knows what the store shows: those for which entries are held, and one more.
-const CALM: u8 = 4;
+const SETTLED_STRIDES: u8 = 4;
 
 /// `Flaw` is a rule taken away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -99,13 +99,13 @@
 
 /// What the store holds.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
-struct Stored {
+struct StoreContent {
     entry: Entry,
     /// The entry after each change; a change's place is its revision.
     history: Vec<Entry>,
 }
 
-impl Stored {
+impl StoreContent {
     fn write(&mut self, entry: Entry) {
         if self.entry != entry {
             self.entry = entry;
@@ -119,46 +119,46 @@
 pub struct State {
     directory: Directory,
     eras: Eras,
-    shape: Shape,
+    vars: Variables,
 }
 
 /// What the router heard of the target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-struct Heard {
+struct RouterKnowledge {
     /// By the store, that it leaves.
     leaving: bool,
     /// By the store, that it is gone.
     gone: bool,
     /// By the target, that it leaves.
-    said: bool,
+    noticed: bool,
 }
 
 /// All that tells states apart.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Shape {
+struct Variables {
     strides: u8,
     changes: u8,
     era: u64,
-    stored: Stored,
-    copy: Option<Stored>,
+    stored: StoreContent,
+    copy: Option<StoreContent>,
     /// Whether the target lives, and whether it leaves.
-    live: Entry,
+    target: Entry,
     /// Strides for which a dead target's entry has stood.
-    dead: u8,
+    expiring_strides: u8,
     /// Strides in touch in a row.
-    calm: u8,
+    strides_in_touch: u8,
     /// Whether the router is in touch: it was in each stride, or in the last ones for as long as entries are held.
-    touch: bool,
+    in_touch: bool,
     /// The era and the revision that the router goes on from.
     position: Option<(u64, usize)>,
-    heard: Heard,
+    learned: RouterKnowledge,
     /// What the router knows, as text.
     known: String,
 }
 
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
-        self.shape == other.shape
+        self.vars == other.vars
     }
 }
 
@@ -166,52 +166,52 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.shape.hash(state);
+        self.vars.hash(state);
     }
 }
 
 impl State {
     fn now(&self) -> Moment {
-        Moment::ZERO + STRIDE * u32::from(self.shape.strides)
+        Moment::ZERO + STRIDE * u32::from(self.vars.strides)
     }
 
     fn read(&mut self, flaw: Flaw) {
         let now = self.now();
-        let era = self.shape.era;
+        let era = self.vars.era;
         let told = self.eras.hear(now, Era(era));
         if told == Told::Newer && flaw != Flaw::TrustsCopy {
             self.directory.store_restored(now);
         }
         let held = self.directory.find("one").is_some();
-        let revision = self.shape.stored.history.len();
-        let position = self.shape.position;
+        let revision = self.vars.stored.history.len();
+        let position = self.vars.position;
         let position = position.filter(|(of, _)| *of == era || flaw == Flaw::KeepsRevision);
         if let Some((_, known)) = position.filter(|(_, known)| *known <= revision) {
-            for entry in &self.shape.stored.history[known..] {
+            for entry in &self.vars.stored.history[known..] {
                 let _noted = self.directory.apply(now, change(*entry));
             }
         } else {
-            let listed = self.shape.stored.entry.map(|l| change(Some(l)));
+            let listed = self.vars.stored.entry.map(|l| change(Some(l)));
             let listed = listed.into_iter().collect();
             let _noted = self.directory.replace(now, listed);
         }
-        self.shape.position = Some((era, revision));
-        self.shape.heard.gone |= held && self.directory.find("one").is_none();
-        self.shape.heard.leaving |= self.directory.finishing(now, "pool").next().is_some();
+        self.vars.position = Some((era, revision));
+        self.vars.learned.gone |= held && self.directory.find("one").is_none();
+        self.vars.learned.leaving |= self.directory.finishing(now, "pool").next().is_some();
     }
 
     /// Lets time pass: what is owed by then is written.
-    fn pass(&mut self) {
-        self.shape.strides += 1;
-        match (self.shape.live, self.shape.stored.entry) {
-            (Some(leaving), entry) if entry != Some(leaving) && self.shape.era > 0 => {
-                self.shape.stored.write(Some(leaving));
+    fn advance_time(&mut self) {
+        self.vars.strides += 1;
+        match (self.vars.target, self.vars.stored.entry) {
+            (Some(leaving), entry) if entry != Some(leaving) && self.vars.era > 0 => {
+                self.vars.stored.write(Some(leaving));
             }
             (None, Some(_)) => {
-                self.shape.dead += 1;
-                if self.shape.dead >= LAPSE {
-                    self.shape.dead = 0;
-                    self.shape.stored.write(None);
+                self.vars.expiring_strides += 1;
+                if self.vars.expiring_strides >= EXPIRY_STRIDES {
+                    self.vars.expiring_strides = 0;
+                    self.vars.stored.write(None);
                 }
             }
             _ => {}
@@ -221,8 +221,8 @@
     }
 
     /// Takes in an answer of the target, which the router has sent work.
-    fn answer(&mut self, flaw: Flaw) {
-        self.shape.heard.said = true;
+    fn receive_answer(&mut self, flaw: Flaw) {
+        self.vars.learned.noticed = true;
         let now = self.now();
         let notice = Notice {
             leaving: true,
@@ -234,7 +234,7 @@
         }
     }
 
-    fn works(&self) -> bool {
+    fn gets_work(&self) -> bool {
         !self.directory.pool(self.now(), "pool").is_empty()
     }
 }
@@ -257,72 +257,75 @@
 
 impl Restores {
     /// The steps that can be taken.
-    fn possible(self, state: &State) -> Vec<Step> {
-        let shape = &state.shape;
+    fn enabled_steps(self, state: &State) -> Vec<Step> {
+        let vars = &state.vars;
         let mut steps = vec![Step::Read];
-        if shape.live == Some(true) && !shape.heard.said && state.directory.find("one").is_some() {
+        if vars.target == Some(true)
+            && !vars.learned.noticed
+            && state.directory.find("one").is_some()
+        {
             steps.push(Step::Answer);
         }
-        if shape.changes < self.changes {
-            match shape.live {
-                None if shape.changes == 0 => steps.push(Step::Register),
+        if vars.changes < self.changes {
+            match vars.target {
+                None if vars.changes == 0 => steps.push(Step::Register),
                 Some(false) => steps.extend([Step::Leave, Step::End]),
                 Some(true) => steps.push(Step::End),
                 None => {}
             }
         }
-        if shape.era < u64::from(self.restores) {
+        if vars.era < u64::from(self.restores) {
             steps.push(Step::Copy);
-            if shape.copy.is_some() {
+            if vars.copy.is_some() {
                 steps.push(Step::Restore);
             }
         }
-        if shape.strides < self.strides {
+        if vars.strides < self.strides {
             steps.extend([Step::Stride, Step::Calm]);
         }
         steps
     }
 
-    fn take(self, state: &State, step: Step) -> State {
+    fn apply(self, state: &State, step: Step) -> State {
         let mut next = state.clone();
-        let shape = &mut next.shape;
-        shape.calm = match step {
-            Step::Calm => shape.calm + 1,
-            Step::Read | Step::Copy | Step::Answer => shape.calm,
+        let vars = &mut next.vars;
+        vars.strides_in_touch = match step {
+            Step::Calm => vars.strides_in_touch + 1,
+            Step::Read | Step::Copy | Step::Answer => vars.strides_in_touch,
             _ => 0,
         };
         match step {
-            Step::Register => shape.turn(Some(false)),
-            Step::Leave => shape.turn(Some(true)),
-            Step::Answer => next.answer(self.flaw),
-            Step::End => shape.turn(None),
-            Step::Copy => shape.copy = Some(shape.stored.clone()),
+            Step::Register => vars.change_target(Some(false)),
+            Step::Leave => vars.change_target(Some(true)),
+            Step::Answer => next.receive_answer(self.flaw),
+            Step::End => vars.change_target(None),
+            Step::Copy => vars.copy = Some(vars.stored.clone()),
             Step::Restore => {
-                shape.stored = shape.copy.take().unwrap_or_default();
-                shape.era += 1;
-                shape.dead = 0;
+                vars.stored = vars.copy.take().unwrap_or_default();
+                vars.era += 1;
+                vars.expiring_strides = 0;
             }
             Step::Read => next.read(self.flaw),
             Step::Stride => {
-                shape.touch = false;
-                next.pass();
+                vars.in_touch = false;
+                next.advance_time();
             }
             Step::Calm => {
-                shape.touch |= shape.calm >= CALM;
+                vars.in_touch |= vars.strides_in_touch >= SETTLED_STRIDES;
                 next.read(self.flaw);
-                next.pass();
+                next.advance_time();
             }
         }
-        next.shape.known = format!("{:?}{:?}", next.directory, next.eras);
+        next.vars.known = format!("{:?}{:?}", next.directory, next.eras);
         next
     }
 }
 
-impl Shape {
+impl Variables {
     /// The target changes, and writes so.
-    fn turn(&mut self, live: Entry) {
+    fn change_target(&mut self, live: Entry) {
         self.changes += 1;
-        self.live = live;
+        self.target = live;
         self.stored.write(live);
     }
 }
@@ -331,45 +334,46 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         State {
             directory: Directory::default(),
             eras: Eras::default(),
-            shape: Shape {
+            vars: Variables {
                 strides: 0,
                 changes: 0,
                 era: 0,
-                stored: Stored::default(),
+                stored: StoreContent::default(),
                 copy: None,
-                live: None,
-                dead: 0,
-                calm: 0,
-                touch: true,
+                target: None,
+                expiring_strides: 0,
+                strides_in_touch: 0,
+                in_touch: true,
                 position: None,
-                heard: Heard::default(),
+                learned: RouterKnowledge::default(),
                 known: String::new(),
             },
         }
     }
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
-        let steps = self.possible(state).into_iter();
-        steps.map(|s| (s, self.take(state, s))).collect()
+        let steps = self.enabled_steps(state).into_iter();
+        steps.map(|s| (s, self.apply(state, s))).collect()
     }
 
     fn violations(&self, state: &State) -> Vec<&'static str> {
-        let shape = &state.shape;
-        let shown = shape.stored.entry.is_some();
-        let hidden = shape.calm >= CALM && state.directory.find("one").is_some() != shown;
-        let works = shape.touch && state.works();
-        let revived = works && shape.heard.gone && shape.live.is_none();
-        let unmarked = works && shape.heard.leaving;
-        let unheeded = shape.heard.said && state.works();
+        let vars = &state.vars;
+        let shown = vars.stored.entry.is_some();
+        let hidden = vars.strides_in_touch >= SETTLED_STRIDES
+            && state.directory.find("one").is_some() != shown;
+        let works = vars.in_touch && state.gets_work();
+        let revived = works && vars.learned.gone && vars.target.is_none();
+        let unmarked = works && vars.learned.leaving;
+        let unheeded = vars.learned.noticed && state.gets_work();
         let rows = [
-            (hidden, HIDDEN),
+            (hidden, STALE),
             (revived, REVIVED),
-            (unmarked, UNMARKED),
-            (unheeded, UNHEEDED),
+            (unmarked, LEAVING_FORGOTTEN),
+            (unheeded, NOTICE_IGNORED),
         ];
         let violated = rows.into_iter().filter(|(holds, _)| *holds);
         violated.map(|(_, property)| property).collect()
--- a/crates/peppercrank-spec/src/evacuations.rs
+++ b/crates/peppercrank-spec/src/evacuations.rs
@@ -22,23 +22,23 @@
 use crate::search::Model;
 
 /// The property that an evacuation reaches a router in touch.
-pub const UNHEARD: &str = "a router in touch places work in a zone that is evacuated";
+pub const NOT_APPLIED: &str = "a router in touch places work in a zone that is evacuated";
 
 /// The property that an evacuation which a router was told of binds it until the operator ends it.
-pub const UNBOUND: &str = "a router that was told of an evacuation places work in the zone";
+pub const NOT_BINDING: &str = "a router that was told of an evacuation places work in the zone";
 
 /// The property that a router which knows nothing places no work.
-pub const BLIND: &str =
+pub const ZONES_UNKNOWN: &str =
     "a router places work in an evacuated zone before it has read which zones are";
 
 /// The property that a zone which is restored gets work again.
-pub const STUCK: &str = "a router in touch keeps work from a zone that was restored";
+pub const NOT_RESTORED: &str = "a router in touch keeps work from a zone that was restored";
 
 /// What one step of time lasts: the time in which an operator writes again what a copy lacks.
 const STRIDE: Duration = Duration::from_secs(2);
 
 /// Strides in touch after which a router knows what the operator wants: those for which a copy is distrusted, and one more.
-const CALM: u8 = 4;
+const SETTLED_STRIDES: u8 = 4;
 
 /// The zone of the model.
 const ZONE: &str = "a";
@@ -58,7 +58,7 @@
 
 /// `Zones` is the model with its bounds.
 #[derive(Debug, Clone, Copy)]
-pub struct Zones {
+pub struct ZoneEvacuation {
     /// The rule taken away.
     pub flaw: Flaw,
     /// Times that the store comes back from a copy.
@@ -66,7 +66,7 @@
     /// Times that the operator evacuates or restores the zone.
     pub changes: u8,
     /// Times that the router starts again.
-    pub starts: u8,
+    pub restarts: u8,
     /// Strides of time.
     pub strides: u8,
 }
@@ -98,24 +98,24 @@
 pub struct State {
     known: Evacuations,
     eras: Eras,
-    shape: Shape,
+    vars: Variables,
 }
 
 /// All that tells states apart.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Shape {
+struct Variables {
     strides: u8,
     changes: u8,
-    starts: u8,
+    restarts: u8,
     era: u64,
     stored: Stored,
     copy: Option<Stored>,
     /// Whether the operator wants the zone evacuated.
     wanted: bool,
     /// Whether the router was told of the evacuation that is wanted.
-    told: bool,
+    learned: bool,
     /// Strides in touch in a row.
-    calm: u8,
+    strides_in_touch: u8,
     /// The era and the revision that the router goes on from.
     position: Option<(u64, usize)>,
     /// What the router knows, as text.
@@ -124,7 +124,7 @@
 
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
-        self.shape == other.shape
+        self.vars == other.vars
     }
 }
 
@@ -132,7 +132,7 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.shape.hash(state);
+        self.vars.hash(state);
     }
 }
 
@@ -150,35 +150,35 @@
 
 impl State {
     fn now(&self) -> Moment {
-        Moment::ZERO + STRIDE * u32::from(self.shape.strides)
+        Moment::ZERO + STRIDE * u32::from(self.vars.strides)
     }
 
     fn read(&mut self, flaw: Flaw) {
         let now = self.now();
-        let era = self.shape.era;
+        let era = self.vars.era;
         if self.eras.hear(now, Era(era)) == Told::Newer && flaw != Flaw::TrustsCopy {
             self.known.store_restored(now);
         }
-        let revision = self.shape.stored.len();
-        let position = self.shape.position.filter(|(of, _)| *of == era);
+        let revision = self.vars.stored.len();
+        let position = self.vars.position.filter(|(of, _)| *of == era);
         if let Some((_, from)) = position {
-            for evacuated in &self.shape.stored[from..] {
+            for evacuated in &self.vars.stored[from..] {
                 let _news = self.known.apply(now, change(*evacuated));
             }
             let _settled = self.known.settle(now, now);
         } else {
-            let listed = is_evacuated(&self.shape.stored).then(|| Arc::from(ZONE));
+            let listed = is_evacuated(&self.vars.stored).then(|| Arc::from(ZONE));
             let listed = listed.into_iter().collect::<Vec<_>>();
             let _changes = self.known.replace(now, now, &listed);
         }
-        self.shape.position = Some((era, revision));
-        self.shape.told |= self.shape.wanted && is_evacuated(&self.shape.stored);
+        self.vars.position = Some((era, revision));
+        self.vars.learned |= self.vars.wanted && is_evacuated(&self.vars.stored);
     }
 
     /// Lets time pass: what the operator wants is written by then.
-    fn pass(&mut self, flaw: Flaw) {
-        self.shape.strides += 1;
-        self.shape.write();
+    fn advance_time(&mut self, flaw: Flaw) {
+        self.vars.strides += 1;
+        self.vars.write();
         if flaw == Flaw::EndsByTime {
             let now = self.now();
             let _ended = self.known.settle(now, now);
@@ -186,13 +186,13 @@
     }
 
     /// Whether work is placed in the zone.
-    fn places(&self, flaw: Flaw) -> bool {
+    fn may_place_work(&self, flaw: Flaw) -> bool {
         let knows = self.known.is_listed() || flaw == Flaw::TrustsSilence;
         knows && !self.known.contains(ZONE)
     }
 }
 
-impl Shape {
+impl Variables {
     fn write(&mut self) {
         if is_evacuated(&self.stored) != self.wanted {
             self.stored.push(self.wanted);
@@ -200,85 +200,85 @@
     }
 }
 
-impl Zones {
+impl ZoneEvacuation {
     /// The steps that can be taken.
-    fn possible(self, shape: &Shape) -> Vec<Step> {
+    fn enabled_steps(self, vars: &Variables) -> Vec<Step> {
         let mut steps = vec![Step::Read];
-        if shape.changes < self.changes {
+        if vars.changes < self.changes {
             steps.push(Step::Turn);
         }
-        if shape.starts < self.starts {
+        if vars.restarts < self.restarts {
             steps.push(Step::Start);
         }
-        if shape.era < u64::from(self.restores) {
+        if vars.era < u64::from(self.restores) {
             steps.push(Step::Copy);
-            if shape.copy.is_some() {
+            if vars.copy.is_some() {
                 steps.push(Step::Restore);
             }
         }
-        if shape.strides < self.strides {
+        if vars.strides < self.strides {
             steps.extend([Step::Stride, Step::Calm]);
         }
         steps
     }
 
-    fn take(self, state: &State, step: Step) -> State {
+    fn apply(self, state: &State, step: Step) -> State {
         let mut next = state.clone();
-        let shape = &mut next.shape;
-        shape.calm = match step {
-            Step::Calm => shape.calm + 1,
-            Step::Read | Step::Copy => shape.calm,
+        let vars = &mut next.vars;
+        vars.strides_in_touch = match step {
+            Step::Calm => vars.strides_in_touch + 1,
+            Step::Read | Step::Copy => vars.strides_in_touch,
             Step::Turn | Step::Restore | Step::Start | Step::Stride => 0,
         };
         match step {
             Step::Turn => {
-                shape.changes += 1;
-                shape.wanted = !shape.wanted;
-                shape.told = false;
-                shape.write();
+                vars.changes += 1;
+                vars.wanted = !vars.wanted;
+                vars.learned = false;
+                vars.write();
             }
-            Step::Copy => shape.copy = Some(shape.stored.clone()),
+            Step::Copy => vars.copy = Some(vars.stored.clone()),
             Step::Restore => {
-                shape.stored = shape.copy.take().unwrap_or_default();
-                shape.era += 1;
+                vars.stored = vars.copy.take().unwrap_or_default();
+                vars.era += 1;
             }
             Step::Start => {
-                shape.starts += 1;
-                shape.told = false;
-                shape.position = None;
+                vars.restarts += 1;
+                vars.learned = false;
+                vars.position = None;
                 next.known = Evacuations::default();
                 next.eras = Eras::default();
             }
             Step::Read => next.read(self.flaw),
-            Step::Stride => next.pass(self.flaw),
+            Step::Stride => next.advance_time(self.flaw),
             Step::Calm => {
                 next.read(self.flaw);
-                next.pass(self.flaw);
+                next.advance_time(self.flaw);
             }
         }
-        next.shape.known = format!("{:?}{:?}", next.known, next.eras);
+        next.vars.known = format!("{:?}{:?}", next.known, next.eras);
         next
     }
 }
 
-impl Model for Zones {
+impl Model for ZoneEvacuation {
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         State {
             known: Evacuations::default(),
             eras: Eras::default(),
-            shape: Shape {
+            vars: Variables {
                 strides: 0,
                 changes: 0,
-                starts: 0,
+                restarts: 0,
                 era: 0,
                 stored: Stored::default(),
                 copy: None,
                 wanted: false,
-                told: false,
-                calm: 0,
+                learned: false,
+                strides_in_touch: 0,
                 position: None,
                 known: String::new(),
             },
@@ -286,23 +286,23 @@
     }
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
-        let steps = self.possible(&state.shape).into_iter();
-        steps.map(|s| (s, self.take(state, s))).collect()
+        let steps = self.enabled_steps(&state.vars).into_iter();
+        steps.map(|s| (s, self.apply(state, s))).collect()
     }
 
     fn violations(&self, state: &State) -> Vec<&'static str> {
-        let shape = &state.shape;
-        let places = state.places(self.flaw);
-        let unbound = shape.told && places;
-        let calm = shape.calm >= CALM;
-        let unheard = calm && shape.wanted && places;
-        let stuck = calm && !shape.wanted && !places;
-        let blind = shape.wanted && !state.known.is_listed() && places;
+        let vars = &state.vars;
+        let places = state.may_place_work(self.flaw);
+        let unbound = vars.learned && places;
+        let calm = vars.strides_in_touch >= SETTLED_STRIDES;
+        let unheard = calm && vars.wanted && places;
+        let stuck = calm && !vars.wanted && !places;
+        let blind = vars.wanted && !state.known.is_listed() && places;
         let rows = [
-            (unheard, UNHEARD),
-            (unbound, UNBOUND),
-            (blind, BLIND),
-            (stuck, STUCK),
+            (unheard, NOT_APPLIED),
+            (unbound, NOT_BINDING),
+            (blind, ZONES_UNKNOWN),
+            (stuck, NOT_RESTORED),
         ];
         let violated = rows.into_iter().filter(|(holds, _)| *holds);
         violated.map(|(_, property)| property).collect()
--- a/crates/peppercrank-spec/src/once.rs
+++ b/crates/peppercrank-spec/src/once.rs
@@ -30,9 +30,9 @@
 use peppercrank_lease::store::Version;
 
 use crate::once::state::Call;
+use crate::once::state::Report;
 use crate::once::state::Router;
-use crate::once::state::Sending;
-use crate::once::state::Word;
+use crate::once::state::Submission;
 use crate::search::Model;
 
 pub use crate::once::bounds::Flaw;
@@ -40,16 +40,17 @@
 pub use crate::once::state::State;
 
 /// The property that the request runs at most once.
-pub const TWICE: &str = "a request that must not run twice ran twice";
+pub const RAN_TWICE: &str = "a request that must not run twice ran twice";
 
 /// The property that a sending of which "not run" is said never ran and never runs.
-pub const UNTRUE: &str = "\"not run\" was said of a sending that ran";
+pub const FALSE_NOT_RUN: &str = "\"not run\" was said of a sending that ran";
 
 /// The property that "not run", said under a claim, is true of the key in all its sendings.
 ///
 /// Without a claim, in an outage or after a pause that outlasted the grant, a router answers for
 /// the one sending only: it cannot know of the others.
-pub const UNTRUE_KEY: &str = "\"not run\" was said under a claim of a key that ran or might run";
+pub const FALSE_NOT_RUN_OF_KEY: &str =
+    "\"not run\" was said under a claim of a key that ran or might run";
 
 /// The one key.
 const KEY: ClaimKey = ClaimKey(7);
@@ -111,11 +112,11 @@
         Router {
             claims,
             grants: Vec::new(),
-            open: Vec::new(),
+            awaiting: Vec::new(),
         }
     }
 
-    fn drive(self, s: &mut State, at: usize, input: Input) {
+    fn drive_claims(self, s: &mut State, at: usize, input: Input) {
         let actions = s.routers[at].claims.on(s.now, input);
         for action in actions {
             match action {
@@ -136,25 +137,25 @@
                     shard,
                     write: Some((base, body)),
                 }),
-                Action::Tell { token, verdict } => self.tell(s, at, token, verdict),
+                Action::Tell { token, verdict } => self.record_verdict(s, at, token, verdict),
             }
         }
     }
 
-    fn tell(self, s: &mut State, at: usize, token: RequestId, verdict: Verdict) {
+    fn record_verdict(self, s: &mut State, at: usize, token: RequestId, verdict: Verdict) {
         match verdict {
             Verdict::Granted { until } => s.routers[at].grants.push((token, until)),
-            Verdict::Begun if self.flaw == Flaw::BegunNotRun => s.say_not_run(token, true),
-            Verdict::Begun => s.say(token, Word::MayHaveRun),
-            Verdict::Unavailable => s.say_not_run(token, false),
+            Verdict::Begun if self.flaw == Flaw::BegunNotRun => s.report_not_run(token, true),
+            Verdict::Begun => s.report(token, Report::MayHaveRun),
+            Verdict::Unavailable => s.report_not_run(token, false),
         }
     }
 
-    fn send(self, s: &mut State, at: usize) {
-        let token = RequestId(s.sends.len() as u128);
-        s.sends.push(Sending {
+    fn send_request(self, s: &mut State, at: usize) {
+        let token = RequestId(s.submissions.len() as u128);
+        s.submissions.push(Submission {
             at: s.now,
-            ran: s.ran.len(),
+            runs_before: s.runs.len(),
         });
         if self.flaw == Flaw::NoClaim {
             let until = s.now + STRIDE;
@@ -163,19 +164,19 @@
         }
         let wait = STRIDE;
         let key = KEY;
-        self.drive(s, at, Input::Claim { key, token, wait });
+        self.drive_claims(s, at, Input::Claim { key, token, wait });
     }
 
-    fn serve(self, s: &mut State, at: usize) {
+    fn serve_call(self, s: &mut State, at: usize) {
         let call = s.calls.remove(at);
-        let answer = self.store(s, call.shard, call.write);
+        let answer = self.call_store(s, call.shard, call.write);
         if let Some(router) = call.from {
             let call = call.id;
-            self.drive(s, router, Input::Answer { call, answer });
+            self.drive_claims(s, router, Input::Answer { call, answer });
         }
     }
 
-    fn store(self, s: &mut State, shard: u16, write: Option<(Base, Shard)>) -> Answer<Shard> {
+    fn call_store(self, s: &mut State, shard: u16, write: Option<(Base, Shard)>) -> Answer<Shard> {
         let current = s.object(shard).clone();
         let Some((base, body)) = write else {
             return match current {
@@ -193,8 +194,8 @@
         }
     }
 
-    fn lose(self, s: &mut State, at: usize) {
-        s.lost += 1;
+    fn lose_answer(self, s: &mut State, at: usize) {
+        s.losses += 1;
         let call = s.calls[at].id;
         let Some(router) = s.calls[at].from.take() else {
             return;
@@ -203,7 +204,7 @@
             s.calls.remove(at);
         }
         let answer = Answer::Failed { after: None };
-        self.drive(s, router, Input::Answer { call, answer });
+        self.drive_claims(s, router, Input::Answer { call, answer });
     }
 
     fn forward(self, s: &mut State, at: usize, token: RequestId) {
@@ -213,45 +214,45 @@
         };
         let (_, until) = s.routers[at].grants.remove(found);
         if s.now < until || self.flaw == Flaw::OldGrant {
-            s.wire.push((token, s.now));
-            s.routers[at].open.push((token, until));
+            s.in_flight.push((token, s.now));
+            s.routers[at].awaiting.push((token, until));
             return;
         }
-        s.say_not_run(token, false);
-        self.release(s, at, token);
+        s.report_not_run(token, false);
+        self.release_claim(s, at, token);
     }
 
-    fn release(self, s: &mut State, at: usize, token: RequestId) {
+    fn release_claim(self, s: &mut State, at: usize, token: RequestId) {
         let key = KEY;
-        self.drive(s, at, Input::Release { key, token });
+        self.drive_claims(s, at, Input::Release { key, token });
     }
 
     fn refuse(self, s: &mut State, token: RequestId) {
-        s.wire.retain(|w| w.0 != token);
-        let Some((at, until)) = s.close(token) else {
+        s.in_flight.retain(|w| w.0 != token);
+        let Some((at, until)) = s.stop_awaiting(token) else {
             return;
         };
-        s.say_not_run(token, s.now < until);
-        self.release(s, at, token);
+        s.report_not_run(token, s.now < until);
+        self.release_claim(s, at, token);
     }
 
-    fn cut(self, s: &mut State, token: RequestId) {
-        s.cut += 1;
-        let Some((at, until)) = s.close(token) else {
+    fn cut_connection(self, s: &mut State, token: RequestId) {
+        s.cuts += 1;
+        let Some((at, until)) = s.stop_awaiting(token) else {
             return;
         };
         match self.flaw {
-            Flaw::RetriesCut => s.wire.push((token, s.now)),
-            Flaw::CutNotRun => s.say_not_run(token, s.now < until),
-            _ => s.say(token, Word::MayHaveRun),
+            Flaw::RetriesCut => s.in_flight.push((token, s.now)),
+            Flaw::CutNotRun => s.report_not_run(token, s.now < until),
+            _ => s.report(token, Report::MayHaveRun),
         }
         if self.flaw == Flaw::ReleasesCut {
-            self.release(s, at, token);
+            self.release_claim(s, at, token);
         }
     }
 
-    fn crash(s: &mut State, at: usize) {
-        s.crashed += 1;
+    fn crash_router(s: &mut State, at: usize) {
+        s.crashes += 1;
         s.routers[at] = Self::router();
         // Its reads die with it; its writes may take effect yet.
         s.calls.retain(|c| c.from != Some(at) || c.write.is_some());
@@ -260,25 +261,25 @@
         }
     }
 
-    fn pass(s: &mut State, time: Duration) {
+    fn advance_time(s: &mut State, time: Duration) {
         s.now = s.now + time;
         // The assumption on the network and on paused agents: a request that was forwarded is
         // taken up before the claim on it can be dropped, or never.
         let policy = Self::policy();
         let lasts = policy.retention().saturating_sub(policy.life);
         let now = s.now;
-        s.wire.retain(|w| now.since(w.1) < lasts);
+        s.in_flight.retain(|w| now.since(w.1) < lasts);
     }
 
-    fn may_roll(self, s: &State) -> bool {
+    fn may_advance_epoch(self, s: &State) -> bool {
         let period = Self::policy().period;
-        let watched = s.since.is_none_or(|at| s.now.since(at) >= period);
+        let watched = s.epoch_since.is_none_or(|at| s.now.since(at) >= period);
         // An epoch that no claim is made or kept in makes no difference.
         let useful = s.object(0).as_ref().is_some_and(|o| !o.1.is_empty());
         useful && (watched || self.flaw == Flaw::EarlyEpoch)
     }
 
-    fn roll(s: &mut State) {
+    fn advance_epoch(s: &mut State) {
         let number = s.object(EPOCH).as_ref().map_or(0, |o| o.1.epoch());
         s.put(EPOCH, Shard::of_epoch(number + 1));
     }
@@ -286,24 +287,24 @@
     fn apply(self, s: &State, step: &Step) -> State {
         let mut s = s.clone();
         match *step {
-            Step::Send(at) => self.send(&mut s, at),
-            Step::Serve(at) => self.serve(&mut s, at),
-            Step::Lose(at) => self.lose(&mut s, at),
-            Step::Tick(at) => self.drive(&mut s, at, Input::Tick),
+            Step::Send(at) => self.send_request(&mut s, at),
+            Step::Serve(at) => self.serve_call(&mut s, at),
+            Step::Lose(at) => self.lose_answer(&mut s, at),
+            Step::Tick(at) => self.drive_claims(&mut s, at, Input::Tick),
             Step::Forward(at, token) => self.forward(&mut s, at, token),
             Step::Run(token) => s.run(token),
             Step::Refuse(token) => self.refuse(&mut s, token),
-            Step::Cut(token) => self.cut(&mut s, token),
-            Step::Crash(at) => Self::crash(&mut s, at),
+            Step::Cut(token) => self.cut_connection(&mut s, token),
+            Step::Crash(at) => Self::crash_router(&mut s, at),
             Step::Stride => {
-                s.strode += 1;
-                Self::pass(&mut s, STRIDE);
+                s.strides += 1;
+                Self::advance_time(&mut s, STRIDE);
             }
             Step::Nap => {
-                s.napped += 1;
-                Self::pass(&mut s, NAP);
+                s.naps += 1;
+                Self::advance_time(&mut s, NAP);
             }
-            Step::Roll => Self::roll(&mut s),
+            Step::Roll => Self::advance_epoch(&mut s),
         }
         s
     }
@@ -313,26 +314,26 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         State {
             now: Moment::ZERO,
             version: 0,
             shard: None,
             epoch: None,
-            since: None,
+            epoch_since: None,
             routers: [Self::router(), Self::router()],
             calls: Vec::new(),
-            wire: Vec::new(),
-            ran: Vec::new(),
-            told: BTreeSet::new(),
-            lied: false,
-            sends: Vec::new(),
-            twice: false,
-            lost: 0,
-            crashed: 0,
-            strode: 0,
-            napped: 0,
-            cut: 0,
+            in_flight: Vec::new(),
+            runs: Vec::new(),
+            reports: BTreeSet::new(),
+            false_report: false,
+            submissions: Vec::new(),
+            ran_twice: false,
+            losses: 0,
+            crashes: 0,
+            strides: 0,
+            naps: 0,
+            cuts: 0,
         }
     }
 
@@ -342,27 +343,27 @@
         self.router_steps(state, 1, &mut steps);
         for (i, call) in state.calls.iter().enumerate() {
             steps.push(Step::Serve(i));
-            if call.from.is_some() && state.lost < self.losses {
+            if call.from.is_some() && state.losses < self.losses {
                 steps.push(Step::Lose(i));
             }
         }
-        for (token, _) in &state.wire {
+        for (token, _) in &state.in_flight {
             steps.push(Step::Run(*token));
-            let open = state.is_open(*token);
+            let open = state.is_awaited(*token);
             if open {
                 steps.push(Step::Refuse(*token));
             }
-            if open && state.cut < self.cuts {
+            if open && state.cuts < self.cuts {
                 steps.push(Step::Cut(*token));
             }
         }
-        if state.strode < self.strides {
+        if state.strides < self.strides {
             steps.push(Step::Stride);
         }
-        if state.napped < self.naps {
+        if state.naps < self.naps {
             steps.push(Step::Nap);
         }
-        if self.may_roll(state) {
+        if self.may_advance_epoch(state) {
             steps.push(Step::Roll);
         }
         let next = steps.into_iter().map(|step| {
@@ -374,15 +375,15 @@
 
     fn violations(&self, state: &State) -> Vec<&'static str> {
         let mut bad = Vec::new();
-        if state.twice {
-            bad.push(TWICE);
+        if state.ran_twice {
+            bad.push(RAN_TWICE);
         }
-        let mut told = state.told.iter();
-        if told.any(|(t, w)| *w == Word::NotRun && state.ran.contains(t)) {
-            bad.push(UNTRUE);
+        let mut told = state.reports.iter();
+        if told.any(|(t, w)| *w == Report::NotRun && state.runs.contains(t)) {
+            bad.push(FALSE_NOT_RUN);
         }
-        if state.lied {
-            bad.push(UNTRUE_KEY);
+        if state.false_report {
+            bad.push(FALSE_NOT_RUN_OF_KEY);
         }
         bad
     }
--- a/crates/peppercrank-spec/src/once/state.rs
+++ b/crates/peppercrank-spec/src/once/state.rs
@@ -23,7 +23,7 @@
     /// Requests that may be forwarded, and until when.
     pub(super) grants: Vec<(RequestId, Moment)>,
     /// Requests forwarded whose answer is awaited, and until when their grant lasts.
-    pub(super) open: Vec<(RequestId, Moment)>,
+    pub(super) awaiting: Vec<(RequestId, Moment)>,
 }
 
 /// One call of the store under way.
@@ -40,7 +40,7 @@
 
 /// `Word` is what a caller was told of one sending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(super) enum Word {
+pub(super) enum Report {
     /// Not run.
     NotRun,
     /// May have run.
@@ -49,46 +49,46 @@
 
 /// One sending of the request by its caller.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(super) struct Sending {
+pub(super) struct Submission {
     pub(super) at: Moment,
     /// How many runs were over or under way.
-    pub(super) ran: usize,
+    pub(super) runs_before: usize,
 }
 
 /// An object of the store, if it is there.
-pub(super) type Held = Option<(Version, Shard)>;
+pub(super) type StoredObject = Option<(Version, Shard)>;
 
 /// `State` is one state of the model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
     pub(super) now: Moment,
     pub(super) version: u64,
-    pub(super) shard: Held,
-    pub(super) epoch: Held,
+    pub(super) shard: StoredObject,
+    pub(super) epoch: StoredObject,
     /// Since when the epoch has its number; `None` for long ago.
-    pub(super) since: Option<Moment>,
+    pub(super) epoch_since: Option<Moment>,
     pub(super) routers: [Router; 2],
     pub(super) calls: Vec<Call>,
     /// Requests on the way to the agent, and since when.
-    pub(super) wire: Vec<(RequestId, Moment)>,
+    pub(super) in_flight: Vec<(RequestId, Moment)>,
     /// Requests that ran, once for each time.
-    pub(super) ran: Vec<RequestId>,
+    pub(super) runs: Vec<RequestId>,
     /// Whether a request ran that must not have.
-    pub(super) twice: bool,
-    pub(super) told: BTreeSet<(RequestId, Word)>,
+    pub(super) ran_twice: bool,
+    pub(super) reports: BTreeSet<(RequestId, Report)>,
     /// Whether "not run" was said of the key while it had run or might still.
-    pub(super) lied: bool,
+    pub(super) false_report: bool,
     /// The sendings; their tokens count from 0.
-    pub(super) sends: Vec<Sending>,
-    pub(super) lost: u8,
-    pub(super) crashed: u8,
-    pub(super) strode: u8,
-    pub(super) napped: u8,
-    pub(super) cut: u8,
+    pub(super) submissions: Vec<Submission>,
+    pub(super) losses: u8,
+    pub(super) crashes: u8,
+    pub(super) strides: u8,
+    pub(super) naps: u8,
+    pub(super) cuts: u8,
 }
 
 impl State {
-    pub(super) fn object(&self, shard: u16) -> &Held {
+    pub(super) fn object(&self, shard: u16) -> &StoredObject {
         if shard == EPOCH {
             return &self.epoch;
         }
@@ -99,75 +99,75 @@
         self.version += 1;
         let written = Some((Version(self.version), body));
         if shard == EPOCH {
-            self.since = Some(self.now);
+            self.epoch_since = Some(self.now);
             self.epoch = written;
         } else {
             self.shard = written;
         }
     }
 
-    pub(super) fn say(&mut self, token: RequestId, word: Word) {
-        self.told.insert((token, word));
+    pub(super) fn report(&mut self, token: RequestId, word: Report) {
+        self.reports.insert((token, word));
     }
 
     /// Says "not run", of the key in all its sendings if under a claim.
-    pub(super) fn say_not_run(&mut self, token: RequestId, claimed: bool) {
-        let wire = self.wire.iter().map(|w| &w.0);
-        let mut others = wire.chain(&self.ran);
-        let may_run = others.any(|t| self.are_near(token, *t));
-        self.lied |= claimed && may_run;
-        self.say(token, Word::NotRun);
+    pub(super) fn report_not_run(&mut self, token: RequestId, claimed: bool) {
+        let wire = self.in_flight.iter().map(|w| &w.0);
+        let mut others = wire.chain(&self.runs);
+        let may_run = others.any(|t| self.within_guarantee(token, *t));
+        self.false_report |= claimed && may_run;
+        self.report(token, Report::NotRun);
     }
 
     /// Ends a router's wait for the agent's answer.
-    pub(super) fn close(&mut self, token: RequestId) -> Option<(usize, Moment)> {
+    pub(super) fn stop_awaiting(&mut self, token: RequestId) -> Option<(usize, Moment)> {
         let routers = self.routers.iter_mut().enumerate();
         for (at, router) in routers {
-            let mut open = router.open.iter();
+            let mut open = router.awaiting.iter();
             if let Some(found) = open.position(|o| o.0 == token) {
-                return Some((at, router.open.remove(found).1));
+                return Some((at, router.awaiting.remove(found).1));
             }
         }
         None
     }
 
     /// Whether a router awaits the agent's answer.
-    pub(super) fn is_open(&self, token: RequestId) -> bool {
-        let mut open = self.routers.iter().flat_map(|r| &r.open);
+    pub(super) fn is_awaited(&self, token: RequestId) -> bool {
+        let mut open = self.routers.iter().flat_map(|r| &r.awaiting);
         open.any(|o| o.0 == token)
     }
 
     pub(super) fn run(&mut self, token: RequestId) {
-        if let Some(at) = self.wire.iter().position(|w| w.0 == token) {
-            self.wire.remove(at);
-            let mut before = self.ran.iter().enumerate();
-            self.twice |= before.any(|(i, t)| !self.may_follow(token, *t, i));
-            self.ran.push(token);
+        if let Some(at) = self.in_flight.iter().position(|w| w.0 == token) {
+            self.in_flight.remove(at);
+            let mut before = self.runs.iter().enumerate();
+            self.ran_twice |= before.any(|(i, t)| !self.may_run_after(token, *t, i));
+            self.runs.push(token);
         }
     }
 
     /// Whether `token` may run though `other` did, as the `nth` run of all.
     ///
     /// Only a sending later than the promise reaches may, and only if it came after that run.
-    pub(super) fn may_follow(&self, token: RequestId, other: RequestId, nth: usize) -> bool {
-        let late = !self.are_near(token, other) && token > other;
-        late && self.sending(token).is_some_and(|s| nth < s.ran)
+    pub(super) fn may_run_after(&self, token: RequestId, other: RequestId, nth: usize) -> bool {
+        let late = !self.within_guarantee(token, other) && token > other;
+        late && self.submission(token).is_some_and(|s| nth < s.runs_before)
     }
 
     /// Whether the promise covers two sendings: the retention, less the wait for a claim.
-    pub(super) fn are_near(&self, a: RequestId, b: RequestId) -> bool {
+    pub(super) fn within_guarantee(&self, a: RequestId, b: RequestId) -> bool {
         let policy = Once::policy();
         let reach = policy.retention().saturating_sub(policy.wait);
-        let at = |t| self.sending(t).map_or(Moment::ZERO, |s| s.at);
+        let at = |t| self.submission(t).map_or(Moment::ZERO, |s| s.at);
         let apart = at(a).since(at(b)).max(at(b).since(at(a)));
         apart < reach
     }
 
-    pub(super) fn sending(&self, token: RequestId) -> Option<&Sending> {
-        self.sends.get(usize::try_from(token.0).ok()?)
+    pub(super) fn submission(&self, token: RequestId) -> Option<&Submission> {
+        self.submissions.get(usize::try_from(token.0).ok()?)
     }
 
-    pub(super) fn sent(&self) -> u8 {
-        u8::try_from(self.sends.len()).unwrap_or(u8::MAX)
+    pub(super) fn submission_count(&self) -> u8 {
+        u8::try_from(self.submissions.len()).unwrap_or(u8::MAX)
     }
 }
--- a/crates/peppercrank-spec/src/once/steps.rs
+++ b/crates/peppercrank-spec/src/once/steps.rs
@@ -11,14 +11,14 @@
     pub(super) fn router_steps(self, s: &State, at: usize, steps: &mut Vec<Step>) {
         let router = &s.routers[at];
         // The routers are alike: the first sending may as well go to the first.
-        if s.sent() < self.sends && (at == 0 || s.sent() > 0) {
+        if s.submission_count() < self.sends && (at == 0 || s.submission_count() > 0) {
             steps.push(Step::Send(at));
         }
         if router.claims.wake().is_some_and(|w| w <= s.now) {
             steps.push(Step::Tick(at));
         }
         steps.extend(router.grants.iter().map(|g| Step::Forward(at, g.0)));
-        if s.crashed < self.crashes {
+        if s.crashes < self.crashes {
             steps.push(Step::Crash(at));
         }
     }
--- a/crates/peppercrank-spec/src/orders.rs
+++ b/crates/peppercrank-spec/src/orders.rs
@@ -41,10 +41,10 @@
 pub use crate::orders::state::State;
 
 /// The property that an engine never obeys an order older than one it obeyed.
-pub const OLDER: &str = "an order was obeyed after a newer holder's";
+pub const OBEYED_OLDER: &str = "an order was obeyed after a newer holder's";
 
 /// The property that no two processes may act under the lease at once.
-pub const BOTH: &str = "two processes may act under one lease at once";
+pub const TWO_HOLDERS: &str = "two processes may act under one lease at once";
 
 /// What one step of time lasts: a lease, its margin and more.
 const STRIDE: Duration = Duration::from_secs(6);
@@ -112,7 +112,7 @@
         Gate::new(policy, now)
     }
 
-    fn contend(s: &mut State, at: usize, input: lease::Input) {
+    fn drive_contender(s: &mut State, at: usize, input: lease::Input) {
         for action in s.contenders[at].on(s.now, input) {
             let from = Some(Caller::Contender(at));
             match action {
@@ -135,7 +135,7 @@
         }
     }
 
-    fn guard(s: &mut State, input: gate::Input) {
+    fn drive_gate(s: &mut State, input: gate::Input) {
         for action in s.gate.on(s.now, input) {
             match action {
                 gate::Action::Read { call: id } => s.calls.push(Call {
@@ -143,34 +143,40 @@
                     id,
                     write: None,
                 }),
-                gate::Action::Pass(order) => s.line.push((order, true)),
+                gate::Action::Pass(order) => s.to_engine.push((order, true)),
                 gate::Action::Tell { .. } => {}
             }
         }
     }
 
-    fn serve(self, s: &mut State, at: usize) {
+    fn serve_call(self, s: &mut State, at: usize) {
         let call = s.calls.remove(at);
-        let answer = self.store(s, call.write);
-        self.answer(s, call.from, call.id, answer);
+        let answer = self.call_store(s, call.write);
+        self.deliver_answer(s, call.from, call.id, answer);
     }
 
-    fn answer(self, s: &mut State, from: Option<Caller>, call: CallId, answer: Answer<Lease>) {
+    fn deliver_answer(
+        self,
+        s: &mut State,
+        from: Option<Caller>,
+        call: CallId,
+        answer: Answer<Lease>,
+    ) {
         match from {
             None => {}
             Some(Caller::Contender(at)) => {
-                let answer = self.hurry(at, answer);
-                Self::contend(s, at, lease::Input::Answer { call, answer });
+                let answer = self.fake_released_lease(at, answer);
+                Self::drive_contender(s, at, lease::Input::Answer { call, answer });
             }
             Some(Caller::Gate) => {
-                let answer = self.forget(answer);
-                Self::guard(s, gate::Input::Lease { call, answer });
+                let answer = self.fake_gate_read(answer);
+                Self::drive_gate(s, gate::Input::Lease { call, answer });
             }
         }
     }
 
     /// For a flaw: lets another's lease look as if it lasted no time.
-    fn hurry(self, at: usize, answer: Answer<Lease>) -> Answer<Lease> {
+    fn fake_released_lease(self, at: usize, answer: Answer<Lease>) -> Answer<Lease> {
         match answer {
             Answer::Found { version, mut body }
                 if self.flaw == Flaw::Impatient && body.session != Session(at as u64) =>
@@ -183,7 +189,7 @@
     }
 
     /// For a flaw: lets a gate read less than the store holds.
-    fn forget(self, answer: Answer<Lease>) -> Answer<Lease> {
+    fn fake_gate_read(self, answer: Answer<Lease>) -> Answer<Lease> {
         match (self.flaw, answer) {
             (Flaw::Unread, Answer::Found { .. }) => Answer::Absent,
             (Flaw::Equal, Answer::Found { version, body }) => Answer::Found {
@@ -194,7 +200,7 @@
         }
     }
 
-    fn store(self, s: &mut State, write: Option<(Base, Lease)>) -> Answer<Lease> {
+    fn call_store(self, s: &mut State, write: Option<(Base, Lease)>) -> Answer<Lease> {
         let current = s.object.clone();
         let Some((base, body)) = write else {
             return match current {
@@ -212,23 +218,23 @@
         Answer::Written { version }
     }
 
-    fn lose(self, s: &mut State, at: usize) {
-        s.lost += 1;
+    fn lose_answer(self, s: &mut State, at: usize) {
+        s.losses += 1;
         let id = s.calls[at].id;
         let from = s.calls[at].from.take();
         if s.calls[at].write.is_none() {
             s.calls.remove(at);
         }
-        self.answer(s, from, id, Answer::Failed { after: None });
+        self.deliver_answer(s, from, id, Answer::Failed { after: None });
     }
 
-    fn give(s: &mut State, at: usize) {
+    fn give_order(s: &mut State, at: usize) {
         let Some(fence) = s.contenders[at].fence(s.now) else {
             return;
         };
-        s.given += 1;
-        let seq = u64::from(s.given);
-        s.wire.push(Order {
+        s.orders_given += 1;
+        let seq = u64::from(s.orders_given);
+        s.to_agent.push(Order {
             id: OrderId(u128::from(seq)),
             fence,
             seq,
@@ -236,81 +242,81 @@
         });
     }
 
-    fn arrive(self, s: &mut State, order: Order) {
+    fn deliver_order(self, s: &mut State, order: Order) {
         if self.flaw == Flaw::NoGate {
-            s.line.push((order, true));
+            s.to_engine.push((order, true));
             return;
         }
-        Self::guard(s, gate::Input::Order(order));
+        Self::drive_gate(s, gate::Input::Order(order));
     }
 
-    fn obey(self, s: &mut State, at: usize) {
-        let (order, waits) = s.line.remove(at);
+    fn deliver_to_engine(self, s: &mut State, at: usize) {
+        let (order, waits) = s.to_engine.remove(at);
         let place = (order.fence, order.seq);
-        let refuses = self.engine == Engine::Checks && order.fence < s.obeyed.0;
+        let refuses = self.engine == Engine::Checks && order.fence < s.last_obeyed.0;
         let reply = if refuses {
             Reply::Refused
         } else {
-            s.older |= place < s.obeyed;
-            s.obeyed = s.obeyed.max(place);
+            s.obeyed_older |= place < s.last_obeyed;
+            s.last_obeyed = s.last_obeyed.max(place);
             Reply::Obeyed
         };
         if waits {
             let id = order.id;
-            Self::guard(s, gate::Input::Engine { id, reply });
+            Self::drive_gate(s, gate::Input::Engine { id, reply });
         }
     }
 
-    fn cut(s: &mut State, at: usize) {
-        s.cut += 1;
-        s.line[at].1 = false;
-        let id = s.line[at].0.id;
+    fn give_up_on_engine(s: &mut State, at: usize) {
+        s.cuts += 1;
+        s.to_engine[at].1 = false;
+        let id = s.to_engine[at].0.id;
         let reply = Reply::Unknown;
-        Self::guard(s, gate::Input::Engine { id, reply });
+        Self::drive_gate(s, gate::Input::Engine { id, reply });
     }
 
-    fn restart(self, s: &mut State) {
-        s.restarted += 1;
+    fn restart_agent(self, s: &mut State) {
+        s.restarts += 1;
         s.gate = self.gate(s.now);
         s.calls.retain(|c| c.from != Some(Caller::Gate));
-        for (_, waits) in &mut s.line {
+        for (_, waits) in &mut s.to_engine {
             *waits = false;
         }
     }
 
-    fn stride(s: &mut State) {
-        s.strode += 1;
+    fn advance_time(s: &mut State) {
+        s.strides += 1;
         s.now = s.now + STRIDE;
         // The assumption on the engine: what the agent gave up on is taken up within the time to
         // settle, or never.
-        s.line.retain(|l| l.1);
+        s.to_engine.retain(|l| l.1);
     }
 
     fn apply(self, s: &State, step: &Step) -> State {
         let mut s = s.clone();
         match *step {
-            Step::Tick(at) => Self::contend(&mut s, at, lease::Input::Tick),
-            Step::Serve(at) => self.serve(&mut s, at),
-            Step::Lose(at) => self.lose(&mut s, at),
+            Step::Tick(at) => Self::drive_contender(&mut s, at, lease::Input::Tick),
+            Step::Serve(at) => self.serve_call(&mut s, at),
+            Step::Lose(at) => self.lose_answer(&mut s, at),
             Step::Leave(at) => {
-                s.left += 1;
-                Self::contend(&mut s, at, lease::Input::Leave);
+                s.leaves += 1;
+                Self::drive_contender(&mut s, at, lease::Input::Leave);
             }
-            Step::Give(at) => Self::give(&mut s, at),
+            Step::Give(at) => Self::give_order(&mut s, at),
             Step::Arrive(at) => {
-                let order = s.wire.remove(at);
-                self.arrive(&mut s, order);
+                let order = s.to_agent.remove(at);
+                self.deliver_order(&mut s, order);
             }
             Step::Repeat(at) => {
-                s.repeated += 1;
-                let order = s.wire[at].clone();
-                self.arrive(&mut s, order);
+                s.repeats += 1;
+                let order = s.to_agent[at].clone();
+                self.deliver_order(&mut s, order);
             }
-            Step::Obey(at) => self.obey(&mut s, at),
-            Step::Cut(at) => Self::cut(&mut s, at),
-            Step::Settle => Self::guard(&mut s, gate::Input::Tick),
-            Step::Restart => self.restart(&mut s),
-            Step::Stride => Self::stride(&mut s),
+            Step::Obey(at) => self.deliver_to_engine(&mut s, at),
+            Step::Cut(at) => Self::give_up_on_engine(&mut s, at),
+            Step::Settle => Self::drive_gate(&mut s, gate::Input::Tick),
+            Step::Restart => self.restart_agent(&mut s),
+            Step::Stride => Self::advance_time(&mut s),
         }
         s
     }
@@ -320,7 +326,7 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         let contenders = [Self::contender("vm-a", 0), Self::contender("vm-b", 1)];
         let read = |at| Call {
             from: Some(Caller::Contender(at)),
@@ -334,20 +340,20 @@
             contenders,
             gate: self.gate(Moment::ZERO),
             calls: vec![read(0), read(1)],
-            wire: Vec::new(),
-            line: Vec::new(),
-            obeyed: (Version(0), 0),
-            older: false,
-            given: 0,
-            lost: 0,
-            left: 0,
-            restarted: 0,
-            strode: 0,
-            repeated: 0,
-            cut: 0,
+            to_agent: Vec::new(),
+            to_engine: Vec::new(),
+            last_obeyed: (Version(0), 0),
+            obeyed_older: false,
+            orders_given: 0,
+            losses: 0,
+            leaves: 0,
+            restarts: 0,
+            strides: 0,
+            repeats: 0,
+            cuts: 0,
         };
         // The contenders are alike: the first to read may as well be the first.
-        self.serve(&mut state, 0);
+        self.serve_call(&mut state, 0);
         state
     }
 
@@ -355,7 +361,7 @@
         let mut steps = Vec::new();
         self.lease_steps(state, &mut steps);
         self.agent_steps(state, &mut steps);
-        if state.strode < self.strides {
+        if state.strides < self.strides {
             steps.push(Step::Stride);
         }
         let next = steps.into_iter().map(|step| {
@@ -367,12 +373,12 @@
 
     fn violations(&self, state: &State) -> Vec<&'static str> {
         let mut bad = Vec::new();
-        if state.older {
-            bad.push(OLDER);
+        if state.obeyed_older {
+            bad.push(OBEYED_OLDER);
         }
         let held = |c: &Contender| c.fence(state.now).is_some();
         if state.contenders.iter().all(held) {
-            bad.push(BOTH);
+            bad.push(TWO_HOLDERS);
         }
         bad
     }
--- a/crates/peppercrank-spec/src/orders/state.rs
+++ b/crates/peppercrank-spec/src/orders/state.rs
@@ -39,17 +39,17 @@
     pub(super) gate: Gate,
     pub(super) calls: Vec<Call>,
     /// Orders on the way to the agent.
-    pub(super) wire: Vec<Order>,
+    pub(super) to_agent: Vec<Order>,
     /// Orders on the way to the engine, and whether the agent still waits for them.
-    pub(super) line: Vec<(Order, bool)>,
+    pub(super) to_engine: Vec<(Order, bool)>,
     /// The place of the last order obeyed.
-    pub(super) obeyed: (Version, u64),
-    pub(super) older: bool,
-    pub(super) given: u8,
-    pub(super) lost: u8,
-    pub(super) left: u8,
-    pub(super) restarted: u8,
-    pub(super) strode: u8,
-    pub(super) repeated: u8,
-    pub(super) cut: u8,
+    pub(super) last_obeyed: (Version, u64),
+    pub(super) obeyed_older: bool,
+    pub(super) orders_given: u8,
+    pub(super) losses: u8,
+    pub(super) leaves: u8,
+    pub(super) restarts: u8,
+    pub(super) strides: u8,
+    pub(super) repeats: u8,
+    pub(super) cuts: u8,
 }
--- a/crates/peppercrank-spec/src/orders/steps.rs
+++ b/crates/peppercrank-spec/src/orders/steps.rs
@@ -15,16 +15,16 @@
                 steps.push(Step::Tick(at));
             }
             let holds = contender.fence(s.now).is_some();
-            if holds && s.given < self.orders {
+            if holds && s.orders_given < self.orders {
                 steps.push(Step::Give(at));
             }
-            if holds && s.left < self.leaves {
+            if holds && s.leaves < self.leaves {
                 steps.push(Step::Leave(at));
             }
         }
         for (at, call) in s.calls.iter().enumerate() {
             steps.push(Step::Serve(at));
-            if call.from.is_some() && s.lost < self.losses {
+            if call.from.is_some() && s.losses < self.losses {
                 steps.push(Step::Lose(at));
             }
         }
@@ -32,15 +32,15 @@
 
     /// The steps of the agent and the engine.
     pub(super) fn agent_steps(self, s: &State, steps: &mut Vec<Step>) {
-        for at in 0..s.wire.len() {
+        for at in 0..s.to_agent.len() {
             steps.push(Step::Arrive(at));
-            if s.repeated < self.repeats {
+            if s.repeats < self.repeats {
                 steps.push(Step::Repeat(at));
             }
         }
-        for (at, (_, waits)) in s.line.iter().enumerate() {
+        for (at, (_, waits)) in s.to_engine.iter().enumerate() {
             steps.push(Step::Obey(at));
-            if *waits && s.cut < self.cuts {
+            if *waits && s.cuts < self.cuts {
                 steps.push(Step::Cut(at));
             }
         }
@@ -48,7 +48,7 @@
             steps.push(Step::Settle);
         }
         // Before any order a restart changes nothing that counts.
-        if s.restarted < self.restarts && s.given > 0 {
+        if s.restarts < self.restarts && s.orders_given > 0 {
             steps.push(Step::Restart);
         }
     }
--- a/crates/peppercrank-spec/src/search.rs
+++ b/crates/peppercrank-spec/src/search.rs
@@ -17,7 +17,7 @@
     /// One step from a state to the next.
     type Step: Debug;
     /// `start` is the first state.
-    fn start(&self) -> Self::State;
+    fn initial_state(&self) -> Self::State;
     /// `steps` lists each step that can be taken in `state`, with the state it leads to.
     fn steps(&self, state: &Self::State) -> Vec<(Self::Step, Self::State)>;
     /// `violations` names the properties that `state` violates.
@@ -66,8 +66,8 @@
 ///
 /// Returns the shortest [`Counterexample`] when a state violates a property.
 pub fn check<M: Model>(model: &M) -> Result<Coverage, Counterexample> {
-    let mut reach = bfs_reach(model.start(), |s| next(model, s));
-    let mut seen = Coverage {
+    let mut reach = bfs_reach(model.initial_state(), |s| successors(model, s));
+    let mut coverage = Coverage {
         states: 0,
         depth: 0,
     };
@@ -76,45 +76,50 @@
     let mut level = 1;
     while let Some(state) = reach.next() {
         if !model.violations(&state).is_empty() {
-            return Err(shortest(model, |_| true).unwrap_or(Counterexample {
-                property: "visited but not found again",
-                steps: Vec::new(),
-            }));
+            return Err(
+                shortest_counterexample(model, |_| true).unwrap_or(Counterexample {
+                    property: "visited but not found again",
+                    steps: Vec::new(),
+                }),
+            );
         }
-        seen.states += 1;
+        coverage.states += 1;
         level -= 1;
         if level == 0 {
             level = reach.remaining_nodes_low_bound();
-            seen.depth += usize::from(level > 0);
+            coverage.depth += usize::from(level > 0);
         }
     }
-    Ok(seen)
+    Ok(coverage)
 }
 
 /// `find` seeks the nearest state that violates this property.
-pub fn find<M: Model>(model: &M, property: &'static str) -> Option<Counterexample> {
-    shortest(model, |p| p == property)
+pub fn find_counterexample<M: Model>(model: &M, property: &'static str) -> Option<Counterexample> {
+    shortest_counterexample(model, |p| p == property)
 }
 
-fn shortest<M: Model>(model: &M, counts: impl Fn(&'static str) -> bool) -> Option<Counterexample> {
+fn shortest_counterexample<M: Model>(
+    model: &M,
+    counts: impl Fn(&'static str) -> bool,
+) -> Option<Counterexample> {
     let bad = |s: &M::State| model.violations(s).into_iter().find(|p| counts(p));
-    let start = model.start();
-    let path = bfs(&start, |s| next(model, s), |s| bad(s).is_some())?;
+    let start = model.initial_state();
+    let path = bfs(&start, |s| successors(model, s), |s| bad(s).is_some())?;
     let property = bad(path.last()?)?;
     let pairs = path.iter().zip(path.iter().skip(1));
-    let steps = pairs.filter_map(|(from, to)| step(model, from, to));
+    let steps = pairs.filter_map(|(from, to)| describe_step(model, from, to));
     Some(Counterexample {
         property,
         steps: steps.collect(),
     })
 }
 
-fn next<M: Model>(model: &M, state: &M::State) -> Vec<M::State> {
+fn successors<M: Model>(model: &M, state: &M::State) -> Vec<M::State> {
     model.steps(state).into_iter().map(|s| s.1).collect()
 }
 
 /// The step between two states, as text.
-fn step<M: Model>(model: &M, from: &M::State, to: &M::State) -> Option<String> {
+fn describe_step<M: Model>(model: &M, from: &M::State, to: &M::State) -> Option<String> {
     let mut steps = model.steps(from).into_iter();
     let found = steps.find(|(_, s)| s == to);
     found.map(|(step, _)| format!("{step:?}"))
--- a/crates/peppercrank-spec/src/starts.rs
+++ b/crates/peppercrank-spec/src/starts.rs
@@ -31,13 +31,13 @@
 pub const BEHIND: &str = "a router in touch did not come to know the start that lives";
 
 /// When each start began, by its own clock. The third one's was set back.
-const BORN: [u64; 3] = [1_000, 3_000, 2_000];
+const START_TIMES_MS: [u64; 3] = [1_000, 3_000, 2_000];
 
 /// What one step of time lasts: half of the time after which word of an earlier start stands.
 const STRIDE: Duration = Duration::from_secs(2);
 
 /// Strides in touch after which a router knows the start that lives.
-const CALM: u8 = 2;
+const SETTLED_STRIDES: u8 = 2;
 
 /// `Flaw` is a rule taken away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -93,20 +93,20 @@
 pub struct State {
     directory: Directory,
     /// The key that the router knows, and the start that it was first known for.
-    owner: Option<(TargetKey, u8)>,
-    shape: Shape,
+    known_key: Option<(TargetKey, u8)>,
+    vars: Variables,
 }
 
 /// All that tells states apart.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Shape {
+struct Variables {
     strides: u8,
-    live: u8,
+    current: u8,
     entry: Option<u8>,
-    late: BTreeSet<u8>,
+    pending_writes: BTreeSet<u8>,
     delays: u8,
     lapses: u8,
-    calm: u8,
+    strides_in_touch: u8,
     /// The start that the router knows.
     known: Option<u8>,
     /// The start that it doubts about, and the millisecond from which on that stands.
@@ -117,7 +117,7 @@
 
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
-        self.shape == other.shape
+        self.vars == other.vars
     }
 }
 
@@ -125,7 +125,7 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.shape.hash(state);
+        self.vars.hash(state);
     }
 }
 
@@ -136,50 +136,51 @@
 
 impl State {
     fn now(&self) -> Moment {
-        Moment::ZERO + STRIDE * u32::from(self.shape.strides)
+        Moment::ZERO + STRIDE * u32::from(self.vars.strides)
     }
 
     /// Takes over what the router knows.
-    fn look(&mut self) {
+    fn record_known(&mut self) {
         let key = self.directory.find("one");
         let target = key.and_then(|k| self.directory.get(k));
         let known = target.map(|t| start_of(&t.registration));
         let rival = target.and_then(|t| t.rival());
         let rival = rival.map(|(entry, from)| (start_of(entry), millis(from)));
         let owner = key.zip(known);
-        if let (Some((before, start)), Some((now, known))) = (self.owner, owner) {
-            self.shape.mixed |= before == now && start != known;
+        if let (Some((before, start)), Some((now, known))) = (self.known_key, owner) {
+            self.vars.mixed |= before == now && start != known;
         }
-        if self.owner.map(|(k, _)| k) != key {
-            self.owner = owner;
+        if self.known_key.map(|(k, _)| k) != key {
+            self.known_key = owner;
         }
-        self.shape.known = known;
-        self.shape.rival = rival;
+        self.vars.known = known;
+        self.vars.rival = rival;
     }
 
     fn read(&mut self, flaw: Flaw) {
         let now = self.now();
-        let live = self.shape.live;
-        let knew = self.shape.known == Some(live);
+        let current = self.vars.current;
+        let knew = self.vars.known == Some(current);
         for change in self.changes(flaw) {
             let _noted = self.directory.apply(now, change);
         }
-        self.look();
-        let ahead = (0..live).all(|s| BORN[usize::from(s)] < BORN[usize::from(live)]);
-        let late = self.shape.known.is_some_and(|known| known != live);
-        self.shape.overtaken |= knew && ahead && late;
+        self.record_known();
+        let ahead = (0..current)
+            .all(|s| START_TIMES_MS[usize::from(s)] < START_TIMES_MS[usize::from(current)]);
+        let late = self.vars.known.is_some_and(|known| known != current);
+        self.vars.overtaken |= knew && ahead && late;
     }
 
     /// What the router makes of the entry.
     fn changes(&self, flaw: Flaw) -> Vec<Change> {
         let removed = || Change::Removed("one".into());
-        let Some(told) = self.shape.entry else {
+        let Some(told) = self.vars.entry else {
             return vec![removed()];
         };
         let put = Change::Put(registration(told, flaw));
-        let born = |s: u8| BORN[usize::from(s)];
+        let born = |s: u8| START_TIMES_MS[usize::from(s)];
         let earlier = self
-            .shape
+            .vars
             .known
             .is_some_and(|known| born(told) < born(known));
         match flaw {
@@ -189,11 +190,11 @@
         }
     }
 
-    fn pass(&mut self) {
-        self.shape.strides += 1;
+    fn advance_time(&mut self) {
+        self.vars.strides += 1;
         let now = self.now();
         let _noted = self.directory.expire(now);
-        self.look();
+        self.record_known();
     }
 }
 
@@ -202,7 +203,7 @@
 }
 
 fn registration(start: u8, flaw: Flaw) -> Registration {
-    let born = BORN[usize::from(start)];
+    let born = START_TIMES_MS[usize::from(start)];
     Registration {
         instance: "one".into(),
         start: Start((flaw != Flaw::NameOnly).then_some(born)),
@@ -217,53 +218,53 @@
 
 impl Starts {
     /// The steps that can be taken.
-    fn possible(self, shape: &Shape) -> Vec<Step> {
+    fn enabled_steps(self, vars: &Variables) -> Vec<Step> {
         let mut steps = vec![Step::Write, Step::Read];
-        if shape.live < self.restarts {
+        if vars.current < self.restarts {
             steps.push(Step::Restart);
         }
-        if shape.delays < self.delays {
+        if vars.delays < self.delays {
             steps.push(Step::Send);
         }
-        steps.extend(shape.late.iter().copied().map(Step::Land));
-        if shape.lapses < self.lapses && shape.entry.is_some() {
+        steps.extend(vars.pending_writes.iter().copied().map(Step::Land));
+        if vars.lapses < self.lapses && vars.entry.is_some() {
             steps.push(Step::Lapse);
         }
-        if shape.strides < self.strides {
+        if vars.strides < self.strides {
             steps.extend([Step::Stride, Step::Calm]);
         }
         steps
     }
 
-    fn take(self, state: &State, step: Step) -> State {
+    fn apply(self, state: &State, step: Step) -> State {
         let mut next = state.clone();
-        let shape = &mut next.shape;
-        shape.calm = match step {
-            Step::Calm if shape.late.is_empty() => shape.calm + 1,
-            Step::Read | Step::Write => shape.calm,
+        let vars = &mut next.vars;
+        vars.strides_in_touch = match step {
+            Step::Calm if vars.pending_writes.is_empty() => vars.strides_in_touch + 1,
+            Step::Read | Step::Write => vars.strides_in_touch,
             _ => 0,
         };
         match step {
-            Step::Restart => shape.live += 1,
-            Step::Write => shape.entry = Some(shape.live),
+            Step::Restart => vars.current += 1,
+            Step::Write => vars.entry = Some(vars.current),
             Step::Send => {
-                shape.delays += 1;
-                shape.late.insert(shape.live);
+                vars.delays += 1;
+                vars.pending_writes.insert(vars.current);
             }
             Step::Land(start) => {
-                shape.late.remove(&start);
-                shape.entry = Some(start);
+                vars.pending_writes.remove(&start);
+                vars.entry = Some(start);
             }
             Step::Lapse => {
-                shape.lapses += 1;
-                shape.entry = None;
+                vars.lapses += 1;
+                vars.entry = None;
             }
             Step::Read => next.read(self.flaw),
-            Step::Stride => next.pass(),
+            Step::Stride => next.advance_time(),
             Step::Calm => {
-                shape.entry = Some(shape.live);
+                vars.entry = Some(vars.current);
                 next.read(self.flaw);
-                next.pass();
+                next.advance_time();
             }
         }
         next
@@ -274,18 +275,18 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         State {
             directory: Directory::default(),
-            owner: None,
-            shape: Shape {
+            known_key: None,
+            vars: Variables {
                 strides: 0,
-                live: 0,
+                current: 0,
                 entry: None,
-                late: BTreeSet::new(),
+                pending_writes: BTreeSet::new(),
                 delays: 0,
                 lapses: 0,
-                calm: 0,
+                strides_in_touch: 0,
                 known: None,
                 rival: None,
                 mixed: false,
@@ -295,16 +296,16 @@
     }
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
-        let steps = self.possible(&state.shape).into_iter();
-        steps.map(|s| (s, self.take(state, s))).collect()
+        let steps = self.enabled_steps(&state.vars).into_iter();
+        steps.map(|s| (s, self.apply(state, s))).collect()
     }
 
     fn violations(&self, state: &State) -> Vec<&'static str> {
-        let shape = &state.shape;
-        let behind = shape.calm >= CALM && shape.known != Some(shape.live);
+        let vars = &state.vars;
+        let behind = vars.strides_in_touch >= SETTLED_STRIDES && vars.known != Some(vars.current);
         let rows = [
-            (shape.mixed, MIXED),
-            (shape.overtaken, OVERTAKEN),
+            (vars.mixed, MIXED),
+            (vars.overtaken, OVERTAKEN),
             (behind, BEHIND),
         ];
         let violated = rows.into_iter().filter(|(holds, _)| *holds);
--- a/crates/peppercrank-spec/tests/verify_cold.rs
+++ b/crates/peppercrank-spec/tests/verify_cold.rs
@@ -3,14 +3,14 @@
 
 //! A cold target that all routers want to send to, over every reachable state.
 
+use peppercrank_spec::cold::ColdTarget;
 use peppercrank_spec::cold::Flaw;
-use peppercrank_spec::cold::RUSH;
-use peppercrank_spec::cold::Rush;
+use peppercrank_spec::cold::OVERLOADED;
 use peppercrank_spec::search::check;
-use peppercrank_spec::search::find;
+use peppercrank_spec::search::find_counterexample;
 
 /// One router that starts again, over two seconds.
-const ONE: Rush = Rush {
+const ONE_RESTART: ColdTarget = ColdTarget {
     flaw: Flaw::None,
     starts: 1,
     strides: 4,
@@ -18,8 +18,8 @@
 
 #[test]
 fn verify_a_cold_target_gets_no_more_than_it_bears() {
-    match check(&ONE) {
-        Ok(seen) => println!("one start: {seen}"),
+    match check(&ONE_RESTART) {
+        Ok(coverage) => println!("one start: {coverage}"),
         Err(e) => panic!("{e}"),
     }
 }
@@ -27,8 +27,11 @@
 #[test]
 fn verify_each_rule_is_needed() {
     for flaw in [Flaw::TakesAll, Flaw::TakesSilence] {
-        let model = Rush { flaw, ..ONE };
-        let found = find(&model, RUSH);
+        let model = ColdTarget {
+            flaw,
+            ..ONE_RESTART
+        };
+        let found = find_counterexample(&model, OVERLOADED);
         assert!(found.is_some(), "{flaw:?} violates nothing");
     }
 }
--- a/crates/peppercrank-spec/tests/verify_configuration.rs
+++ b/crates/peppercrank-spec/tests/verify_configuration.rs
@@ -5,33 +5,33 @@
 
 use peppercrank_spec::configuration::Configuration;
 use peppercrank_spec::configuration::Flaw;
-use peppercrank_spec::configuration::MISSED;
+use peppercrank_spec::configuration::NOT_CONVERGED;
 use peppercrank_spec::configuration::REVERTED;
 use peppercrank_spec::search::check;
-use peppercrank_spec::search::find;
+use peppercrank_spec::search::find_counterexample;
 
 /// Two processes, two writes, one message.
-const CALM: Configuration = Configuration {
+const NO_FAULTS: Configuration = Configuration {
     flaw: Flaw::None,
     processes: 2,
-    callers: 2,
+    api_callers: 2,
     writes: 2,
-    others: 0,
+    other_writes: 0,
     messages: 1,
     crashes: 0,
 };
 
 /// Only the first process calls the API.
-const ONE: Configuration = Configuration {
-    callers: 1,
+const ONE_API_CALLER: Configuration = Configuration {
+    api_callers: 1,
     messages: 2,
-    ..CALM
+    ..NO_FAULTS
 };
 
 fn verify_holds(bounds: &[(&str, Configuration)]) {
     for (name, model) in bounds {
         match check(model) {
-            Ok(seen) => println!("configuration, {name}: {seen}"),
+            Ok(coverage) => println!("configuration, {name}: {coverage}"),
             Err(bad) => panic!("configuration, {name}: {bad}"),
         }
     }
@@ -40,9 +40,21 @@
 #[test]
 fn verify_configuration_holds_between_two() {
     verify_holds(&[
-        ("two callers", CALM),
-        ("crash", Configuration { crashes: 1, ..ONE }),
-        ("other writes", Configuration { others: 1, ..ONE }),
+        ("two callers", NO_FAULTS),
+        (
+            "crash",
+            Configuration {
+                crashes: 1,
+                ..ONE_API_CALLER
+            },
+        ),
+        (
+            "other writes",
+            Configuration {
+                other_writes: 1,
+                ..ONE_API_CALLER
+            },
+        ),
     ]);
 }
 
@@ -53,7 +65,7 @@
         Configuration {
             writes: 3,
             crashes: 1,
-            ..ONE
+            ..ONE_API_CALLER
         },
     )]);
 }
@@ -65,7 +77,7 @@
             "three",
             Configuration {
                 processes: 3,
-                ..ONE
+                ..ONE_API_CALLER
             },
         ),
         (
@@ -73,7 +85,7 @@
             Configuration {
                 processes: 3,
                 crashes: 1,
-                ..ONE
+                ..ONE_API_CALLER
             },
         ),
     ]);
@@ -84,16 +96,16 @@
     let flaws = [
         (Flaw::LastWins, REVERTED),
         (Flaw::NoTombstone, REVERTED),
-        (Flaw::Gap, MISSED),
-        (Flaw::NoRepair, MISSED),
+        (Flaw::Gap, NOT_CONVERGED),
+        (Flaw::NoRepair, NOT_CONVERGED),
     ];
     for (flaw, property) in flaws {
         let model = Configuration {
             flaw,
-            others: 1,
-            ..CALM
+            other_writes: 1,
+            ..NO_FAULTS
         };
-        let Some(bad) = find(&model, property) else {
+        let Some(bad) = find_counterexample(&model, property) else {
             panic!("{flaw:?} is not found");
         };
         println!("configuration, {flaw:?} {bad}");
--- a/crates/peppercrank-spec/tests/verify_drain.rs
+++ b/crates/peppercrank-spec/tests/verify_drain.rs
@@ -3,17 +3,17 @@
 
 //! A draining target, over every reachable state.
 
-use peppercrank_spec::drain::CUT;
+use peppercrank_spec::drain::ADMITTED_WHILE_DRAINING;
 use peppercrank_spec::drain::Drain;
-use peppercrank_spec::drain::EARLY;
+use peppercrank_spec::drain::EARLY_DRAIN;
 use peppercrank_spec::drain::Flaw;
-use peppercrank_spec::drain::HELD;
-use peppercrank_spec::drain::LATE;
+use peppercrank_spec::drain::INTERRUPTED;
+use peppercrank_spec::drain::LEFT_WAITING;
 use peppercrank_spec::search::check;
-use peppercrank_spec::search::find;
+use peppercrank_spec::search::find_counterexample;
 
 /// Two requests, of which one can run at a time.
-const CALM: Drain = Drain {
+const NO_FAULTS: Drain = Drain {
     flaw: Flaw::None,
     requests: 2,
     repeats: 0,
@@ -26,13 +26,13 @@
 #[test]
 fn verify_drain_holds_at_each_bound() {
     let bounds = [
-        ("calm", CALM),
+        ("calm", NO_FAULTS),
         (
             "unmark",
             Drain {
                 unmarks: 1,
                 strides: 1,
-                ..CALM
+                ..NO_FAULTS
             },
         ),
         (
@@ -40,14 +40,14 @@
             Drain {
                 stops: true,
                 strides: 1,
-                ..CALM
+                ..NO_FAULTS
             },
         ),
         (
             "three requests",
             Drain {
                 requests: 3,
-                ..CALM
+                ..NO_FAULTS
             },
         ),
         (
@@ -55,7 +55,7 @@
             Drain {
                 repeats: 1,
                 strides: 1,
-                ..CALM
+                ..NO_FAULTS
             },
         ),
         (
@@ -63,7 +63,7 @@
             Drain {
                 restarts: 1,
                 strides: 1,
-                ..CALM
+                ..NO_FAULTS
             },
         ),
         (
@@ -72,13 +72,13 @@
                 repeats: 1,
                 restarts: 1,
                 strides: 1,
-                ..CALM
+                ..NO_FAULTS
             },
         ),
     ];
     for (name, model) in bounds {
         match check(&model) {
-            Ok(seen) => println!("drain, {name}: {seen}"),
+            Ok(coverage) => println!("drain, {name}: {coverage}"),
             Err(bad) => panic!("drain, {name}: {bad}"),
         }
     }
@@ -88,18 +88,18 @@
 fn verify_each_flaw_is_found() {
     let restart = Drain {
         restarts: 1,
-        ..CALM
+        ..NO_FAULTS
     };
     let flaws = [
-        (Flaw::Unheeded, LATE, CALM),
-        (Flaw::Unheeded, HELD, CALM),
-        (Flaw::Removes, CUT, CALM),
-        (Flaw::ServesUnread, LATE, restart),
-        (Flaw::Miscounts, EARLY, CALM),
+        (Flaw::Unheeded, ADMITTED_WHILE_DRAINING, NO_FAULTS),
+        (Flaw::Unheeded, LEFT_WAITING, NO_FAULTS),
+        (Flaw::Removes, INTERRUPTED, NO_FAULTS),
+        (Flaw::ServesUnread, ADMITTED_WHILE_DRAINING, restart),
+        (Flaw::Miscounts, EARLY_DRAIN, NO_FAULTS),
     ];
     for (flaw, property, bound) in flaws {
         let model = Drain { flaw, ..bound };
-        let Some(bad) = find(&model, property) else {
+        let Some(bad) = find_counterexample(&model, property) else {
             panic!("{flaw:?} is not found");
         };
         println!("drain, {flaw:?} {bad}");
--- a/crates/peppercrank-spec/tests/verify_eras.rs
+++ b/crates/peppercrank-spec/tests/verify_eras.rs
@@ -4,15 +4,15 @@
 //! A store that comes back from an older copy, over every reachable state.
 
 use peppercrank_spec::eras::Flaw;
-use peppercrank_spec::eras::HIDDEN;
+use peppercrank_spec::eras::NOTICE_IGNORED;
 use peppercrank_spec::eras::REVIVED;
 use peppercrank_spec::eras::Restores;
-use peppercrank_spec::eras::UNHEEDED;
+use peppercrank_spec::eras::STALE;
 use peppercrank_spec::search::check;
-use peppercrank_spec::search::find;
+use peppercrank_spec::search::find_counterexample;
 
 /// One return, and a target that registers, leaves and ends.
-const ONCE: Restores = Restores {
+const ONE_RESTORE: Restores = Restores {
     flaw: Flaw::None,
     restores: 1,
     changes: 3,
@@ -20,17 +20,17 @@
 };
 
 /// Two returns.
-const TWICE: Restores = Restores {
+const TWO_RESTORES: Restores = Restores {
     restores: 2,
     strides: 5,
-    ..ONCE
+    ..ONE_RESTORE
 };
 
 #[test]
 fn verify_what_was_acknowledged_stays_binding_at_each_bound() {
-    for (name, model) in [("once", ONCE), ("twice", TWICE)] {
+    for (name, model) in [("once", ONE_RESTORE), ("twice", TWO_RESTORES)] {
         match check(&model) {
-            Ok(seen) => println!("{name}: {seen}"),
+            Ok(coverage) => println!("{name}: {coverage}"),
             Err(e) => panic!("{name}: {e}"),
         }
     }
@@ -39,13 +39,16 @@
 #[test]
 fn verify_each_rule_is_needed() {
     let rows = [
-        (Flaw::KeepsRevision, HIDDEN),
+        (Flaw::KeepsRevision, STALE),
         (Flaw::TrustsCopy, REVIVED),
-        (Flaw::DropsNotices, UNHEEDED),
+        (Flaw::DropsNotices, NOTICE_IGNORED),
     ];
     for (flaw, property) in rows {
-        let model = Restores { flaw, ..ONCE };
-        let found = find(&model, property);
+        let model = Restores {
+            flaw,
+            ..ONE_RESTORE
+        };
+        let found = find_counterexample(&model, property);
         assert!(found.is_some(), "{flaw:?} violates nothing");
     }
 }
--- a/crates/peppercrank-spec/tests/verify_evacuations.rs
+++ b/crates/peppercrank-spec/tests/verify_evacuations.rs
@@ -3,35 +3,35 @@
 
 //! An availability zone that is evacuated and restored, over every reachable state.
 
-use peppercrank_spec::evacuations::BLIND;
 use peppercrank_spec::evacuations::Flaw;
-use peppercrank_spec::evacuations::UNBOUND;
-use peppercrank_spec::evacuations::Zones;
+use peppercrank_spec::evacuations::NOT_BINDING;
+use peppercrank_spec::evacuations::ZONES_UNKNOWN;
+use peppercrank_spec::evacuations::ZoneEvacuation;
 use peppercrank_spec::search::check;
-use peppercrank_spec::search::find;
+use peppercrank_spec::search::find_counterexample;
 
 /// One return of the store from a copy, and a router that starts again.
-const ONCE: Zones = Zones {
+const ONE_RESTORE: ZoneEvacuation = ZoneEvacuation {
     flaw: Flaw::None,
     restores: 1,
     changes: 2,
-    starts: 1,
+    restarts: 1,
     strides: 6,
 };
 
 /// Two returns, and an evacuation after the zone was restored.
-const TWICE: Zones = Zones {
+const TWO_RESTORES: ZoneEvacuation = ZoneEvacuation {
     restores: 2,
     changes: 3,
-    starts: 0,
-    ..ONCE
+    restarts: 0,
+    ..ONE_RESTORE
 };
 
 #[test]
 fn verify_an_evacuation_that_was_told_binds_until_it_is_ended() {
-    for (name, model) in [("once", ONCE), ("twice", TWICE)] {
+    for (name, model) in [("once", ONE_RESTORE), ("twice", TWO_RESTORES)] {
         match check(&model) {
-            Ok(seen) => println!("{name}: {seen}"),
+            Ok(coverage) => println!("{name}: {coverage}"),
             Err(e) => panic!("{name}: {e}"),
         }
     }
@@ -40,13 +40,16 @@
 #[test]
 fn verify_each_rule_is_needed() {
     let rows = [
-        (Flaw::TrustsCopy, UNBOUND),
-        (Flaw::EndsByTime, UNBOUND),
-        (Flaw::TrustsSilence, BLIND),
+        (Flaw::TrustsCopy, NOT_BINDING),
+        (Flaw::EndsByTime, NOT_BINDING),
+        (Flaw::TrustsSilence, ZONES_UNKNOWN),
     ];
     for (flaw, property) in rows {
-        let model = Zones { flaw, ..ONCE };
-        let found = find(&model, property);
+        let model = ZoneEvacuation {
+            flaw,
+            ..ONE_RESTORE
+        };
+        let found = find_counterexample(&model, property);
         assert!(found.is_some(), "{flaw:?} violates nothing");
     }
 }
--- a/crates/peppercrank-spec/tests/verify_once.rs
+++ b/crates/peppercrank-spec/tests/verify_once.rs
@@ -3,16 +3,16 @@
 
 //! At most once and true refusals, over every reachable state.
 
+use peppercrank_spec::once::FALSE_NOT_RUN;
+use peppercrank_spec::once::FALSE_NOT_RUN_OF_KEY;
 use peppercrank_spec::once::Flaw;
 use peppercrank_spec::once::Once;
-use peppercrank_spec::once::TWICE;
-use peppercrank_spec::once::UNTRUE;
-use peppercrank_spec::once::UNTRUE_KEY;
+use peppercrank_spec::once::RAN_TWICE;
 use peppercrank_spec::search::check;
-use peppercrank_spec::search::find;
+use peppercrank_spec::search::find_counterexample;
 
 /// Two sendings, no fault.
-const CALM: Once = Once {
+const NO_FAULTS: Once = Once {
     flaw: Flaw::None,
     sends: 2,
     losses: 0,
@@ -35,7 +35,7 @@
             cuts,
         };
         match check(&model) {
-            Ok(seen) => println!("{model:?}: {seen}"),
+            Ok(coverage) => println!("{model:?}: {coverage}"),
             Err(bad) => panic!("{model:?}: {bad}"),
         }
     }
@@ -69,21 +69,27 @@
 
 #[test]
 fn verify_each_flaw_is_found() {
-    let time = Once { strides: 2, ..CALM };
-    let cut = Once { cuts: 1, ..CALM };
+    let time = Once {
+        strides: 2,
+        ..NO_FAULTS
+    };
+    let cut = Once {
+        cuts: 1,
+        ..NO_FAULTS
+    };
     let flaws = [
-        (Flaw::NoClaim, TWICE, CALM),
-        (Flaw::Unconditional, TWICE, CALM),
-        (Flaw::OldGrant, TWICE, time),
-        (Flaw::EarlyEpoch, TWICE, CALM),
-        (Flaw::RetriesCut, TWICE, cut),
-        (Flaw::ReleasesCut, TWICE, cut),
-        (Flaw::CutNotRun, UNTRUE, cut),
-        (Flaw::BegunNotRun, UNTRUE_KEY, CALM),
+        (Flaw::NoClaim, RAN_TWICE, NO_FAULTS),
+        (Flaw::Unconditional, RAN_TWICE, NO_FAULTS),
+        (Flaw::OldGrant, RAN_TWICE, time),
+        (Flaw::EarlyEpoch, RAN_TWICE, NO_FAULTS),
+        (Flaw::RetriesCut, RAN_TWICE, cut),
+        (Flaw::ReleasesCut, RAN_TWICE, cut),
+        (Flaw::CutNotRun, FALSE_NOT_RUN, cut),
+        (Flaw::BegunNotRun, FALSE_NOT_RUN_OF_KEY, NO_FAULTS),
     ];
     for (flaw, property, bound) in flaws {
         let model = Once { flaw, ..bound };
-        let Some(bad) = find(&model, property) else {
+        let Some(bad) = find_counterexample(&model, property) else {
             panic!("{flaw:?} is not found");
         };
         println!("once, {flaw:?} {bad}");
--- a/crates/peppercrank-spec/tests/verify_orders.rs
+++ b/crates/peppercrank-spec/tests/verify_orders.rs
@@ -4,15 +4,15 @@
 //! Orders of lease holders, over every reachable state.
 
 use peppercrank_lease::gate::Engine;
-use peppercrank_spec::orders::BOTH;
 use peppercrank_spec::orders::Flaw;
-use peppercrank_spec::orders::OLDER;
+use peppercrank_spec::orders::OBEYED_OLDER;
 use peppercrank_spec::orders::Orders;
+use peppercrank_spec::orders::TWO_HOLDERS;
 use peppercrank_spec::search::check;
-use peppercrank_spec::search::find;
+use peppercrank_spec::search::find_counterexample;
 
 /// Two orders, time for one take-over, no fault.
-const CALM: Orders = Orders {
+const NO_FAULTS: Orders = Orders {
     flaw: Flaw::None,
     engine: Engine::Ignores,
     orders: 2,
@@ -26,30 +26,36 @@
 
 fn verify_holds(engine: Engine, name: &str, bound: Orders) {
     match check(&Orders { engine, ..bound }) {
-        Ok(seen) => println!("orders, {engine:?}, {name}: {seen}"),
+        Ok(coverage) => println!("orders, {engine:?}, {name}: {coverage}"),
         Err(bad) => panic!("orders, {engine:?}, {name}: {bad}"),
     }
 }
 
 fn verify_bounds(engine: Engine) {
     let bounds = [
-        ("calm", CALM),
+        ("calm", NO_FAULTS),
         (
             "leave",
             Orders {
                 leaves: 1,
                 cuts: 1,
                 strides: 1,
-                ..CALM
+                ..NO_FAULTS
+            },
+        ),
+        (
+            "cut",
+            Orders {
+                cuts: 1,
+                ..NO_FAULTS
             },
         ),
-        ("cut", Orders { cuts: 1, ..CALM }),
         (
             "loss",
             Orders {
                 losses: 1,
                 strides: 1,
-                ..CALM
+                ..NO_FAULTS
             },
         ),
         (
@@ -57,7 +63,7 @@
             Orders {
                 restarts: 1,
                 strides: 1,
-                ..CALM
+                ..NO_FAULTS
             },
         ),
         (
@@ -66,7 +72,7 @@
                 repeats: 1,
                 restarts: 1,
                 strides: 1,
-                ..CALM
+                ..NO_FAULTS
             },
         ),
         (
@@ -77,7 +83,7 @@
                 strides: 1,
                 losses: 1,
                 cuts: 1,
-                ..CALM
+                ..NO_FAULTS
             },
         ),
     ];
@@ -99,31 +105,38 @@
 #[test]
 fn verify_each_flaw_is_found() {
     let flaws = [
-        (Flaw::NoGate, OLDER, CALM),
+        (Flaw::NoGate, OBEYED_OLDER, NO_FAULTS),
         (
             Flaw::Unread,
-            OLDER,
+            OBEYED_OLDER,
             Orders {
                 restarts: 1,
-                ..CALM
+                ..NO_FAULTS
             },
         ),
         (
             Flaw::Equal,
-            OLDER,
+            OBEYED_OLDER,
             Orders {
                 restarts: 1,
                 repeats: 1,
-                ..CALM
+                ..NO_FAULTS
+            },
+        ),
+        (
+            Flaw::Unsettled,
+            OBEYED_OLDER,
+            Orders {
+                cuts: 1,
+                ..NO_FAULTS
             },
         ),
-        (Flaw::Unsettled, OLDER, Orders { cuts: 1, ..CALM }),
-        (Flaw::Impatient, BOTH, CALM),
-        (Flaw::Unconditional, BOTH, CALM),
+        (Flaw::Impatient, TWO_HOLDERS, NO_FAULTS),
+        (Flaw::Unconditional, TWO_HOLDERS, NO_FAULTS),
     ];
     for (flaw, property, bound) in flaws {
         let model = Orders { flaw, ..bound };
-        let Some(bad) = find(&model, property) else {
+        let Some(bad) = find_counterexample(&model, property) else {
             panic!("{flaw:?} is not found");
         };
         println!("orders, {flaw:?} {bad}");
--- a/crates/peppercrank-spec/tests/verify_search.rs
+++ b/crates/peppercrank-spec/tests/verify_search.rs
@@ -6,7 +6,7 @@
 use peppercrank_spec::search::Coverage;
 use peppercrank_spec::search::Model;
 use peppercrank_spec::search::check;
-use peppercrank_spec::search::find;
+use peppercrank_spec::search::find_counterexample;
 
 /// The property that the two numbers are never both this.
 const MET: &str = "both met";
@@ -21,7 +21,7 @@
     type State = (u8, u8);
     type Step = &'static str;
 
-    fn start(&self) -> (u8, u8) {
+    fn initial_state(&self) -> (u8, u8) {
         (0, 0)
     }
 
@@ -45,11 +45,11 @@
 #[test]
 fn verify_every_state_is_visited_and_the_depth_is_right() {
     for bound in 0..6 {
-        let seen = check(&Pair { bound, bad: None });
+        let coverage = check(&Pair { bound, bad: None });
         let side = usize::from(bound) + 1;
         let states = side * side;
         let depth = 2 * usize::from(bound);
-        assert_eq!(seen, Ok(Coverage { states, depth }));
+        assert_eq!(coverage, Ok(Coverage { states, depth }));
     }
 }
 
@@ -59,8 +59,8 @@
         bound: 5,
         bad: Some(2),
     };
-    let found = find(&model, MET).expect("it can be reached");
+    let found = find_counterexample(&model, MET).expect("it can be reached");
     assert_eq!((found.property, found.steps.len()), (MET, 4));
     assert_eq!(check(&model), Err(found));
-    assert_eq!(find(&model, "another property"), None);
+    assert_eq!(find_counterexample(&model, "another property"), None);
 }
--- a/crates/peppercrank-spec/tests/verify_starts.rs
+++ b/crates/peppercrank-spec/tests/verify_starts.rs
@@ -4,7 +4,7 @@
 //! A target that starts again under its name, over every reachable state.
 
 use peppercrank_spec::search::check;
-use peppercrank_spec::search::find;
+use peppercrank_spec::search::find_counterexample;
 use peppercrank_spec::starts::BEHIND;
 use peppercrank_spec::starts::Flaw;
 use peppercrank_spec::starts::MIXED;
@@ -21,7 +21,7 @@
 };
 
 /// A third start by a clock that was set back.
-const BACK: Starts = Starts {
+const SET_BACK: Starts = Starts {
     restarts: 2,
     ..FORWARD
 };
@@ -30,7 +30,7 @@
 fn verify_starts_are_told_apart_at_each_bound() {
     let bounds = [
         ("forward", FORWARD),
-        ("back", BACK),
+        ("back", SET_BACK),
         (
             "lapses",
             Starts {
@@ -44,13 +44,13 @@
                 delays: 2,
                 lapses: 1,
                 strides: 5,
-                ..BACK
+                ..SET_BACK
             },
         ),
     ];
     for (name, model) in bounds {
         match check(&model) {
-            Ok(seen) => println!("{name}: {seen}"),
+            Ok(coverage) => println!("{name}: {coverage}"),
             Err(e) => panic!("{name}: {e}"),
         }
     }
@@ -61,11 +61,11 @@
     let rows = [
         (Flaw::NameOnly, FORWARD, MIXED),
         (Flaw::TakesEarlier, FORWARD, OVERTAKEN),
-        (Flaw::DropsEarlier, BACK, BEHIND),
+        (Flaw::DropsEarlier, SET_BACK, BEHIND),
     ];
     for (flaw, bounds, property) in rows {
         let model = Starts { flaw, ..bounds };
-        let found = find(&model, property);
+        let found = find_counterexample(&model, property);
         assert!(found.is_some(), "{flaw:?} violates nothing");
     }
 }
