--- a/crates/peppercrank-spec/src/cold.rs
+++ b/crates/peppercrank-spec/src/cold.rs
@@ -1,10 +1,11 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A cold target that all routers want to send to, and what it gets from them in any second.
+//! Limits the requests that a cold target gets from all routers together in any second.
 //!
-//! Routers read the list of routers at any moment, so that theirs differ: one registers late. They start again, which forgets
-//! what they sent and whom they knew. Each decides with the real [`peppercrank_direct::warm_up::Gate`].
+//! Routers read the list of routers at any time, so their lists may differ: one router registers
+//! late. A restart makes a router forget which requests it sent and which routers it knew. Each one
+//! decides with the real [`peppercrank_direct::warm_up::Gate`].
 
 use std::hash::Hash;
 use std::hash::Hasher;
@@ -21,52 +22,52 @@
 
 use crate::search::Model;
 
-/// The property that a cold target gets no more in a second than it bears.
-pub const OVERLOADED: &str = "a cold target gets more requests in a second than it bears";
+/// Property: a cold target gets no more requests in a second than it can handle.
+pub const OVERLOADED: &str = "a cold target gets more requests in a second than it can handle";
 
-/// The property that a cold target gets something while all know each other.
-pub const NEVER_USED: &str = "no router may send to a cold target";
+/// Property: a cold target can get requests once all routers know each other.
+pub const NEVER_USED: &str = "no router may send to a cold target although all know each other";
 
-/// What one step of time lasts.
+/// Duration of one time step.
 const STRIDE: Duration = Duration::from_millis(500);
 
-/// How the target warms up.
+/// Warm-up of the target.
 const WARM_UP: WarmUp = WarmUp {
     lasts: Duration::from_secs(3),
     rate: 2.0,
 };
 
-/// How far it may be driven.
+/// Load allowed during the warm-up.
 const ALLOWANCE: Allowance = Allowance {
     overage: 1.5,
     slack: 1.0,
 };
 
-/// What it bears in any second: its rate by the allowance.
+/// Maximum number of requests in any second: the warm-up rate scaled by the allowance.
 const MAX_REQUESTS_PER_SECOND: usize = 4;
 
-/// The routers; the last one registers late.
+/// Names of the routers; the last one registers late.
 const ROUTERS: [&str; 4] = ["a", "b", "c", "late"];
 
-/// `Flaw` is a rule taken away.
+/// `Flaw` is a planted fault, which disables one rule of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
-    /// Nothing: the protocol as built.
+    /// None: the protocol as implemented.
     None,
-    /// Each router takes the whole of what is shared out.
+    /// Each router uses the whole allowance instead of its share.
     TakesAll,
-    /// A router that knows no others takes itself for the only one.
+    /// A router that knows no other routers assumes to be the only one.
     TakesSilence,
 }
 
-/// `Rush` is the model with its bounds.
+/// `ColdTarget` is the model with its bounds.
 #[derive(Debug, Clone, Copy)]
 pub struct ColdTarget {
-    /// The rule taken away.
+    /// Planted fault.
     pub flaw: Flaw,
-    /// Times that a router starts again.
+    /// Maximum number of router restarts.
     pub starts: u8,
-    /// Steps of time.
+    /// Maximum number of time steps.
     pub strides: u8,
 }
 
@@ -75,11 +76,11 @@
 pub enum Step {
     /// The last router registers.
     Register,
-    /// This router reads who is registered.
+    /// This router reads the list of registered routers.
     Read(usize),
     /// This router sends a request.
     Send(usize),
-    /// This router starts again.
+    /// This router restarts.
     Start(usize),
     /// Time passes.
     Stride,
@@ -93,18 +94,18 @@
     vars: Variables,
 }
 
-/// All that tells states apart.
+/// Variables by which states are compared.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Variables {
     strides: u8,
     starts: u8,
-    /// How many routers are registered.
+    /// Number of registered routers.
     registered: usize,
-    /// How many each router knows of.
+    /// Number of routers that each router knows.
     known: Vec<usize>,
-    /// Strides at which requests were sent, those of the last second.
+    /// Time steps at which requests were sent, within the last second.
     sent: Vec<u8>,
-    /// What the routers sent, as text.
+    /// State of the routers' gates, formatted with [`std::fmt::Debug`].
     gates: String,
 }
 
@@ -127,7 +128,7 @@
         Moment::ZERO + STRIDE * u32::from(self.vars.strides)
     }
 
-    /// Lets a router know those that are registered now.
+    /// Updates a router with the routers registered now.
     fn read_registrations(&mut self, router: usize, flaw: Flaw) {
         let registered = self.vars.registered;
         self.vars.known[router] = registered;
@@ -139,7 +140,7 @@
         self.gates[router].members.set(ROUTERS[router], others);
     }
 
-    /// Starts a router again, which knows nothing.
+    /// Restarts a router, which loses all its state.
     fn restart(&mut self, router: usize, flaw: Flaw) {
         self.vars.starts += 1;
         self.vars.known[router] = 0;
@@ -150,7 +151,7 @@
         self.gates[router] = gate;
     }
 
-    /// Whether a router may send.
+    /// Returns whether a router may send a request now.
     fn may_send(&mut self, router: usize, flaw: Flaw) -> bool {
         let now = self.now();
         let requests = shared_out(&WARM_UP, &ALLOWANCE);
@@ -227,13 +228,13 @@
 
     fn violations(&self, state: &State) -> Vec<&'static str> {
         let vars = &state.vars;
-        let rush = vars.sent.len() > MAX_REQUESTS_PER_SECOND;
+        let overloaded = vars.sent.len() > MAX_REQUESTS_PER_SECOND;
         let all = vars.known.iter().all(|known| *known == ROUTERS.len());
         let idle = all && vars.sent.is_empty();
         let mut probe = state.clone();
         let opens = |router| probe.may_send(router, self.flaw);
-        let unused = idle && !(0..ROUTERS.len()).any(opens);
-        let rows = [(rush, OVERLOADED), (unused, NEVER_USED)];
+        let never_used = idle && !(0..ROUTERS.len()).any(opens);
+        let rows = [(overloaded, OVERLOADED), (never_used, NEVER_USED)];
         let violated = rows.into_iter().filter(|(holds, _)| *holds);
         violated.map(|(_, property)| property).collect()
     }
--- a/crates/peppercrank-spec/src/configuration.rs
+++ b/crates/peppercrank-spec/src/configuration.rs
@@ -1,12 +1,13 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! An accepted configuration never reverts, and reaches every live process once faults stop.
+//! Checks that an accepted configuration never reverts and reaches every live process once faults
+//! stop.
 //!
-//! One object in the platform's API and a few processes that merge with the real [`Store`]. What
-//! processes tell each other is kept for ever and may be delivered at any later time, any number
-//! of times; answers of the API come late or not at all. A state keeps what a store holds, and each
-//! step builds the store anew from that and drives it.
+//! The model has one object in the platform's API and a few processes that merge it with the real
+//! [`Store`]. Messages between processes are kept forever and may be delivered at any later time,
+//! any number of times; answers of the API arrive late or not at all. A state records the contents
+//! of each store, from which every step rebuilds the real store before driving it.
 
 mod replica;
 
@@ -23,53 +24,54 @@
 
 pub use crate::configuration::replica::Body;
 
-/// The property that what is in force at a process never goes back.
-pub const REVERTED: &str = "a configuration in force went back to an older one";
+/// Property: the configuration in force at a process never reverts to an older one.
+pub const REVERTED: &str = "a configuration in force reverted to an older one";
 
-/// The property that all processes come to the accepted configuration once faults stop.
-pub const NOT_CONVERGED: &str = "a live process did not come to the accepted configuration";
+/// Property: all processes converge to the accepted configuration once faults stop.
+pub const NOT_CONVERGED: &str = "a live process did not converge to the accepted configuration";
 
-/// Exchanges after which all processes must agree: the first may need the last's.
+/// Number of all-to-all exchanges after which processes must agree: the first process may need what
+/// the last one holds.
 const CONVERGENCE_ROUNDS: usize = 2;
 
-/// `Flaw` is a rule taken away.
+/// `Flaw` is a planted fault, which disables one rule of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
-    /// Nothing: the protocol as built.
+    /// None: the protocol as implemented.
     None,
-    /// Whatever comes last is taken, without a look at versions.
+    /// The last object received is taken, regardless of its version.
     LastWins,
-    /// A deletion is not remembered.
+    /// Deletions leave no tombstone.
     NoTombstone,
-    /// Changes count as complete though earlier ones were missed.
+    /// Changes are treated as complete even if earlier ones were missed.
     Gap,
-    /// Processes do not compare what they hold.
+    /// Processes do not compare their objects with each other.
     NoRepair,
 }
 
 /// `Configuration` is the model with its bounds.
 #[derive(Debug, Clone, Copy)]
 pub struct Configuration {
-    /// The rule taken away.
+    /// Planted fault.
     pub flaw: Flaw,
-    /// Processes.
+    /// Number of processes.
     pub processes: usize,
-    /// How many of them, from the first, call the API.
+    /// Number of processes, counted from the first, that call the API.
     pub api_callers: usize,
-    /// Writes of the object: valid, invalid or a deletion.
+    /// Maximum number of writes of the object: valid, invalid or a deletion.
     pub writes: u8,
-    /// Writes of other objects of the kind.
+    /// Maximum number of writes of other objects of the same kind.
     pub other_writes: u8,
-    /// What processes tell each other.
+    /// Maximum number of messages between processes.
     pub messages: u8,
-    /// Crashes of processes, with all memory lost.
+    /// Maximum number of process crashes, each of which loses all memory.
     pub crashes: u8,
 }
 
-/// An answer of the API under way.
+/// `Answer` is an answer of the API in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Answer {
-    /// Since when the changes are; `None` for a whole list.
+    /// Revision after which the changes start; `None` for a complete list.
     since: Option<u64>,
     revision: u64,
     write: Option<Write>,
@@ -82,7 +84,7 @@
     object: Option<Write>,
     replicas: Vec<Replica>,
     answers: Vec<Option<Answer>>,
-    /// What was told, to whom.
+    /// Messages with their receivers.
     messages: Vec<(usize, Message)>,
     reverted: bool,
     writes: u8,
@@ -95,24 +97,24 @@
 pub enum Step {
     /// An operator writes the object.
     Write(Body),
-    /// An operator writes another object.
+    /// An operator writes another object of the same kind.
     Other,
-    /// The API takes a process's list call; an earlier answer is lost.
+    /// The API handles a process's list call; an earlier answer in flight is lost.
     List(usize),
-    /// The API takes a process's watch call; an earlier answer is lost.
+    /// The API handles a process's watch call; an earlier answer in flight is lost.
     Watch(usize),
     /// The API's answer arrives.
     Answer(usize),
-    /// A process tells another what it holds.
+    /// A process sends another one the versions that it holds.
     Tell(usize, usize),
-    /// What was told arrives, maybe not for the first time.
+    /// A message arrives, possibly not for the first time.
     Arrive(usize),
-    /// A process crashes and starts anew.
+    /// A process crashes and restarts with no state.
     Crash(usize),
 }
 
 impl Configuration {
-    /// Lets a process take something in through its real store.
+    /// Applies an input to a process's real store and returns whether its configuration reverted.
     fn update_store(self, replica: &mut Replica, input: impl Fn(&mut Store)) -> bool {
         let mut store = replica.store();
         if self.flaw == Flaw::LastWins {
@@ -163,7 +165,7 @@
             }
             Step::List(at) => s.answers[at] = Some(s.answer(None)),
             Step::Watch(at) => {
-                // A watcher that skipped ahead asks from a revision that it has not reached.
+                // A watcher that missed changes asks from a revision that it has not reached.
                 let since = s.replicas[at].complete.max(s.revision.saturating_sub(1));
                 s.answers[at] = Some(s.answer(Some(since)));
             }
@@ -189,7 +191,8 @@
         s
     }
 
-    /// Lets everything run without a fault: the first process lists, and all compare.
+    /// Returns the replicas after a run without faults, in which the first process lists and all
+    /// compare.
     fn run_without_faults(self, state: &State) -> Vec<Replica> {
         let mut replicas = state.replicas.clone();
         self.receive_answer(&mut replicas[0], state.answer(None));
@@ -209,7 +212,8 @@
         replicas
     }
 
-    /// Whether every process came to what the API holds, or to one last good version.
+    /// Returns whether every process has converged to the object in the API or, if that is invalid,
+    /// to a common last valid version.
     fn has_converged(self, state: &State) -> bool {
         let replicas = self.run_without_faults(state);
         let forces: Vec<Option<Write>> = replicas.iter().map(Replica::in_force).collect();
@@ -235,7 +239,7 @@
         self.object = Some(Write { version, body });
     }
 
-    /// What the API answers now.
+    /// Returns the API's answer at this point.
     fn answer(&self, since: Option<u64>) -> Answer {
         let newer = |w: &Write| since.is_none_or(|s| w.version > s);
         Answer {
--- a/crates/peppercrank-spec/src/configuration/replica.rs
+++ b/crates/peppercrank-spec/src/configuration/replica.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What one process holds, and the real store made of it.
+//! Contents of a process's store, and the real store built from them.
 
 use std::sync::Arc;
 
@@ -12,52 +12,52 @@
 use peppercrank_core::objects::Kind;
 use peppercrank_core::objects::ObjectKey;
 
-/// A body that passes the checks.
+/// Body that passes validation.
 const VALID_BODY: &str = r#"{"spec":{"target":"t","action":"shutdown"}}"#;
 
-/// A body that fails them.
+/// Body that fails validation.
 const INVALID_BODY: &str = r#"{"spec":{"target":"t"}}"#;
 
-/// `Body` is what a write makes of the object.
+/// `Body` is the content of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Body {
-    /// Content that passes the checks.
+    /// Content that passes validation.
     Good,
-    /// Content that fails them.
+    /// Content that fails validation.
     Bad,
     /// A tombstone.
     Gone,
 }
 
-/// One version of the object.
+/// `Write` is one version of the object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Write {
     pub(super) version: u64,
     pub(super) body: Body,
 }
 
-/// What one process's store holds.
+/// `Replica` is the content of one process's store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Replica {
     pub(super) writes: Vec<Write>,
     pub(super) complete: u64,
-    /// The highest version that was in force in this life.
+    /// Highest version that was in force since the process started.
     pub(super) highest_in_force: Option<Write>,
 }
 
-/// What a process told another.
+/// `Message` is a message from one process to another.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Message {
-    /// The versions that it holds.
+    /// Versions that the sender holds.
     Versions(Vec<Write>),
-    /// That it knows everything up to a revision and holds nothing.
+    /// Revision up to which the sender is complete without holding the object.
     Absent(u64),
 }
 
 pub(super) fn key() -> ObjectKey {
     ObjectKey {
         kind: Kind::Mark,
-        // A constant of the model; the tests would show a bad one.
+        // A constant of the model; the tests would fail if it were invalid.
         name: ObjectName::new("t").expect("the model's name is well formed"),
     }
 }
@@ -90,7 +90,7 @@
 }
 
 impl Replica {
-    /// The real store that holds this.
+    /// Builds the real store with these contents.
     pub(super) fn store(&self) -> Store {
         let mut store = Store::new();
         for write in &self.writes {
@@ -100,7 +100,7 @@
         store
     }
 
-    /// Takes over what the store holds now, and tells whether it went back.
+    /// Records the contents of the store and returns whether its version in force reverted.
     pub(super) fn record_store(&mut self, store: &Store) -> bool {
         let objects = store.objects(&key());
         self.writes = objects.map(|o| Write::of(&o)).collect();
@@ -116,11 +116,11 @@
             self.highest_in_force = now;
             return false;
         }
-        // A tombstone may be forgotten: what is not held is as much deleted.
+        // A tombstone may be dropped: an object that is not held is deleted just as well.
         now.is_some() || high.body != Body::Gone
     }
 
-    /// The body in force, if any.
+    /// Returns the version in force, if any.
     pub(super) fn in_force(&self) -> Option<Write> {
         let version = self.store().in_force(&key())?;
         let mut writes = self.writes.iter().copied();
--- a/crates/peppercrank-spec/src/drain.rs
+++ b/crates/peppercrank-spec/src/drain.rs
@@ -1,13 +1,13 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A draining target admits nothing after its agent knows, and cuts nothing.
+//! Checks that a draining target admits no requests once its agent knows of the mark, and
+//! interrupts none.
 //!
-//! Requests reach one agent, each maybe twice, while a mark is published, heard and acted on; the
-//! agent may crash and start anew. The agent decides with the real
-//! [`peppercrank_admit::Admission`]. As that cannot be copied, a state is the row of inputs since the
-//! agent started, driven anew for each step, and two states count as one when their admissions hold
-//! the same.
+//! Requests reach one agent, possibly twice each, while a mark is published, received and acted on;
+//! the agent may crash and restart. It decides with the real [`peppercrank_admit::Admission`].
+//! Since that cannot be cloned, a state records the inputs since the agent started, which are
+//! replayed for each step. Two states are equal if their admissions hold the same.
 
 mod agent;
 
@@ -23,50 +23,50 @@
 use crate::drain::agent::Agent;
 use crate::search::Model;
 
-/// The property that nothing is admitted after the agent has heard the mark.
+/// Property: no request is admitted after the agent has received the mark.
 pub const ADMITTED_WHILE_DRAINING: &str = "a request was admitted after the agent knew of the mark";
 
-/// The property that nothing in progress is cut.
-pub const INTERRUPTED: &str = "a request in progress was cut";
+/// Property: no request in progress is interrupted.
+pub const INTERRUPTED: &str = "a request in progress was interrupted";
 
-/// The property that a target is reported drained only when nothing runs.
-pub const EARLY_DRAIN: &str = "a target was reported drained while a request ran";
+/// Property: a target is reported as drained only when no request runs.
+pub const EARLY_DRAIN: &str = "a target was reported as drained while a request ran";
 
-/// The property that what will not run any more is refused at once.
-pub const LEFT_WAITING: &str = "a request waited on though it could not run any more";
+/// Property: a request that cannot run any more is refused at once.
+pub const LEFT_WAITING: &str = "a request kept waiting although it could not run any more";
 
-/// What one step of time lasts, in milliseconds; longer than a request may wait.
+/// Duration of one time step, in milliseconds; longer than a request may wait.
 const STRIDE_MS: u64 = 2_000;
 
-/// `Flaw` is a rule taken away.
+/// `Flaw` is a planted fault, which disables one rule of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
-    /// Nothing: the protocol as built.
+    /// None: the protocol as implemented.
     None,
-    /// The agent hears the mark but does not act on it.
+    /// The agent receives the mark but does not act on it.
     Unheeded,
-    /// The agent treats a shutdown as a removal without grace.
+    /// The agent treats a shutdown as a removal without a grace period.
     Removes,
-    /// A fresh agent serves before it has read the configuration.
+    /// A restarted agent admits requests before it has read the configuration.
     ServesUnread,
-    /// The agent loses count of what runs when it hears the mark.
+    /// The agent loses count of the running requests when it receives the mark.
     Miscounts,
 }
 
 /// `Drain` is the model with its bounds.
 #[derive(Debug, Clone, Copy)]
 pub struct Drain {
-    /// The rule taken away.
+    /// Planted fault.
     pub flaw: Flaw,
-    /// Requests.
+    /// Number of requests.
     pub requests: u8,
-    /// Requests that arrive a second time.
+    /// Maximum number of requests that arrive a second time.
     pub repeats: u8,
-    /// Strides of time.
+    /// Maximum number of time steps.
     pub strides: u8,
-    /// Restarts of the agent.
+    /// Maximum number of agent restarts.
     pub restarts: u8,
-    /// Marks that are taken away again.
+    /// Maximum number of marks that are removed again.
     pub unmarks: u8,
     /// Whether the agent may be told to stop.
     pub stops: bool,
@@ -77,65 +77,65 @@
 pub enum Step {
     /// A request arrives.
     Arrive(u8),
-    /// It arrives a second time.
+    /// A request arrives a second time.
     Repeat(u8),
-    /// A request that runs ends.
+    /// A running request ends.
     End(u8),
-    /// Its caller goes away.
+    /// The caller of a request disconnects.
     Leave(u8),
     /// An operator marks the target.
     Publish,
-    /// The agent hears of the mark.
+    /// The agent receives the mark.
     Hear,
-    /// The mark is taken away, and the agent hears of it.
+    /// The mark is removed, and the agent is told.
     Unmark,
     /// The agent itself is told to stop.
     Stop,
-    /// The pointers are handed over.
+    /// The agent has handed over the target's pointers.
     HandOver,
     /// Time passes.
     Stride,
-    /// The agent crashes and starts anew, with no memory.
+    /// The agent crashes and restarts with no state.
     Restart,
-    /// A fresh agent has read the configuration.
+    /// A restarted agent reads the configuration.
     Read,
 }
 
 /// `State` is one state of the model.
 #[derive(Debug, Clone)]
 pub struct State {
-    /// What the admission was told since the agent started.
+    /// Inputs of the admission since the agent started.
     inputs: Vec<(Moment, Step)>,
     vars: Variables,
 }
 
-/// What the agent knows in its present life.
+/// What the agent knows since its last start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Phase {
-    /// Nothing: it has not read its configuration.
+    /// Nothing; it has not read its configuration.
     Unconfigured,
     /// Its configuration, without a mark.
     Serving,
     /// The mark.
     Marked,
-    /// The mark, and the pointers are handed over.
+    /// The mark, after the pointers were handed over.
     HandedOver,
 }
 
 impl Phase {
-    /// Whether it knows of the mark.
+    /// Returns whether the agent knows of the mark.
     fn knows_mark(self) -> bool {
         matches!(self, Self::Marked | Self::HandedOver)
     }
 }
 
-/// All that tells states apart.
+/// Variables by which states are compared.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Variables {
     now: Moment,
-    /// What the admission holds.
+    /// Digest of the admission's state.
     admission_digest: u64,
-    /// Requests that run.
+    /// Running requests.
     running: BTreeMap<u8, Ticket>,
     arrived: u8,
     repeated: u8,
@@ -145,7 +145,7 @@
     stopped: bool,
     published: bool,
     phase: Phase,
-    /// Whether any life of the agent knew of the mark.
+    /// Whether the agent has known of the mark, now or before a restart.
     mark_known: bool,
     violated: Vec<&'static str>,
 }
@@ -181,7 +181,7 @@
         s
     }
 
-    /// Tells the agent of a step, with all that it was told before.
+    /// Replays the previous inputs on a new agent and drives it with this step.
     fn drive_agent(self, s: &mut State, step: Step) {
         s.record_step(step);
         let mut agent = Agent::new();
@@ -201,7 +201,7 @@
 }
 
 impl State {
-    /// Notes in the model what a step means.
+    /// Updates the variables for a step.
     fn record_step(&mut self, step: Step) {
         let vars = &mut self.vars;
         match step {
@@ -217,7 +217,7 @@
             Step::Unmark => {
                 vars.unmarked += 1;
                 vars.published = false;
-                // What an earlier life knew is over too.
+                // The mark is no longer binding, even if it was known before a restart.
                 vars.mark_known = false;
                 vars.phase = Phase::Serving;
             }
@@ -261,7 +261,7 @@
         vars.running.clear();
         vars.admission_digest = Agent::new().digest();
         vars.phase = Phase::Unconfigured;
-        // A stop ends with the life that was told of it; a mark does not.
+        // A stop ends with the agent's restart; a mark does not.
         vars.mark_known &= !vars.stopped || vars.published;
         vars.stopped = false;
     }
@@ -294,7 +294,7 @@
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
         let vars = &state.vars;
         let mut steps = Vec::new();
-        // An agent that has not read its configuration refuses all as not ready.
+        // An agent that has not read its configuration refuses all requests as not ready.
         if vars.phase != Phase::Unconfigured || self.flaw == Flaw::ServesUnread {
             if vars.arrived < self.requests {
                 steps.push(Step::Arrive(vars.arrived));
--- a/crates/peppercrank-spec/src/drain/agent.rs
+++ b/crates/peppercrank-spec/src/drain/agent.rs
@@ -27,7 +27,7 @@
 use crate::drain::STRIDE_MS;
 use crate::drain::Step;
 
-/// An admission and how many arrivals it was told of.
+/// An admission, the tickets of its requests and the number of arrivals.
 pub(super) struct Agent {
     pub(super) admission: Admission,
     pub(super) tickets: BTreeMap<u8, Ticket>,
@@ -35,7 +35,8 @@
 }
 
 impl Agent {
-    /// The agent's tower of constants is in range; the tests would show it if not.
+    /// Returns an agent without requests. Its settings are constants of the model; the tests would
+    /// fail if they were out of range.
     pub(super) fn new() -> Self {
         let policy = Policy {
             cap: 2.0,
@@ -137,7 +138,8 @@
         }
     }
 
-    /// A digest of all that the admission holds, whatever the order of its hash maps.
+    /// Returns a digest of the admission's state that does not depend on the order of its hash
+    /// maps.
     pub(super) fn digest(&self) -> u64 {
         let text = format!("{:?}", self.admission);
         let mut words: Vec<&str> = text.split([' ', ',', '{', '}', '(', ')']).collect();
--- a/crates/peppercrank-spec/src/eras.rs
+++ b/crates/peppercrank-spec/src/eras.rs
@@ -1,12 +1,13 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A store that comes back from an older copy, as a router learns of one target from it.
+//! Checks what a router learns about a target when the store is restored from an older copy.
 //!
-//! The target registers, leaves, says so in an answer, and ends; a copy of the store is taken at any moment, and the store comes back from it in a new
-//! era: its revisions go back and are given out again. A target that lives writes its entry again within a stride, that of a dead one lapses within
-//! two. The router reads now and then, and decides with the real [`peppercrank_direct::era::Eras`] and
-//! [`peppercrank_direct::directory::Directory`].
+//! The target registers, is marked as leaving, announces that in an answer, and ends. A copy of the
+//! store is taken at any time, and the store may be restored from it in a new era: its revisions go
+//! back and are assigned again. A live target rewrites its entry within a time step; a dead
+//! target's entry expires within two. The router reads from time to time and decides with the real
+//! [`peppercrank_direct::era::Eras`] and [`peppercrank_direct::directory::Directory`].
 
 use std::hash::Hash;
 use std::hash::Hasher;
@@ -24,50 +25,53 @@
 
 use crate::search::Model;
 
-/// The property that a router in touch comes to know what the store shows.
-pub const STALE: &str = "a change stayed hidden behind a revision that was given out again";
+/// Property: a router in contact with the store learns its present content.
+pub const STALE: &str = "a change was missed because its revision was assigned twice";
 
-/// The property that a target which is known to be gone gets no work by the word of a copy.
-pub const REVIVED: &str = "a target that was told to be gone gets work again, and is dead";
+/// Property: a target known to be gone gets no requests because of a restored copy.
+pub const REVIVED: &str = "a dead target known to be gone gets requests again";
 
-/// The property that a target which is known to leave gets no work by the word of a copy.
-pub const LEAVING_FORGOTTEN: &str = "a target that was told to leave gets work again";
+/// Property: a target known to be leaving gets no requests because of a restored copy.
+pub const LEAVING_FORGOTTEN: &str = "a target known to be leaving gets requests again";
 
-/// The property that a target which said that it leaves gets no work, in touch or not.
-pub const NOTICE_IGNORED: &str = "a target that said in an answer that it leaves gets work again";
+/// Property: a target that announced in an answer that it is leaving gets no requests, whether or
+/// not the router is in contact with the store.
+pub const NOTICE_IGNORED: &str =
+    "a target that announced in an answer that it is leaving gets requests again";
 
-/// What one step of time lasts: the time in which all write again what the copy lacks.
+/// Duration of one time step, within which all live processes rewrite what a restored copy lacks.
 const STRIDE: Duration = Duration::from_secs(2);
 
-/// Strides after which a dead target's entry has lapsed.
+/// Number of time steps after which a dead target's entry has expired.
 const EXPIRY_STRIDES: u8 = 2;
 
-/// Strides in touch after which a router knows what the store shows: those for which entries are held, and one more.
+/// Number of time steps in contact after which a router knows the store's content: those for which
+/// entries are held after a restore, and one more.
 const SETTLED_STRIDES: u8 = 4;
 
-/// `Flaw` is a rule taken away.
+/// `Flaw` is a planted fault, which disables one rule of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
-    /// Nothing: the protocol as built.
+    /// None: the protocol as implemented.
     None,
-    /// A revision counts in any era.
+    /// A revision is treated as valid in any era.
     KeepsRevision,
-    /// What a copy shows stands at once.
+    /// The content of a restored copy is trusted at once.
     TrustsCopy,
-    /// What a target says in its answers counts for nothing.
+    /// Notices in a target's answers are ignored.
     DropsNotices,
 }
 
 /// `Restores` is the model with its bounds.
 #[derive(Debug, Clone, Copy)]
 pub struct Restores {
-    /// The rule taken away.
+    /// Planted fault.
     pub flaw: Flaw,
-    /// Times that the store comes back from a copy.
+    /// Maximum number of restores of the store from a copy.
     pub restores: u8,
-    /// Changes of the target: registrations, marks and ends.
+    /// Maximum number of changes of the target: its registration, leaving mark and end.
     pub changes: u8,
-    /// Strides of time.
+    /// Maximum number of time steps.
     pub strides: u8,
 }
 
@@ -78,30 +82,30 @@
     Register,
     /// The target is marked as leaving.
     Leave,
-    /// The target answers the router and says that it leaves.
+    /// The target announces in an answer to the router that it is leaving.
     Answer,
     /// The target ends, and its entry is removed.
     End,
     /// A copy of the store is taken.
     Copy,
-    /// The store comes back from the copy.
+    /// The store is restored from the copy.
     Restore,
-    /// The router reads.
+    /// The router reads the store.
     Read,
-    /// Time passes while the router is not in touch.
+    /// Time passes while the router is not in contact with the store.
     Stride,
-    /// The router reads, and time passes.
+    /// The router reads the store, and time passes.
     Calm,
 }
 
-/// `Entry` is the target's entry: whether it leaves.
+/// The target's entry, if there is one: whether it is marked as leaving.
 type Entry = Option<bool>;
 
-/// What the store holds.
+/// Content of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 struct StoreContent {
     entry: Entry,
-    /// The entry after each change; a change's place is its revision.
+    /// Entry after each change; the position of a change is its revision.
     history: Vec<Entry>,
 }
 
@@ -122,18 +126,18 @@
     vars: Variables,
 }
 
-/// What the router heard of the target.
+/// What the router has learned about the target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 struct RouterKnowledge {
-    /// By the store, that it leaves.
+    /// From the store: that it is leaving.
     leaving: bool,
-    /// By the store, that it is gone.
+    /// From the store: that it is gone.
     gone: bool,
-    /// By the target, that it leaves.
+    /// From the target: that it is leaving.
     noticed: bool,
 }
 
-/// All that tells states apart.
+/// Variables by which states are compared.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Variables {
     strides: u8,
@@ -141,18 +145,19 @@
     era: u64,
     stored: StoreContent,
     copy: Option<StoreContent>,
-    /// Whether the target lives, and whether it leaves.
+    /// The live target and whether it is leaving; `None` if it is not running.
     target: Entry,
-    /// Strides for which a dead target's entry has stood.
+    /// Number of time steps for which a dead target's entry has remained.
     expiring_strides: u8,
-    /// Strides in touch in a row.
+    /// Number of consecutive time steps in contact.
     strides_in_touch: u8,
-    /// Whether the router is in touch: it was in each stride, or in the last ones for as long as entries are held.
+    /// Whether the router counts as in contact: it was in every time step, or in the last ones for
+    /// as long as entries are held.
     in_touch: bool,
-    /// The era and the revision that the router goes on from.
+    /// Era and revision from which the router reads on.
     position: Option<(u64, usize)>,
     learned: RouterKnowledge,
-    /// What the router knows, as text.
+    /// The router's directory and eras, formatted with [`std::fmt::Debug`].
     known: String,
 }
 
@@ -182,7 +187,7 @@
         if told == Told::Newer && flaw != Flaw::TrustsCopy {
             self.directory.store_restored(now);
         }
-        let held = self.directory.find("one").is_some();
+        let was_known = self.directory.find("one").is_some();
         let revision = self.vars.stored.history.len();
         let position = self.vars.position;
         let position = position.filter(|(of, _)| *of == era || flaw == Flaw::KeepsRevision);
@@ -196,11 +201,12 @@
             let _noted = self.directory.replace(now, listed);
         }
         self.vars.position = Some((era, revision));
-        self.vars.learned.gone |= held && self.directory.find("one").is_none();
+        self.vars.learned.gone |= was_known && self.directory.find("one").is_none();
         self.vars.learned.leaving |= self.directory.finishing(now, "pool").next().is_some();
     }
 
-    /// Lets time pass: what is owed by then is written.
+    /// Advances time by one step, within which a live target rewrites its entry and a dead target's
+    /// entry may expire.
     fn advance_time(&mut self) {
         self.vars.strides += 1;
         match (self.vars.target, self.vars.stored.entry) {
@@ -220,7 +226,7 @@
         let _noted = self.directory.expire(now);
     }
 
-    /// Takes in an answer of the target, which the router has sent work.
+    /// Lets the router receive an answer of the target, to which it has sent a request.
     fn receive_answer(&mut self, flaw: Flaw) {
         self.vars.learned.noticed = true;
         let now = self.now();
@@ -256,7 +262,7 @@
 }
 
 impl Restores {
-    /// The steps that can be taken.
+    /// Returns the enabled steps.
     fn enabled_steps(self, state: &State) -> Vec<Step> {
         let vars = &state.vars;
         let mut steps = vec![Step::Read];
@@ -322,7 +328,7 @@
 }
 
 impl Variables {
-    /// The target changes, and writes so.
+    /// Changes the target and writes its entry.
     fn change_target(&mut self, live: Entry) {
         self.changes += 1;
         self.target = live;
@@ -363,17 +369,17 @@
     fn violations(&self, state: &State) -> Vec<&'static str> {
         let vars = &state.vars;
         let shown = vars.stored.entry.is_some();
-        let hidden = vars.strides_in_touch >= SETTLED_STRIDES
+        let missed_change = vars.strides_in_touch >= SETTLED_STRIDES
             && state.directory.find("one").is_some() != shown;
         let works = vars.in_touch && state.gets_work();
         let revived = works && vars.learned.gone && vars.target.is_none();
-        let unmarked = works && vars.learned.leaving;
-        let unheeded = vars.learned.noticed && state.gets_work();
+        let forgotten = works && vars.learned.leaving;
+        let ignored = vars.learned.noticed && state.gets_work();
         let rows = [
-            (hidden, STALE),
+            (missed_change, STALE),
             (revived, REVIVED),
-            (unmarked, LEAVING_FORGOTTEN),
-            (unheeded, NOTICE_IGNORED),
+            (forgotten, LEAVING_FORGOTTEN),
+            (ignored, NOTICE_IGNORED),
         ];
         let violated = rows.into_iter().filter(|(holds, _)| *holds);
         violated.map(|(_, property)| property).collect()
--- a/crates/peppercrank-spec/src/evacuations.rs
+++ b/crates/peppercrank-spec/src/evacuations.rs
@@ -1,11 +1,13 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! An availability zone that is evacuated and restored, as a router learns of it.
+//! Checks what a router learns about the evacuation and restoration of an availability zone.
 //!
-//! An operator evacuates the zone and restores it; the store may come back from a copy that lacks either, and the operator writes
-//! its own word again within a stride. The router lists, follows the history, loses touch for any time and starts again with
-//! nothing. It decides with the real [`peppercrank_direct::era::Eras`] and [`peppercrank_direct::evacuations::Evacuations`].
+//! An operator evacuates the zone and restores it; the store may be restored from a copy that lacks
+//! either change, and the operator rewrites its setting within a time step. The router lists
+//! entries, follows the change history, loses contact for any time and may restart with no state.
+//! It decides with the real [`peppercrank_direct::era::Eras`] and
+//! [`peppercrank_direct::evacuations::Evacuations`].
 
 use std::hash::Hash;
 use std::hash::Hasher;
@@ -21,53 +23,57 @@
 
 use crate::search::Model;
 
-/// The property that an evacuation reaches a router in touch.
-pub const NOT_APPLIED: &str = "a router in touch places work in a zone that is evacuated";
+/// Property: an evacuation takes effect at a router in contact with the store.
+pub const NOT_APPLIED: &str =
+    "a router in contact with the store places requests in an evacuated zone";
 
-/// The property that an evacuation which a router was told of binds it until the operator ends it.
-pub const NOT_BINDING: &str = "a router that was told of an evacuation places work in the zone";
+/// Property: an evacuation known to a router binds it until the operator ends it.
+pub const NOT_BINDING: &str = "a router that knows of an evacuation places requests in the zone";
 
-/// The property that a router which knows nothing places no work.
+/// Property: a router that does not know the evacuated zones places no requests.
 pub const ZONES_UNKNOWN: &str =
-    "a router places work in an evacuated zone before it has read which zones are";
+    "a router places requests in an evacuated zone before it has read the evacuations";
 
-/// The property that a zone which is restored gets work again.
-pub const NOT_RESTORED: &str = "a router in touch keeps work from a zone that was restored";
+/// Property: a restored zone gets requests again.
+pub const NOT_RESTORED: &str =
+    "a router in contact with the store places no requests in a restored zone";
 
-/// What one step of time lasts: the time in which an operator writes again what a copy lacks.
+/// Duration of one time step, within which an operator rewrites what a restored copy lacks.
 const STRIDE: Duration = Duration::from_secs(2);
 
-/// Strides in touch after which a router knows what the operator wants: those for which a copy is distrusted, and one more.
+/// Number of time steps in contact after which a router knows the operator's setting: those for
+/// which a restored copy is distrusted, and one more.
 const SETTLED_STRIDES: u8 = 4;
 
-/// The zone of the model.
+/// Name of the zone.
 const ZONE: &str = "a";
 
-/// `Flaw` is a rule taken away.
+/// `Flaw` is a planted fault, which disables one rule of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
-    /// Nothing: the protocol as built.
+    /// None: the protocol as implemented.
     None,
-    /// A copy that lacks an evacuation ends it.
+    /// A restored copy that lacks an evacuation ends it.
     TrustsCopy,
-    /// What is not known yet is taken for none.
+    /// Unknown evacuations are treated as none.
     TrustsSilence,
-    /// What a copy lacks ends by time alone.
+    /// An evacuation missing from a restored copy ends after a time, without the store having been
+    /// read again.
     EndsByTime,
 }
 
-/// `Zones` is the model with its bounds.
+/// `ZoneEvacuation` is the model with its bounds.
 #[derive(Debug, Clone, Copy)]
 pub struct ZoneEvacuation {
-    /// The rule taken away.
+    /// Planted fault.
     pub flaw: Flaw,
-    /// Times that the store comes back from a copy.
+    /// Maximum number of restores of the store from a copy.
     pub restores: u8,
-    /// Times that the operator evacuates or restores the zone.
+    /// Maximum number of evacuations and restorations of the zone.
     pub changes: u8,
-    /// Times that the router starts again.
+    /// Maximum number of router restarts.
     pub restarts: u8,
-    /// Strides of time.
+    /// Maximum number of time steps.
     pub strides: u8,
 }
 
@@ -78,19 +84,19 @@
     Turn,
     /// A copy of the store is taken.
     Copy,
-    /// The store comes back from the copy.
+    /// The store is restored from the copy.
     Restore,
-    /// The router starts again.
+    /// The router restarts with no state.
     Start,
-    /// The router reads.
+    /// The router reads the store.
     Read,
-    /// Time passes while the router is not in touch.
+    /// Time passes while the router is not in contact with the store.
     Stride,
-    /// The router reads, and time passes.
+    /// The router reads the store, and time passes.
     Calm,
 }
 
-/// What the store holds: whether the zone is evacuated, after each change.
+/// Content of the store: whether the zone is evacuated, after each change.
 type Stored = Vec<bool>;
 
 /// `State` is one state of the model.
@@ -101,7 +107,7 @@
     vars: Variables,
 }
 
-/// All that tells states apart.
+/// Variables by which states are compared.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Variables {
     strides: u8,
@@ -112,13 +118,13 @@
     copy: Option<Stored>,
     /// Whether the operator wants the zone evacuated.
     wanted: bool,
-    /// Whether the router was told of the evacuation that is wanted.
+    /// Whether the router has read the evacuation that the operator wants.
     learned: bool,
-    /// Strides in touch in a row.
+    /// Number of consecutive time steps in contact.
     strides_in_touch: u8,
-    /// The era and the revision that the router goes on from.
+    /// Era and revision from which the router reads on.
     position: Option<(u64, usize)>,
-    /// What the router knows, as text.
+    /// The router's evacuations and eras, formatted with [`std::fmt::Debug`].
     known: String,
 }
 
@@ -175,7 +181,7 @@
         self.vars.learned |= self.vars.wanted && is_evacuated(&self.vars.stored);
     }
 
-    /// Lets time pass: what the operator wants is written by then.
+    /// Advances time by one step, within which the operator's setting is written again.
     fn advance_time(&mut self, flaw: Flaw) {
         self.vars.strides += 1;
         self.vars.write();
@@ -185,7 +191,7 @@
         }
     }
 
-    /// Whether work is placed in the zone.
+    /// Returns whether the router may place requests in the zone.
     fn may_place_work(&self, flaw: Flaw) -> bool {
         let knows = self.known.is_listed() || flaw == Flaw::TrustsSilence;
         knows && !self.known.contains(ZONE)
@@ -201,7 +207,7 @@
 }
 
 impl ZoneEvacuation {
-    /// The steps that can be taken.
+    /// Returns the enabled steps.
     fn enabled_steps(self, vars: &Variables) -> Vec<Step> {
         let mut steps = vec![Step::Read];
         if vars.changes < self.changes {
@@ -293,16 +299,16 @@
     fn violations(&self, state: &State) -> Vec<&'static str> {
         let vars = &state.vars;
         let places = state.may_place_work(self.flaw);
-        let unbound = vars.learned && places;
-        let calm = vars.strides_in_touch >= SETTLED_STRIDES;
-        let unheard = calm && vars.wanted && places;
-        let stuck = calm && !vars.wanted && !places;
-        let blind = vars.wanted && !state.known.is_listed() && places;
+        let not_binding = vars.learned && places;
+        let settled = vars.strides_in_touch >= SETTLED_STRIDES;
+        let not_applied = settled && vars.wanted && places;
+        let not_restored = settled && !vars.wanted && !places;
+        let zones_unknown = vars.wanted && !state.known.is_listed() && places;
         let rows = [
-            (unheard, NOT_APPLIED),
-            (unbound, NOT_BINDING),
-            (blind, ZONES_UNKNOWN),
-            (stuck, NOT_RESTORED),
+            (not_applied, NOT_APPLIED),
+            (not_binding, NOT_BINDING),
+            (zones_unknown, ZONES_UNKNOWN),
+            (not_restored, NOT_RESTORED),
         ];
         let violated = rows.into_iter().filter(|(holds, _)| *holds);
         violated.map(|(_, property)| property).collect()
--- a/crates/peppercrank-spec/src/lib.rs
+++ b/crates/peppercrank-spec/src/lib.rs
@@ -1,12 +1,13 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Specifications of the core protocol, each reachable state visited.
+//! Specifications of the core protocol, checked by visiting every reachable state.
 //!
-//! Each module states one property as a [`search::Model`]: a few processes that are the very state
-//! machines the daemons run, a store, a network, and steps that deliver, lose, delay, crash or let
-//! time pass, each fault within a stated bound. A `Flaw` takes one rule away, so that a test can
-//! show that the check finds the fault which the rule is there against.
+//! Each module is a [`search::Model`] of one part of the protocol: a few processes that run the
+//! same state machines as the daemons, a store, a network, and steps that deliver, lose or delay
+//! messages, crash processes or let time pass, with each kind of fault bounded. A `Flaw` disables
+//! one rule of the protocol, so that a test can show that the check finds the failure which the
+//! rule prevents.
 
 pub mod cold;
 pub mod configuration;
--- a/crates/peppercrank-spec/src/once.rs
+++ b/crates/peppercrank-spec/src/once.rs
@@ -1,12 +1,14 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A not-repeatable request with an idempotency key runs at most once, and "not run" is true.
+//! Checks that a non-repeatable request with an idempotency key runs at most once, and that "not
+//! run" is reported truthfully.
 //!
-//! One key, two routers that run the real [`Claims`] machine on one shard, a caller that sends the
-//! same request again whenever it likes, one agent. Calls of the store are answered late, in any
-//! order or not at all, and may take effect though their answer is lost. One assumption is built
-//! in: a forwarded request is taken up within the retention less the life of a grant, or never.
+//! The model has one key, two routers that run the real [`Claims`] state machine on one shard, a
+//! caller that submits the same request any number of times, and one agent. Calls of the store are
+//! answered late, in any order or not at all, and may take effect even if the answer is lost. One
+//! assumption is built in: a forwarded request is accepted by the agent within the retention time
+//! less the lifetime of a grant, or never.
 
 mod bounds;
 mod state;
@@ -39,54 +41,54 @@
 pub use crate::once::bounds::Once;
 pub use crate::once::state::State;
 
-/// The property that the request runs at most once.
+/// Property: the request runs at most once.
 pub const RAN_TWICE: &str = "a request that must not run twice ran twice";
 
-/// The property that a sending of which "not run" is said never ran and never runs.
-pub const FALSE_NOT_RUN: &str = "\"not run\" was said of a sending that ran";
+/// Property: a submission reported as "not run" never ran and never runs.
+pub const FALSE_NOT_RUN: &str = "\"not run\" was reported of a submission that ran";
 
-/// The property that "not run", said under a claim, is true of the key in all its sendings.
+/// Property: "not run", reported under a claim, is true of all submissions with the key.
 ///
-/// Without a claim, in an outage or after a pause that outlasted the grant, a router answers for
-/// the one sending only: it cannot know of the others.
+/// Without a claim, in an outage or after a pause longer than the grant, a router reports on the
+/// one submission only, since it cannot know of the others.
 pub const FALSE_NOT_RUN_OF_KEY: &str =
-    "\"not run\" was said under a claim of a key that ran or might run";
+    "\"not run\" was reported under a claim of a key that ran or might run";
 
-/// The one key.
+/// Idempotency key of all submissions.
 const KEY: ClaimKey = ClaimKey(7);
 
-/// What a long step of time lasts: an epoch, longer than a grant or a wait for a claim.
+/// Duration of a long time step: an epoch, which is longer than a grant or a wait for a claim.
 const STRIDE: Duration = Duration::from_secs(4);
 
-/// What a short step of time lasts: longer than a wait for a claim, shorter than a grant.
+/// Duration of a short time step: longer than a wait for a claim, shorter than a grant.
 const NAP: Duration = Duration::from_millis(1_500);
 
 /// `Step` is one step of the model.
 #[derive(Debug, Clone)]
 pub enum Step {
-    /// The caller sends the request to a router.
+    /// The caller submits the request to a router.
     Send(usize),
-    /// The store takes a call and its answer arrives.
+    /// The store handles a call and its answer arrives.
     Serve(usize),
-    /// The router takes a call for failed; it may take effect yet.
+    /// The router treats a call as failed; it may still take effect.
     Lose(usize),
-    /// A router's timer runs.
+    /// A router's timer fires.
     Tick(usize),
-    /// A router that has a grant forwards.
+    /// A router that has a grant forwards the request.
     Forward(usize, RequestId),
-    /// The agent takes a request and it runs; the answer arrives or not.
+    /// The agent accepts a request and runs it; its answer may be lost.
     Run(RequestId),
     /// The agent refuses a request as not run.
     Refuse(RequestId),
-    /// The connection is cut; the request may reach the agent yet.
+    /// The connection is lost; the request may still reach the agent.
     Cut(RequestId),
-    /// A router crashes and starts anew.
+    /// A router crashes and restarts with no state.
     Crash(usize),
-    /// A long time passes, or every process is paused.
+    /// A long time passes, or all processes are paused.
     Stride,
     /// A short time passes.
     Nap,
-    /// Another router that has watched the epoch for a period begins the next.
+    /// Another router that has observed the epoch for a whole period starts the next one.
     Roll,
 }
 
@@ -107,7 +109,7 @@
     }
 
     fn router() -> Router {
-        // The policy above passes its own check; the tests would show it if not.
+        // The policy is a constant of the model; the tests would fail if it were invalid.
         let claims = Claims::new(Self::policy(), 1).expect("the model's policy is in range");
         Router {
             claims,
@@ -184,8 +186,8 @@
                 None => Answer::Absent,
             };
         };
-        let stands = base == current.as_ref().map(|c| c.0);
-        if !stands && self.flaw != Flaw::Unconditional {
+        let is_current = base == current.as_ref().map(|c| c.0);
+        if !is_current && self.flaw != Flaw::Unconditional {
             return Answer::Conflict { current };
         }
         s.put(shard, body);
@@ -254,7 +256,7 @@
     fn crash_router(s: &mut State, at: usize) {
         s.crashes += 1;
         s.routers[at] = Self::router();
-        // Its reads die with it; its writes may take effect yet.
+        // Reads of the crashed router are lost; its writes may still take effect.
         s.calls.retain(|c| c.from != Some(at) || c.write.is_some());
         for call in &mut s.calls {
             call.from.take_if(|r| *r == at);
@@ -263,18 +265,18 @@
 
     fn advance_time(s: &mut State, time: Duration) {
         s.now = s.now + time;
-        // The assumption on the network and on paused agents: a request that was forwarded is
-        // taken up before the claim on it can be dropped, or never.
+        // Assumption on the network and on paused agents: a forwarded request is accepted before
+        // its claim can be dropped, or never.
         let policy = Self::policy();
-        let lasts = policy.retention().saturating_sub(policy.life);
+        let max_transit = policy.retention().saturating_sub(policy.life);
         let now = s.now;
-        s.in_flight.retain(|w| now.since(w.1) < lasts);
+        s.in_flight.retain(|w| now.since(w.1) < max_transit);
     }
 
     fn may_advance_epoch(self, s: &State) -> bool {
         let period = Self::policy().period;
         let watched = s.epoch_since.is_none_or(|at| s.now.since(at) >= period);
-        // An epoch that no claim is made or kept in makes no difference.
+        // Advancing the epoch makes no difference while no claim is held.
         let useful = s.object(0).as_ref().is_some_and(|o| !o.1.is_empty());
         useful && (watched || self.flaw == Flaw::EarlyEpoch)
     }
--- a/crates/peppercrank-spec/src/once/bounds.rs
+++ b/crates/peppercrank-spec/src/once/bounds.rs
@@ -1,46 +1,46 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The bounds of the model, and the rules that can be taken away.
+//! Bounds of the model, and rules that can be disabled.
 
-/// `Flaw` is a rule taken away.
+/// `Flaw` is a planted fault, which disables one rule of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
-    /// Nothing: the protocol as built.
+    /// None: the protocol as implemented.
     None,
     /// Requests are forwarded without a claim.
     NoClaim,
-    /// The store takes writes that rest on an old version.
+    /// The store accepts writes based on an outdated version.
     Unconditional,
-    /// A grant is used whatever its age.
+    /// A grant is used regardless of its age.
     OldGrant,
-    /// The shard's epoch rises without being watched for a period.
+    /// The epoch advances without having been observed for a whole period.
     EarlyEpoch,
-    /// A request whose connection was cut is forwarded again.
+    /// A request is forwarded again after its connection was lost.
     RetriesCut,
-    /// The claim of a request whose connection was cut is released.
+    /// A claim is released after the connection of its request was lost.
     ReleasesCut,
-    /// A cut connection is told as "not run".
+    /// A lost connection is reported as "not run".
     CutNotRun,
-    /// A key that has begun is told as "not run".
+    /// A key whose request has begun is reported as "not run".
     BegunNotRun,
 }
 
 /// `Once` is the model with its bounds.
 #[derive(Debug, Clone, Copy)]
 pub struct Once {
-    /// The rule taken away.
+    /// Planted fault.
     pub flaw: Flaw,
-    /// Times that the caller sends the request.
+    /// Maximum number of submissions of the request.
     pub sends: u8,
-    /// Calls of the store whose answer is lost.
+    /// Maximum number of store calls whose answer is lost.
     pub losses: u8,
-    /// Router crashes.
+    /// Maximum number of router crashes.
     pub crashes: u8,
-    /// Long steps of time.
+    /// Maximum number of long time steps.
     pub strides: u8,
-    /// Short steps of time.
+    /// Maximum number of short time steps.
     pub naps: u8,
-    /// Connections to the agent that are cut, by its restart or by the network.
+    /// Maximum number of lost connections to the agent, by its restart or by the network.
     pub cuts: u8,
 }
--- a/crates/peppercrank-spec/src/once/state.rs
+++ b/crates/peppercrank-spec/src/once/state.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The states of the model.
+//! States of the model.
 
 use std::collections::BTreeSet;
 
@@ -16,46 +16,46 @@
 
 use crate::once::Once;
 
-/// One router.
+/// `Router` is one router.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Router {
     pub(super) claims: Claims,
-    /// Requests that may be forwarded, and until when.
+    /// Requests that may be forwarded, with the expiry of their grants.
     pub(super) grants: Vec<(RequestId, Moment)>,
-    /// Requests forwarded whose answer is awaited, and until when their grant lasts.
+    /// Forwarded requests whose answer is awaited, with the expiry of their grants.
     pub(super) awaiting: Vec<(RequestId, Moment)>,
 }
 
-/// One call of the store under way.
+/// `Call` is a call of the store in flight.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Call {
-    /// The router that waits for the answer; `None` when nobody does any more.
+    /// Router that awaits the answer; `None` if none does any more.
     pub(super) from: Option<usize>,
     pub(super) id: CallId,
-    /// The object that it is for.
+    /// Object that it reads or writes.
     pub(super) shard: u16,
-    /// What it writes on which version; `None` for a read.
+    /// Version that it is based on and content that it writes; `None` for a read.
     pub(super) write: Option<(Base, Shard)>,
 }
 
-/// `Word` is what a caller was told of one sending.
+/// Result reported to the caller of a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) enum Report {
-    /// Not run.
+    /// The request did not run.
     NotRun,
-    /// May have run.
+    /// The request may have run.
     MayHaveRun,
 }
 
-/// One sending of the request by its caller.
+/// One submission of the request by its caller.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Submission {
     pub(super) at: Moment,
-    /// How many runs were over or under way.
+    /// Number of runs that had started before it.
     pub(super) runs_before: usize,
 }
 
-/// An object of the store, if it is there.
+/// An object of the store with its version, if it exists.
 pub(super) type StoredObject = Option<(Version, Shard)>;
 
 /// `State` is one state of the model.
@@ -65,20 +65,20 @@
     pub(super) version: u64,
     pub(super) shard: StoredObject,
     pub(super) epoch: StoredObject,
-    /// Since when the epoch has its number; `None` for long ago.
+    /// Time of the last advance of the epoch; `None` if it has not advanced yet.
     pub(super) epoch_since: Option<Moment>,
     pub(super) routers: [Router; 2],
     pub(super) calls: Vec<Call>,
-    /// Requests on the way to the agent, and since when.
+    /// Requests in flight to the agent, with the time of forwarding.
     pub(super) in_flight: Vec<(RequestId, Moment)>,
-    /// Requests that ran, once for each time.
+    /// Requests that ran, with one element for each run.
     pub(super) runs: Vec<RequestId>,
-    /// Whether a request ran that must not have.
+    /// Whether a request ran that must not have run.
     pub(super) ran_twice: bool,
     pub(super) reports: BTreeSet<(RequestId, Report)>,
-    /// Whether "not run" was said of the key while it had run or might still.
+    /// Whether "not run" was reported of the key although it had run or might still run.
     pub(super) false_report: bool,
-    /// The sendings; their tokens count from 0.
+    /// Submissions; their tokens count from 0.
     pub(super) submissions: Vec<Submission>,
     pub(super) losses: u8,
     pub(super) crashes: u8,
@@ -110,7 +110,7 @@
         self.reports.insert((token, word));
     }
 
-    /// Says "not run", of the key in all its sendings if under a claim.
+    /// Reports "not run"; if under a claim, of all submissions with the key.
     pub(super) fn report_not_run(&mut self, token: RequestId, claimed: bool) {
         let wire = self.in_flight.iter().map(|w| &w.0);
         let mut others = wire.chain(&self.runs);
@@ -119,7 +119,8 @@
         self.report(token, Report::NotRun);
     }
 
-    /// Ends a router's wait for the agent's answer.
+    /// Ends a router's wait for the agent's answer and returns the router and the expiry of its
+    /// grant.
     pub(super) fn stop_awaiting(&mut self, token: RequestId) -> Option<(usize, Moment)> {
         let routers = self.routers.iter_mut().enumerate();
         for (at, router) in routers {
@@ -131,7 +132,7 @@
         None
     }
 
-    /// Whether a router awaits the agent's answer.
+    /// Returns whether a router awaits the agent's answer.
     pub(super) fn is_awaited(&self, token: RequestId) -> bool {
         let mut open = self.routers.iter().flat_map(|r| &r.awaiting);
         open.any(|o| o.0 == token)
@@ -146,15 +147,17 @@
         }
     }
 
-    /// Whether `token` may run though `other` did, as the `nth` run of all.
+    /// Returns whether `token` may run although `other` was the `nth` run.
     ///
-    /// Only a sending later than the promise reaches may, and only if it came after that run.
+    /// Only a submission beyond the time covered by the guarantee may do so, and only if it was
+    /// made after that run.
     pub(super) fn may_run_after(&self, token: RequestId, other: RequestId, nth: usize) -> bool {
         let late = !self.within_guarantee(token, other) && token > other;
         late && self.submission(token).is_some_and(|s| nth < s.runs_before)
     }
 
-    /// Whether the promise covers two sendings: the retention, less the wait for a claim.
+    /// Returns whether the guarantee covers both submissions: they are closer together than the
+    /// retention time less the wait for a claim.
     pub(super) fn within_guarantee(&self, a: RequestId, b: RequestId) -> bool {
         let policy = Once::policy();
         let reach = policy.retention().saturating_sub(policy.wait);
--- a/crates/peppercrank-spec/src/once/steps.rs
+++ b/crates/peppercrank-spec/src/once/steps.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Which steps a router can take.
+//! Enabled steps of a router.
 
 use crate::once::Once;
 use crate::once::Step;
@@ -10,7 +10,7 @@
 impl Once {
     pub(super) fn router_steps(self, s: &State, at: usize, steps: &mut Vec<Step>) {
         let router = &s.routers[at];
-        // The routers are alike: the first sending may as well go to the first.
+        // The routers are interchangeable, so the first submission goes to the first one.
         if s.submission_count() < self.sends && (at == 0 || s.submission_count() > 0) {
             steps.push(Step::Send(at));
         }
--- a/crates/peppercrank-spec/src/orders.rs
+++ b/crates/peppercrank-spec/src/orders.rs
@@ -1,12 +1,13 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! No order is obeyed after a newer holder's, and no two processes may act at once.
+//! Checks that no order is obeyed after an order of a newer lease holder, and that no two processes
+//! may act at the same time.
 //!
-//! Two real [`Contender`]s seek one lease, one real [`Gate`] stands before an engine. Orders travel
-//! late, in any order and twice; a message that its sender has given up on may still arrive. A
-//! stride of time lets a lease lapse: for a holder that checked its lease just before, it is a
-//! pause in mid-order.
+//! Two real [`Contender`]s compete for one lease, and one real [`Gate`] protects an engine. Orders
+//! are delivered late, in any order and possibly twice; a message whose sender has given up on it
+//! may still arrive. A time step lets a lease expire: for a holder that checked its lease just
+//! before, it is a pause in the middle of an order.
 
 mod bounds;
 mod state;
@@ -40,41 +41,41 @@
 pub use crate::orders::bounds::Orders;
 pub use crate::orders::state::State;
 
-/// The property that an engine never obeys an order older than one it obeyed.
-pub const OBEYED_OLDER: &str = "an order was obeyed after a newer holder's";
+/// Property: an engine never obeys an order older than one that it obeyed before.
+pub const OBEYED_OLDER: &str = "an order was obeyed after an order of a newer holder";
 
-/// The property that no two processes may act under the lease at once.
-pub const TWO_HOLDERS: &str = "two processes may act under one lease at once";
+/// Property: no two processes may act under the lease at the same time.
+pub const TWO_HOLDERS: &str = "two processes may act under one lease at the same time";
 
-/// What one step of time lasts: a lease, its margin and more.
+/// Duration of one time step: longer than a lease and its margin together.
 const STRIDE: Duration = Duration::from_secs(6);
 
 /// `Step` is one step of the model.
 #[derive(Debug, Clone)]
 pub enum Step {
-    /// A contender's timer runs.
+    /// A contender's timer fires.
     Tick(usize),
-    /// The store takes a call and its answer arrives.
+    /// The store handles a call and its answer arrives.
     Serve(usize),
-    /// The caller takes a call for failed; it may take effect yet.
+    /// The caller treats a call as failed; it may still take effect.
     Lose(usize),
-    /// A holder gives its lease back.
+    /// A holder releases its lease.
     Leave(usize),
-    /// A holder that checks its lease gives an order.
+    /// A holder checks its lease and issues an order.
     Give(usize),
     /// An order reaches the agent.
     Arrive(usize),
-    /// An order reaches the agent and will again.
+    /// An order reaches the agent and will be delivered again.
     Repeat(usize),
-    /// An order reaches the engine, and its answer the agent.
+    /// An order reaches the engine, and its reply the agent.
     Obey(usize),
-    /// The agent gives up on the engine's answer; the order may be taken up yet.
+    /// The agent gives up on the engine's reply; the engine may still handle the order.
     Cut(usize),
-    /// The agent's timer runs.
+    /// The agent's timer fires.
     Settle,
-    /// The agent crashes and starts anew.
+    /// The agent crashes and restarts with no state.
     Restart,
-    /// Time passes, or every process is paused.
+    /// Time passes, or all processes are paused.
     Stride,
 }
 
@@ -87,11 +88,13 @@
             retry: Duration::from_nanos(1),
             call: Duration::from_secs(1_000),
         };
-        // The policy and the names are constants of the model; the tests would show a bad one.
+        // The policy and the names are constants of the model; the tests would fail if they were
+        // invalid.
         let vm = VmName::new(name).expect("the model's name is well formed");
         let mut contender =
             Contender::new(policy, vm, Session(session)).expect("the model's policy is in range");
-        // A fresh contender only notes that it seeks and reads.
+        // A new contender only records that it competes and reads the lease, which the initial
+        // state already contains.
         let _read = contender.on(Moment::ZERO, lease::Input::Seek);
         contender
     }
@@ -175,7 +178,7 @@
         }
     }
 
-    /// For a flaw: lets another's lease look as if it lasted no time.
+    /// For [`Flaw::Impatient`]: makes the lease of another holder look released.
     fn fake_released_lease(self, at: usize, answer: Answer<Lease>) -> Answer<Lease> {
         match answer {
             Answer::Found { version, mut body }
@@ -188,7 +191,8 @@
         }
     }
 
-    /// For a flaw: lets a gate read less than the store holds.
+    /// For [`Flaw::Unread`] and [`Flaw::Equal`]: makes a gate read no lease, or one with a lower
+    /// version.
     fn fake_gate_read(self, answer: Answer<Lease>) -> Answer<Lease> {
         match (self.flaw, answer) {
             (Flaw::Unread, Answer::Found { .. }) => Answer::Absent,
@@ -208,8 +212,8 @@
                 None => Answer::Absent,
             };
         };
-        let stands = base == current.as_ref().map(|c| c.0);
-        if !stands && self.flaw != Flaw::Unconditional {
+        let is_current = base == current.as_ref().map(|c| c.0);
+        if !is_current && self.flaw != Flaw::Unconditional {
             return Answer::Conflict { current };
         }
         s.version += 1;
@@ -287,8 +291,8 @@
     fn advance_time(s: &mut State) {
         s.strides += 1;
         s.now = s.now + STRIDE;
-        // The assumption on the engine: what the agent gave up on is taken up within the time to
-        // settle, or never.
+        // Assumption on the engine: an order that the agent gave up on is handled within the
+        // settling time, or never.
         s.to_engine.retain(|l| l.1);
     }
 
@@ -352,7 +356,7 @@
             repeats: 0,
             cuts: 0,
         };
-        // The contenders are alike: the first to read may as well be the first.
+        // The contenders are interchangeable, so the first one reads first.
         self.serve_call(&mut state, 0);
         state
     }
--- a/crates/peppercrank-spec/src/orders/bounds.rs
+++ b/crates/peppercrank-spec/src/orders/bounds.rs
@@ -1,48 +1,48 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The bounds of the model, and the rules that can be taken away.
+//! Bounds of the model, and rules that can be disabled.
 
 use peppercrank_lease::gate::Engine;
 
-/// `Flaw` is a rule taken away.
+/// `Flaw` is a planted fault, which disables one rule of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
-    /// Nothing: the protocol as built.
+    /// None: the protocol as implemented.
     None,
-    /// The agent passes orders without a gate.
+    /// The agent passes orders to the engine without a gate.
     NoGate,
-    /// A gate that has restarted starts from nothing instead of reading the lease.
+    /// A restarted gate starts with no fencing number instead of reading the lease.
     Unread,
-    /// A gate that has restarted obeys the number it read, not only higher ones.
+    /// A restarted gate accepts the fencing number that it read, not only higher ones.
     Equal,
-    /// A gate does not wait for an order of unknown fate.
+    /// A gate does not wait for an order of unknown outcome.
     Unsettled,
-    /// A contender takes the lease without waiting for it to lapse.
+    /// A contender takes the lease without waiting for it to expire.
     Impatient,
-    /// The store takes writes that rest on an old version.
+    /// The store accepts writes based on an outdated version.
     Unconditional,
 }
 
 /// `Orders` is the model with its bounds.
 #[derive(Debug, Clone, Copy)]
 pub struct Orders {
-    /// The rule taken away.
+    /// Planted fault.
     pub flaw: Flaw,
-    /// What the engine does with fencing numbers.
+    /// How the engine treats fencing numbers.
     pub engine: Engine,
-    /// Orders given.
+    /// Maximum number of orders issued.
     pub orders: u8,
-    /// Calls of the store whose answer is lost.
+    /// Maximum number of store calls whose answer is lost.
     pub losses: u8,
-    /// Leases given back.
+    /// Maximum number of leases released.
     pub leaves: u8,
-    /// Restarts of the agent.
+    /// Maximum number of agent restarts.
     pub restarts: u8,
-    /// Strides of time.
+    /// Maximum number of time steps.
     pub strides: u8,
-    /// Orders that arrive twice.
+    /// Maximum number of orders delivered twice.
     pub repeats: u8,
-    /// Orders to the engine whose answer the agent gives up on.
+    /// Maximum number of orders whose engine reply the agent gives up on.
     pub cuts: u8,
 }
--- a/crates/peppercrank-spec/src/orders/state.rs
+++ b/crates/peppercrank-spec/src/orders/state.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The states of the model.
+//! States of the model.
 
 use peppercrank_core::time::Moment;
 use peppercrank_lease::gate::Gate;
@@ -12,20 +12,20 @@
 use peppercrank_lease::store::CallId;
 use peppercrank_lease::store::Version;
 
-/// Who waits for the answer to a call.
+/// Process that awaits the answer to a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Caller {
     Contender(usize),
     Gate,
 }
 
-/// One call of the store under way.
+/// `Call` is a call of the store in flight.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Call {
-    /// Who waits; `None` when nobody does any more.
+    /// Process that awaits the answer; `None` if none does any more.
     pub(super) from: Option<Caller>,
     pub(super) id: CallId,
-    /// What it writes on which version; `None` for a read.
+    /// Version that it is based on and content that it writes; `None` for a read.
     pub(super) write: Option<(Base, Lease)>,
 }
 
@@ -38,11 +38,11 @@
     pub(super) contenders: [Contender; 2],
     pub(super) gate: Gate,
     pub(super) calls: Vec<Call>,
-    /// Orders on the way to the agent.
+    /// Orders in flight to the agent.
     pub(super) to_agent: Vec<Order>,
-    /// Orders on the way to the engine, and whether the agent still waits for them.
+    /// Orders in flight to the engine, and whether the agent still awaits the reply.
     pub(super) to_engine: Vec<(Order, bool)>,
-    /// The place of the last order obeyed.
+    /// Fencing number and sequence number of the newest order obeyed.
     pub(super) last_obeyed: (Version, u64),
     pub(super) obeyed_older: bool,
     pub(super) orders_given: u8,
--- a/crates/peppercrank-spec/src/orders/steps.rs
+++ b/crates/peppercrank-spec/src/orders/steps.rs
@@ -1,14 +1,14 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Which steps can be taken.
+//! Enabled steps.
 
 use crate::orders::Orders;
 use crate::orders::Step;
 use crate::orders::state::State;
 
 impl Orders {
-    /// The steps of the contenders and the store.
+    /// Adds the enabled steps of the contenders and the store.
     pub(super) fn lease_steps(self, s: &State, steps: &mut Vec<Step>) {
         for (at, contender) in s.contenders.iter().enumerate() {
             if contender.wake().is_some_and(|w| w <= s.now) {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The steps of the agent and the engine.
+    /// Adds the enabled steps of the agent and the engine.
     pub(super) fn agent_steps(self, s: &State, steps: &mut Vec<Step>) {
         for at in 0..s.to_agent.len() {
             steps.push(Step::Arrive(at));
@@ -47,7 +47,7 @@
         if s.gate.wake().is_some_and(|w| w <= s.now) {
             steps.push(Step::Settle);
         }
-        // Before any order a restart changes nothing that counts.
+        // A restart before the first order makes no difference.
         if s.restarts < self.restarts && s.orders_given > 0 {
             steps.push(Step::Restart);
         }
--- a/crates/peppercrank-spec/src/search.rs
+++ b/crates/peppercrank-spec/src/search.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Visits every reachable state of a model, or finds the shortest way to a violating one.
+//! Explicit-state model checking: visits every reachable state of a model, or finds the shortest
+//! path to a state that violates a property.
 
 use std::fmt;
 use std::fmt::Debug;
@@ -10,26 +11,26 @@
 use pathfinding::directed::bfs::bfs;
 use pathfinding::directed::bfs::bfs_reach;
 
-/// `Model` is a specification: states, steps and what must never be seen.
+/// `Model` is a specification: its states, its steps, and the properties that no state may violate.
 pub trait Model {
-    /// One state of all processes, the store and the network.
+    /// State of all processes, the store and the network.
     type State: Clone + Eq + Hash + Debug;
-    /// One step from a state to the next.
+    /// Transition between two states.
     type Step: Debug;
-    /// `start` is the first state.
+    /// Returns the initial state.
     fn initial_state(&self) -> Self::State;
-    /// `steps` lists each step that can be taken in `state`, with the state it leads to.
+    /// Returns each step enabled in `state`, with the state that it leads to.
     fn steps(&self, state: &Self::State) -> Vec<(Self::Step, Self::State)>;
-    /// `violations` names the properties that `state` violates.
+    /// Returns the properties that `state` violates.
     fn violations(&self, state: &Self::State) -> Vec<&'static str>;
 }
 
-/// `Coverage` is what a whole visit saw.
+/// `Coverage` is the size of a completely visited state space.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Coverage {
-    /// Distinct states.
+    /// Number of distinct states.
     pub states: usize,
-    /// Steps on the longest of the shortest ways to any state.
+    /// Length of the longest of the shortest paths to any state, in steps.
     pub depth: usize,
 }
 
@@ -39,12 +40,12 @@
     }
 }
 
-/// `Counterexample` is the shortest way to a state that violates a property.
+/// `Counterexample` is a shortest path to a state that violates a property.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Counterexample {
-    /// The property.
+    /// Violated property.
     pub property: &'static str,
-    /// The steps in order, as text.
+    /// Steps in order, formatted with [`Debug`].
     pub steps: Vec<String>,
 }
 
@@ -60,25 +61,25 @@
 
 impl std::error::Error for Counterexample {}
 
-/// `check` visits every reachable state of `model`.
+/// Visits every reachable state of `model`.
 ///
 /// # Errors
 ///
-/// Returns the shortest [`Counterexample`] when a state violates a property.
+/// Returns a shortest [`Counterexample`] if a reachable state violates a property.
 pub fn check<M: Model>(model: &M) -> Result<Coverage, Counterexample> {
     let mut reach = bfs_reach(model.initial_state(), |s| successors(model, s));
     let mut coverage = Coverage {
         states: 0,
         depth: 0,
     };
-    // The search goes level by level: when the last state of one is expanded, all that is left
-    // to visit is the next.
+    // The search is breadth-first: when the last state of a level is expanded, the states left to
+    // visit are those of the next level.
     let mut level = 1;
     while let Some(state) = reach.next() {
         if !model.violations(&state).is_empty() {
             return Err(
                 shortest_counterexample(model, |_| true).unwrap_or(Counterexample {
-                    property: "visited but not found again",
+                    property: "violated, but not reproduced by the second search",
                     steps: Vec::new(),
                 }),
             );
@@ -93,7 +94,7 @@
     Ok(coverage)
 }
 
-/// `find` seeks the nearest state that violates this property.
+/// Returns a shortest path to a state that violates `property`, or `None` if there is none.
 pub fn find_counterexample<M: Model>(model: &M, property: &'static str) -> Option<Counterexample> {
     shortest_counterexample(model, |p| p == property)
 }
@@ -118,7 +119,7 @@
     model.steps(state).into_iter().map(|s| s.1).collect()
 }
 
-/// The step between two states, as text.
+/// Formats the step between two states.
 fn describe_step<M: Model>(model: &M, from: &M::State, to: &M::State) -> Option<String> {
     let mut steps = model.steps(from).into_iter();
     let found = steps.find(|(_, s)| s == to);
--- a/crates/peppercrank-spec/src/starts.rs
+++ b/crates/peppercrank-spec/src/starts.rs
@@ -1,11 +1,12 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A target that starts again under its name, as a router learns of it from the store.
+//! Checks what a router learns about a target that restarts under the same name.
 //!
-//! One target starts up to three times, the last time by a clock that was set back. Its writes to the store may be
-//! done late, also after their process has ended; its entry may lapse; the router reads the store now and then, and
-//! misses what came between. The router decides with the real [`peppercrank_direct::directory::Directory`].
+//! One target starts up to three times, the last time with its clock set back. Its writes to the
+//! store may take effect late, even after the process has ended; its entry may expire; the router
+//! reads the store from time to time and misses changes in between. It decides with the real
+//! [`peppercrank_direct::directory::Directory`].
 
 use std::collections::BTreeSet;
 use std::hash::Hash;
@@ -21,68 +22,71 @@
 
 use crate::search::Model;
 
-/// The property that two starts never count as one.
-pub const MIXED: &str = "what was known of one start was kept for another";
+/// Property: two starts are never treated as one.
+pub const MIXED: &str = "the state of one start was kept for another";
 
-/// The property that late word of a start that has ended replaces none that lives, by clocks that only go on.
-pub const OVERTAKEN: &str = "late word of an earlier start replaced the one that lives";
+/// Property: a late write of an ended start does not replace the live one, if clocks only move
+/// forward.
+pub const OVERTAKEN: &str = "a late write of an earlier start replaced the live one";
 
-/// The property that a router comes to know the start that lives.
-pub const BEHIND: &str = "a router in touch did not come to know the start that lives";
+/// Property: a router in contact with the store learns of the live start.
+pub const BEHIND: &str = "a router in contact with the store did not learn of the live start";
 
-/// When each start began, by its own clock. The third one's was set back.
+/// Start times by the target's own clock, in milliseconds. The clock was set back before the third
+/// start.
 const START_TIMES_MS: [u64; 3] = [1_000, 3_000, 2_000];
 
-/// What one step of time lasts: half of the time after which word of an earlier start stands.
+/// Duration of one time step: half of the time after which an entry of an earlier start is
+/// accepted.
 const STRIDE: Duration = Duration::from_secs(2);
 
-/// Strides in touch after which a router knows the start that lives.
+/// Number of time steps in contact after which a router knows the live start.
 const SETTLED_STRIDES: u8 = 2;
 
-/// `Flaw` is a rule taken away.
+/// `Flaw` is a planted fault, which disables one rule of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
-    /// Nothing: the protocol as built.
+    /// None: the protocol as implemented.
     None,
-    /// Starts are told apart by the target's name alone.
+    /// Starts are distinguished by the target's name only.
     NameOnly,
-    /// Word of an earlier start counts at once.
+    /// An entry of an earlier start is accepted at once.
     TakesEarlier,
-    /// Word of an earlier start never counts.
+    /// An entry of an earlier start is never accepted.
     DropsEarlier,
 }
 
 /// `Starts` is the model with its bounds.
 #[derive(Debug, Clone, Copy)]
 pub struct Starts {
-    /// The rule taken away.
+    /// Planted fault.
     pub flaw: Flaw,
-    /// Times that the target starts again, two at the most.
+    /// Maximum number of target restarts, at most 2.
     pub restarts: u8,
-    /// Writes that are done late.
+    /// Maximum number of writes that take effect late.
     pub delays: u8,
-    /// Times that the entry lapses.
+    /// Maximum number of times that the entry expires.
     pub lapses: u8,
-    /// Strides of time.
+    /// Maximum number of time steps.
     pub strides: u8,
 }
 
 /// `Step` is one step of the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// The target ends and starts again.
+    /// The target ends and restarts.
     Restart,
-    /// The start that lives writes its entry.
+    /// The live start writes its entry.
     Write,
-    /// It sends a write that is done later.
+    /// The live start sends a write that takes effect later.
     Send,
-    /// A late write of this start is done.
+    /// A late write of this start takes effect.
     Land(u8),
-    /// The entry lapses.
+    /// The entry expires.
     Lapse,
     /// The router reads the entry.
     Read,
-    /// Time passes while nobody is in touch.
+    /// Time passes while neither the target nor the router is in contact with the store.
     Stride,
     /// The target writes, the router reads, and time passes.
     Calm,
@@ -92,12 +96,12 @@
 #[derive(Debug, Clone)]
 pub struct State {
     directory: Directory,
-    /// The key that the router knows, and the start that it was first known for.
+    /// The router's key of the target, and the start for which it was first used.
     known_key: Option<(TargetKey, u8)>,
     vars: Variables,
 }
 
-/// All that tells states apart.
+/// Variables by which states are compared.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Variables {
     strides: u8,
@@ -107,9 +111,10 @@
     delays: u8,
     lapses: u8,
     strides_in_touch: u8,
-    /// The start that the router knows.
+    /// Start that the router knows.
     known: Option<u8>,
-    /// The start that it doubts about, and the millisecond from which on that stands.
+    /// Unconfirmed start of which the router has read an entry, and the time from which on it is
+    /// accepted, in milliseconds.
     rival: Option<(u8, u64)>,
     mixed: bool,
     overtaken: bool,
@@ -129,7 +134,7 @@
     }
 }
 
-/// The start that an entry is of; entries of the model tell it as their slots.
+/// Returns the start that wrote an entry, which the model encodes as the number of slots.
 fn start_of(entry: &Registration) -> u8 {
     u8::try_from(entry.slots).unwrap_or(u8::MAX)
 }
@@ -139,7 +144,7 @@
         Moment::ZERO + STRIDE * u32::from(self.vars.strides)
     }
 
-    /// Takes over what the router knows.
+    /// Updates the variables with what the router knows.
     fn record_known(&mut self) {
         let key = self.directory.find("one");
         let target = key.and_then(|k| self.directory.get(k));
@@ -171,7 +176,7 @@
         self.vars.overtaken |= knew && ahead && late;
     }
 
-    /// What the router makes of the entry.
+    /// Returns the changes that the router derives from the entry.
     fn changes(&self, flaw: Flaw) -> Vec<Change> {
         let removed = || Change::Removed("one".into());
         let Some(told) = self.vars.entry else {
@@ -217,7 +222,7 @@
 }
 
 impl Starts {
-    /// The steps that can be taken.
+    /// Returns the enabled steps.
     fn enabled_steps(self, vars: &Variables) -> Vec<Step> {
         let mut steps = vec![Step::Write, Step::Read];
         if vars.current < self.restarts {
--- a/crates/peppercrank-spec/tests/verify_cold.rs
+++ b/crates/peppercrank-spec/tests/verify_cold.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A cold target that all routers want to send to, over every reachable state.
+//! Limits on the requests to a cold target, over every reachable state.
 
 use peppercrank_spec::cold::ColdTarget;
 use peppercrank_spec::cold::Flaw;
@@ -9,7 +9,7 @@
 use peppercrank_spec::search::check;
 use peppercrank_spec::search::find_counterexample;
 
-/// One router that starts again, over two seconds.
+/// One router restart, over two seconds.
 const ONE_RESTART: ColdTarget = ColdTarget {
     flaw: Flaw::None,
     starts: 1,
@@ -19,7 +19,7 @@
 #[test]
 fn verify_a_cold_target_gets_no_more_than_it_bears() {
     match check(&ONE_RESTART) {
-        Ok(coverage) => println!("one start: {coverage}"),
+        Ok(coverage) => println!("one restart: {coverage}"),
         Err(e) => panic!("{e}"),
     }
 }
@@ -32,6 +32,6 @@
             ..ONE_RESTART
         };
         let found = find_counterexample(&model, OVERLOADED);
-        assert!(found.is_some(), "{flaw:?} violates nothing");
+        assert!(found.is_some(), "{flaw:?} causes no violation");
     }
 }
--- a/crates/peppercrank-spec/tests/verify_configuration.rs
+++ b/crates/peppercrank-spec/tests/verify_configuration.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Configuration never reverts and reaches all, over every reachable state.
+//! Configuration never reverts and reaches all processes, over every reachable state.
 
 use peppercrank_spec::configuration::Configuration;
 use peppercrank_spec::configuration::Flaw;
@@ -106,7 +106,7 @@
             ..NO_FAULTS
         };
         let Some(bad) = find_counterexample(&model, property) else {
-            panic!("{flaw:?} is not found");
+            panic!("{flaw:?} causes no violation");
         };
         println!("configuration, {flaw:?} {bad}");
     }
--- a/crates/peppercrank-spec/tests/verify_drain.rs
+++ b/crates/peppercrank-spec/tests/verify_drain.rs
@@ -100,7 +100,7 @@
     for (flaw, property, bound) in flaws {
         let model = Drain { flaw, ..bound };
         let Some(bad) = find_counterexample(&model, property) else {
-            panic!("{flaw:?} is not found");
+            panic!("{flaw:?} causes no violation");
         };
         println!("drain, {flaw:?} {bad}");
     }
--- a/crates/peppercrank-spec/tests/verify_eras.rs
+++ b/crates/peppercrank-spec/tests/verify_eras.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A store that comes back from an older copy, over every reachable state.
+//! A store restored from an older copy, over every reachable state.
 
 use peppercrank_spec::eras::Flaw;
 use peppercrank_spec::eras::NOTICE_IGNORED;
@@ -11,7 +11,7 @@
 use peppercrank_spec::search::check;
 use peppercrank_spec::search::find_counterexample;
 
-/// One return, and a target that registers, leaves and ends.
+/// One restore, and a target that registers, leaves and ends.
 const ONE_RESTORE: Restores = Restores {
     flaw: Flaw::None,
     restores: 1,
@@ -19,7 +19,7 @@
     strides: 6,
 };
 
-/// Two returns.
+/// Two restores.
 const TWO_RESTORES: Restores = Restores {
     restores: 2,
     strides: 5,
@@ -49,6 +49,6 @@
             ..ONE_RESTORE
         };
         let found = find_counterexample(&model, property);
-        assert!(found.is_some(), "{flaw:?} violates nothing");
+        assert!(found.is_some(), "{flaw:?} causes no violation");
     }
 }
--- a/crates/peppercrank-spec/tests/verify_evacuations.rs
+++ b/crates/peppercrank-spec/tests/verify_evacuations.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! An availability zone that is evacuated and restored, over every reachable state.
+//! Evacuation and restoration of an availability zone, over every reachable state.
 
 use peppercrank_spec::evacuations::Flaw;
 use peppercrank_spec::evacuations::NOT_BINDING;
@@ -10,7 +10,7 @@
 use peppercrank_spec::search::check;
 use peppercrank_spec::search::find_counterexample;
 
-/// One return of the store from a copy, and a router that starts again.
+/// One restore of the store from a copy, and one router restart.
 const ONE_RESTORE: ZoneEvacuation = ZoneEvacuation {
     flaw: Flaw::None,
     restores: 1,
@@ -19,7 +19,7 @@
     strides: 6,
 };
 
-/// Two returns, and an evacuation after the zone was restored.
+/// Two restores of the store, and an evacuation after the zone was restored.
 const TWO_RESTORES: ZoneEvacuation = ZoneEvacuation {
     restores: 2,
     changes: 3,
@@ -50,6 +50,6 @@
             ..ONE_RESTORE
         };
         let found = find_counterexample(&model, property);
-        assert!(found.is_some(), "{flaw:?} violates nothing");
+        assert!(found.is_some(), "{flaw:?} causes no violation");
     }
 }
--- a/crates/peppercrank-spec/tests/verify_once.rs
+++ b/crates/peppercrank-spec/tests/verify_once.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! At most once and true refusals, over every reachable state.
+//! At-most-once execution and truthful "not run" reports, over every reachable state.
 
 use peppercrank_spec::once::FALSE_NOT_RUN;
 use peppercrank_spec::once::FALSE_NOT_RUN_OF_KEY;
@@ -11,7 +11,7 @@
 use peppercrank_spec::search::check;
 use peppercrank_spec::search::find_counterexample;
 
-/// Two sendings, no fault.
+/// Two submissions without faults.
 const NO_FAULTS: Once = Once {
     flaw: Flaw::None,
     sends: 2,
@@ -22,7 +22,7 @@
     cuts: 0,
 };
 
-/// Checks bounds given as sendings, losses, crashes, strides, naps and cuts.
+/// Checks bounds given as submissions, losses, crashes, long and short time steps, and cuts.
 fn verify_holds(bounds: &[[u8; 6]]) {
     for [sends, losses, crashes, strides, naps, cuts] in bounds.iter().copied() {
         let model = Once {
@@ -90,7 +90,7 @@
     for (flaw, property, bound) in flaws {
         let model = Once { flaw, ..bound };
         let Some(bad) = find_counterexample(&model, property) else {
-            panic!("{flaw:?} is not found");
+            panic!("{flaw:?} causes no violation");
         };
         println!("once, {flaw:?} {bad}");
     }
--- a/crates/peppercrank-spec/tests/verify_orders.rs
+++ b/crates/peppercrank-spec/tests/verify_orders.rs
@@ -11,7 +11,7 @@
 use peppercrank_spec::search::check;
 use peppercrank_spec::search::find_counterexample;
 
-/// Two orders, time for one take-over, no fault.
+/// Two orders without faults, and time for one takeover of the lease.
 const NO_FAULTS: Orders = Orders {
     flaw: Flaw::None,
     engine: Engine::Ignores,
@@ -137,7 +137,7 @@
     for (flaw, property, bound) in flaws {
         let model = Orders { flaw, ..bound };
         let Some(bad) = find_counterexample(&model, property) else {
-            panic!("{flaw:?} is not found");
+            panic!("{flaw:?} causes no violation");
         };
         println!("orders, {flaw:?} {bad}");
     }
--- a/crates/peppercrank-spec/tests/verify_search.rs
+++ b/crates/peppercrank-spec/tests/verify_search.rs
@@ -8,10 +8,10 @@
 use peppercrank_spec::search::check;
 use peppercrank_spec::search::find_counterexample;
 
-/// The property that the two numbers are never both this.
+/// Property: the two numbers are never both equal to the bad one.
 const MET: &str = "both met";
 
-/// Two numbers that each rise by one up to a bound.
+/// Two numbers, each of which counts up to a bound.
 struct Pair {
     bound: u8,
     bad: Option<u8>,
--- a/crates/peppercrank-spec/tests/verify_starts.rs
+++ b/crates/peppercrank-spec/tests/verify_starts.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A target that starts again under its name, over every reachable state.
+//! A target that restarts under its name, over every reachable state.
 
 use peppercrank_spec::search::check;
 use peppercrank_spec::search::find_counterexample;
@@ -11,7 +11,7 @@
 use peppercrank_spec::starts::OVERTAKEN;
 use peppercrank_spec::starts::Starts;
 
-/// Two starts by a clock that only goes on, with a write that is done late.
+/// Two starts with a clock that only moves forward, and one late write.
 const FORWARD: Starts = Starts {
     flaw: Flaw::None,
     restarts: 1,
@@ -20,7 +20,7 @@
     strides: 4,
 };
 
-/// A third start by a clock that was set back.
+/// A third start, with the clock set back.
 const SET_BACK: Starts = Starts {
     restarts: 2,
     ..FORWARD
@@ -66,6 +66,6 @@
     for (flaw, bounds, property) in rows {
         let model = Starts { flaw, ..bounds };
         let found = find_counterexample(&model, property);
-        assert!(found.is_some(), "{flaw:?} violates nothing");
+        assert!(found.is_some(), "{flaw:?} causes no violation");
     }
 }
