--- a/crates/peppercrank-spec/src/cold.rs
+++ b/crates/peppercrank-spec/src/cold.rs
@@ -1,10 +1,11 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A cold target that all routers want to send to, and what it gets from them in any second.
+//! Limits the requests that a cold target gets from all routers together in any second.
 //!
-//! Routers read the list of routers at any moment, so that theirs differ: one registers late. They start again, which forgets
-//! what they sent and whom they knew. Each decides with the real [`peppercrank_direct::warm_up::Gate`].
+//! Routers read the list of routers at any time, so their lists may differ: one router registers
+//! late. A restart makes a router forget which requests it sent and which routers it knew. Each one
+//! decides with the real [`peppercrank_direct::warm_up::Gate`].
 
 use std::hash::Hash;
 use std::hash::Hasher;
@@ -21,52 +22,52 @@
 
 use crate::search::Model;
 
-/// The property that a cold target gets no more in a second than it bears.
-pub const RUSH: &str = "a cold target gets more requests in a second than it bears";
+/// Property: a cold target gets no more requests in a second than it can handle.
+pub const OVERLOADED: &str = "a cold target gets more requests in a second than it can handle";
 
-/// The property that a cold target gets something while all know each other.
-pub const UNUSED: &str = "no router may send to a cold target";
+/// Property: a cold target can get requests once all routers know each other.
+pub const NEVER_USED: &str = "no router may send to a cold target although all know each other";
 
-/// What one step of time lasts.
+/// Duration of one time step.
 const STRIDE: Duration = Duration::from_millis(500);
 
-/// How the target warms up.
+/// Warm-up of the target.
 const WARM_UP: WarmUp = WarmUp {
     duration: Duration::from_secs(3),
     rate: 2.0,
 };
 
-/// How far it may be driven.
+/// Load allowed during the warm-up.
 const ALLOWANCE: Allowance = Allowance {
     overage: 1.5,
     slack: 1.0,
 };
 
-/// What it bears in any second: its rate by the allowance.
-const BOUND: usize = 4;
+/// Maximum number of requests in any second: the warm-up rate scaled by the allowance.
+const MAX_REQUESTS_PER_SECOND: usize = 4;
 
-/// The routers; the last one registers late.
+/// Names of the routers; the last one registers late.
 const ROUTERS: [&str; 4] = ["a", "b", "c", "late"];
 
-/// `Flaw` is a rule taken away.
+/// `Flaw` is a planted fault, which disables one rule of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
-    /// Nothing: the protocol as built.
+    /// None: the protocol as implemented.
     None,
-    /// Each router takes the whole of what is shared out.
+    /// Each router uses the whole allowance instead of its share.
     TakesAll,
-    /// A router that knows no others takes itself for the only one.
+    /// A router that knows no other routers assumes to be the only one.
     TakesSilence,
 }
 
-/// `Rush` is the model with its bounds.
+/// `ColdTarget` is the model with its bounds.
 #[derive(Debug, Clone, Copy)]
-pub struct Rush {
-    /// The rule taken away.
+pub struct ColdTarget {
+    /// Planted fault.
     pub flaw: Flaw,
-    /// Times that a router starts again.
+    /// Maximum number of router restarts.
     pub starts: u8,
-    /// Steps of time.
+    /// Maximum number of time steps.
     pub strides: u8,
 }
 
@@ -75,11 +76,11 @@
 pub enum Step {
     /// The last router registers.
     Register,
-    /// This router reads who is registered.
+    /// This router reads the list of registered routers.
     Read(usize),
     /// This router sends a request.
     Send(usize),
-    /// This router starts again.
+    /// This router restarts.
     Start(usize),
     /// Time passes.
     Stride,
@@ -90,27 +91,27 @@
 pub struct State {
     key: TargetKey,
     gates: Vec<Gate>,
-    shape: Shape,
+    vars: Variables,
 }
 
-/// All that tells states apart.
+/// Variables by which states are compared.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Shape {
+struct Variables {
     strides: u8,
     starts: u8,
-    /// How many routers are registered.
+    /// Number of registered routers.
     registered: usize,
-    /// How many each router knows of.
+    /// Number of routers that each router knows.
     known: Vec<usize>,
-    /// Strides at which requests were sent, those of the last second.
+    /// Time steps at which requests were sent, within the last second.
     sent: Vec<u8>,
-    /// What the routers sent, as text.
+    /// State of the routers' gates, formatted with [`std::fmt::Debug`].
     gates: String,
 }
 
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
-        self.shape == other.shape
+        self.vars == other.vars
     }
 }
 
@@ -118,19 +119,19 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.shape.hash(state);
+        self.vars.hash(state);
     }
 }
 
 impl State {
     fn now(&self) -> Instant {
-        Instant::ZERO + STRIDE * u32::from(self.shape.strides)
+        Instant::ZERO + STRIDE * u32::from(self.vars.strides)
     }
 
-    /// Lets a router know those that are registered now.
-    fn read(&mut self, router: usize, flaw: Flaw) {
-        let registered = self.shape.registered;
-        self.shape.known[router] = registered;
+    /// Updates a router with the routers registered now.
+    fn read_registrations(&mut self, router: usize, flaw: Flaw) {
+        let registered = self.vars.registered;
+        self.vars.known[router] = registered;
         let others = match flaw {
             Flaw::TakesAll => &[],
             Flaw::None | Flaw::TakesSilence => &ROUTERS[..registered],
@@ -139,10 +140,10 @@
         self.gates[router].routers.set(ROUTERS[router], others);
     }
 
-    /// Starts a router again, which knows nothing.
+    /// Restarts a router, which loses all its state.
     fn restart(&mut self, router: usize, flaw: Flaw) {
-        self.shape.starts += 1;
-        self.shape.known[router] = 0;
+        self.vars.starts += 1;
+        self.vars.known[router] = 0;
         let mut gate = Gate::default();
         if flaw == Flaw::TakesSilence {
             gate.routers.set(ROUTERS[router], std::iter::empty());
@@ -150,58 +151,58 @@
         self.gates[router] = gate;
     }
 
-    /// Whether a router may send.
-    fn opens(&mut self, router: usize, flaw: Flaw) -> bool {
+    /// Returns whether a router may send a request now.
+    fn may_send(&mut self, router: usize, flaw: Flaw) -> bool {
         let now = self.now();
         let requests = fleet_budget(&WARM_UP, &ALLOWANCE);
         let heard = match flaw {
             Flaw::TakesAll => 1,
-            Flaw::None | Flaw::TakesSilence => self.shape.known[router],
+            Flaw::None | Flaw::TakesSilence => self.vars.known[router],
         };
         self.gates[router].opens(now, (self.key, 7), requests, heard) == Opens::Now
     }
 }
 
-impl Rush {
-    fn take(self, state: &State, step: Step) -> Option<State> {
+impl ColdTarget {
+    fn apply(self, state: &State, step: Step) -> Option<State> {
         let mut next = state.clone();
         match step {
-            Step::Register if next.shape.registered < ROUTERS.len() => {
-                next.shape.registered = ROUTERS.len();
+            Step::Register if next.vars.registered < ROUTERS.len() => {
+                next.vars.registered = ROUTERS.len();
             }
-            Step::Read(router) if next.shape.known[router] != next.shape.registered => {
-                next.read(router, self.flaw);
+            Step::Read(router) if next.vars.known[router] != next.vars.registered => {
+                next.read_registrations(router, self.flaw);
             }
-            Step::Send(router) if next.opens(router, self.flaw) => {
+            Step::Send(router) if next.may_send(router, self.flaw) => {
                 let now = next.now();
                 next.gates[router].record_sent(now, next.key);
-                next.shape.sent.push(next.shape.strides);
+                next.vars.sent.push(next.vars.strides);
             }
-            Step::Start(router) if next.shape.starts < self.starts => {
+            Step::Start(router) if next.vars.starts < self.starts => {
                 next.restart(router, self.flaw);
             }
-            Step::Stride if next.shape.strides < self.strides => {
-                next.shape.strides += 1;
-                let first = (next.shape.strides + 1).saturating_sub(2);
-                next.shape.sent.retain(|at| *at >= first);
+            Step::Stride if next.vars.strides < self.strides => {
+                next.vars.strides += 1;
+                let first = (next.vars.strides + 1).saturating_sub(2);
+                next.vars.sent.retain(|at| *at >= first);
             }
             _ => return None,
         }
-        next.shape.gates = format!("{:?}", next.gates);
+        next.vars.gates = format!("{:?}", next.gates);
         Some(next)
     }
 }
 
-impl Model for Rush {
+impl Model for ColdTarget {
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         let mut keys = SlotMap::<TargetKey, ()>::with_key();
         let mut state = State {
             key: keys.insert(()),
             gates: vec![Gate::default(); ROUTERS.len()],
-            shape: Shape {
+            vars: Variables {
                 strides: 0,
                 starts: 0,
                 registered: ROUTERS.len() - 1,
@@ -210,8 +211,8 @@
                 gates: String::new(),
             },
         };
-        for router in 0..state.shape.registered {
-            state.read(router, self.flaw);
+        for router in 0..state.vars.registered {
+            state.read_registrations(router, self.flaw);
         }
         state
     }
@@ -221,19 +222,19 @@
         let each = each.flat_map(|r| [Step::Read(r), Step::Send(r), Step::Start(r)]);
         let steps = [Step::Register, Step::Stride].into_iter().chain(each);
         steps
-            .filter_map(|s| Some((s, self.take(state, s)?)))
+            .filter_map(|s| Some((s, self.apply(state, s)?)))
             .collect()
     }
 
     fn violations(&self, state: &State) -> Vec<&'static str> {
-        let shape = &state.shape;
-        let rush = shape.sent.len() > BOUND;
-        let all = shape.known.iter().all(|known| *known == ROUTERS.len());
-        let idle = all && shape.sent.is_empty();
+        let vars = &state.vars;
+        let overloaded = vars.sent.len() > MAX_REQUESTS_PER_SECOND;
+        let all = vars.known.iter().all(|known| *known == ROUTERS.len());
+        let idle = all && vars.sent.is_empty();
         let mut probe = state.clone();
-        let opens = |router| probe.opens(router, self.flaw);
-        let unused = idle && !(0..ROUTERS.len()).any(opens);
-        let rows = [(rush, RUSH), (unused, UNUSED)];
+        let opens = |router| probe.may_send(router, self.flaw);
+        let never_used = idle && !(0..ROUTERS.len()).any(opens);
+        let rows = [(overloaded, OVERLOADED), (never_used, NEVER_USED)];
         let violated = rows.into_iter().filter(|(holds, _)| *holds);
         violated.map(|(_, property)| property).collect()
     }
--- a/crates/peppercrank-spec/src/configuration.rs
+++ b/crates/peppercrank-spec/src/configuration.rs
@@ -1,12 +1,13 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! An accepted configuration never reverts, and reaches every live process once faults stop.
+//! Checks that an accepted configuration never reverts and reaches every live process once faults
+//! stop.
 //!
-//! One object in the platform's API and a few processes that merge with the real [`Store`]. What
-//! processes tell each other is kept for ever and may be delivered at any later time, any number
-//! of times; answers of the API come late or not at all. A state keeps what a store holds, and each
-//! step builds the store anew from that and drives it.
+//! The model has one object in the platform's API and a few processes that merge it with the real
+//! [`Store`]. Messages between processes are kept forever and may be delivered at any later time,
+//! any number of times; answers of the API arrive late or not at all. A state records the contents
+//! of each store, from which every step rebuilds the real store before driving it.
 
 mod replica;
 
@@ -23,53 +24,54 @@
 
 pub use crate::configuration::replica::Body;
 
-/// The property that what is in force at a process never goes back.
-pub const REVERTED: &str = "a configuration in force went back to an older one";
+/// Property: the configuration in force at a process never reverts to an older one.
+pub const REVERTED: &str = "a configuration in force reverted to an older one";
 
-/// The property that all processes come to the accepted configuration once faults stop.
-pub const MISSED: &str = "a live process did not come to the accepted configuration";
+/// Property: all processes converge to the accepted configuration once faults stop.
+pub const NOT_CONVERGED: &str = "a live process did not converge to the accepted configuration";
 
-/// Exchanges after which all processes must agree: the first may need the last's.
-const ROUNDS: usize = 2;
+/// Number of all-to-all exchanges after which processes must agree: the first process may need what
+/// the last one holds.
+const CONVERGENCE_ROUNDS: usize = 2;
 
-/// `Flaw` is a rule taken away.
+/// `Flaw` is a planted fault, which disables one rule of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
-    /// Nothing: the protocol as built.
+    /// None: the protocol as implemented.
     None,
-    /// Whatever comes last is taken, without a look at versions.
+    /// The last object received is taken, regardless of its version.
     LastWins,
-    /// A deletion is not remembered.
+    /// Deletions leave no tombstone.
     NoTombstone,
-    /// Changes count as complete though earlier ones were missed.
+    /// Changes are treated as complete even if earlier ones were missed.
     Gap,
-    /// Processes do not compare what they hold.
+    /// Processes do not compare their objects with each other.
     NoRepair,
 }
 
 /// `Configuration` is the model with its bounds.
 #[derive(Debug, Clone, Copy)]
 pub struct Configuration {
-    /// The rule taken away.
+    /// Planted fault.
     pub flaw: Flaw,
-    /// Processes.
+    /// Number of processes.
     pub processes: usize,
-    /// How many of them, from the first, call the API.
-    pub callers: usize,
-    /// Writes of the object: valid, invalid or a deletion.
+    /// Number of processes, counted from the first, that call the API.
+    pub api_callers: usize,
+    /// Maximum number of writes of the object: valid, invalid or a deletion.
     pub writes: u8,
-    /// Writes of other objects of the kind.
-    pub others: u8,
-    /// What processes tell each other.
+    /// Maximum number of writes of other objects of the same kind.
+    pub other_writes: u8,
+    /// Maximum number of messages between processes.
     pub messages: u8,
-    /// Crashes of processes, with all memory lost.
+    /// Maximum number of process crashes, each of which loses all memory.
     pub crashes: u8,
 }
 
-/// An answer of the API under way.
+/// `Answer` is an answer of the API in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Answer {
-    /// Since when the changes are; `None` for a whole list.
+    /// Revision after which the changes start; `None` for a complete list.
     since: Option<u64>,
     revision: u64,
     write: Option<Write>,
@@ -82,12 +84,12 @@
     object: Option<Write>,
     replicas: Vec<Replica>,
     answers: Vec<Option<Answer>>,
-    /// What was told, to whom.
+    /// Messages with their receivers.
     messages: Vec<(usize, Message)>,
     reverted: bool,
-    wrote: u8,
-    other: u8,
-    crashed: u8,
+    writes: u8,
+    other_writes: u8,
+    crashes: u8,
 }
 
 /// `Step` is one step of the model.
@@ -95,31 +97,31 @@
 pub enum Step {
     /// An operator writes the object.
     Write(Body),
-    /// An operator writes another object.
+    /// An operator writes another object of the same kind.
     Other,
-    /// The API takes a process's list call; an earlier answer is lost.
+    /// The API handles a process's list call; an earlier answer in flight is lost.
     List(usize),
-    /// The API takes a process's watch call; an earlier answer is lost.
+    /// The API handles a process's watch call; an earlier answer in flight is lost.
     Watch(usize),
     /// The API's answer arrives.
     Answer(usize),
-    /// A process tells another what it holds.
+    /// A process sends another one the versions that it holds.
     Tell(usize, usize),
-    /// What was told arrives, maybe not for the first time.
+    /// A message arrives, possibly not for the first time.
     Arrive(usize),
-    /// A process crashes and starts anew.
+    /// A process crashes and restarts with no state.
     Crash(usize),
 }
 
 impl Configuration {
-    /// Lets a process take something in through its real store.
-    fn take(self, replica: &mut Replica, input: impl Fn(&mut Store)) -> bool {
+    /// Applies an input to a process's real store and returns whether its configuration reverted.
+    fn update_store(self, replica: &mut Replica, input: impl Fn(&mut Store)) -> bool {
         let mut store = replica.store();
         if self.flaw == Flaw::LastWins {
             store = Store::new();
         }
         input(&mut store);
-        let reverted = replica.keep(&store);
+        let reverted = replica.record_store(&store);
         if self.flaw == Flaw::NoTombstone {
             replica.writes.retain(|w| w.body != Body::Gone);
             replica.complete = 0;
@@ -127,10 +129,10 @@
         reverted
     }
 
-    fn answered(self, replica: &mut Replica, answer: Answer) -> bool {
+    fn receive_answer(self, replica: &mut Replica, answer: Answer) -> bool {
         let objects: Vec<Object> = answer.write.iter().map(|w| w.object()).collect();
         let revision = Version(answer.revision);
-        self.take(replica, |store| match answer.since {
+        self.update_store(replica, |store| match answer.since {
             None => drop(store.merge_list(ObjectKind::Mark, revision, &objects)),
             Some(since) => {
                 let since = if self.flaw == Flaw::Gap { 0 } else { since };
@@ -140,14 +142,14 @@
         })
     }
 
-    fn told(self, replica: &mut Replica, message: &Message) -> bool {
-        self.take(replica, |store| match message {
-            Message::Holds(writes) => {
+    fn receive_message(self, replica: &mut Replica, message: &Message) -> bool {
+        self.update_store(replica, |store| match message {
+            Message::Versions(writes) => {
                 for write in writes {
                     store.merge(&write.object());
                 }
             }
-            Message::Lacks(revision) => {
+            Message::Absent(revision) => {
                 store.merge_absent(&key(), Version(*revision));
             }
         })
@@ -158,18 +160,18 @@
         match step {
             Step::Write(body) => s.write(body),
             Step::Other => {
-                s.other += 1;
+                s.other_writes += 1;
                 s.revision += 1;
             }
             Step::List(at) => s.answers[at] = Some(s.answer(None)),
             Step::Watch(at) => {
-                // A watcher that skipped ahead asks from a revision that it has not reached.
+                // A watcher that missed changes asks from a revision that it has not reached.
                 let since = s.replicas[at].complete.max(s.revision.saturating_sub(1));
                 s.answers[at] = Some(s.answer(Some(since)));
             }
             Step::Answer(at) => {
                 if let Some(answer) = s.answers[at].take() {
-                    s.reverted |= self.answered(&mut s.replicas[at], answer);
+                    s.reverted |= self.receive_answer(&mut s.replicas[at], answer);
                 }
             }
             Step::Tell(from, to) => {
@@ -178,10 +180,10 @@
             }
             Step::Arrive(at) => {
                 let (to, message) = s.messages[at].clone();
-                s.reverted |= self.told(&mut s.replicas[to], &message);
+                s.reverted |= self.receive_message(&mut s.replicas[to], &message);
             }
             Step::Crash(at) => {
-                s.crashed += 1;
+                s.crashes += 1;
                 s.replicas[at] = Replica::default();
                 s.answers[at] = None;
             }
@@ -189,19 +191,20 @@
         s
     }
 
-    /// Lets everything run without a fault: the first process lists, and all compare.
-    fn settle(self, state: &State) -> Vec<Replica> {
+    /// Returns the replicas after a run without faults, in which the first process lists and all
+    /// compare.
+    fn run_without_faults(self, state: &State) -> Vec<Replica> {
         let mut replicas = state.replicas.clone();
-        self.answered(&mut replicas[0], state.answer(None));
+        self.receive_answer(&mut replicas[0], state.answer(None));
         if self.flaw == Flaw::NoRepair {
             return replicas;
         }
-        for _round in 0..ROUNDS {
+        for _round in 0..CONVERGENCE_ROUNDS {
             for from in 0..self.processes {
                 let message = replicas[from].message();
                 for (to, replica) in replicas.iter_mut().enumerate() {
                     if to != from {
-                        self.told(replica, &message);
+                        self.receive_message(replica, &message);
                     }
                 }
             }
@@ -209,10 +212,11 @@
         replicas
     }
 
-    /// Whether every process came to what the API holds, or to one last good version.
-    fn is_reached(self, state: &State) -> bool {
-        let replicas = self.settle(state);
-        let forces: Vec<Option<Write>> = replicas.iter().map(Replica::force).collect();
+    /// Returns whether every process has converged to the object in the API or, if that is invalid,
+    /// to a common last valid version.
+    fn has_converged(self, state: &State) -> bool {
+        let replicas = self.run_without_faults(state);
+        let forces: Vec<Option<Write>> = replicas.iter().map(Replica::in_force).collect();
         let live = |w: &Option<Write>| w.filter(|w| w.body != Body::Gone);
         match state.object {
             Some(object) if object.body == Body::Bad => {
@@ -229,13 +233,13 @@
 
 impl State {
     fn write(&mut self, body: Body) {
-        self.wrote += 1;
+        self.writes += 1;
         self.revision += 1;
         let version = self.revision;
         self.object = Some(Write { version, body });
     }
 
-    /// What the API answers now.
+    /// Returns the API's answer at this point.
     fn answer(&self, since: Option<u64>) -> Answer {
         let newer = |w: &Write| since.is_none_or(|s| w.version > s);
         Answer {
@@ -250,7 +254,7 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         State {
             revision: 0,
             object: None,
@@ -258,29 +262,29 @@
             answers: vec![None; self.processes],
             messages: Vec::new(),
             reverted: false,
-            wrote: 0,
-            other: 0,
-            crashed: 0,
+            writes: 0,
+            other_writes: 0,
+            crashes: 0,
         }
     }
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
         let mut steps = Vec::new();
-        if state.wrote < self.writes {
+        if state.writes < self.writes {
             let bodies = [Body::Good, Body::Bad, Body::Gone];
             steps.extend(bodies.map(Step::Write));
         }
-        if state.other < self.others {
+        if state.other_writes < self.other_writes {
             steps.push(Step::Other);
         }
         for at in 0..self.processes {
-            if at < self.callers {
+            if at < self.api_callers {
                 steps.extend([Step::List(at), Step::Watch(at)]);
             }
             if state.answers[at].is_some() {
                 steps.push(Step::Answer(at));
             }
-            if state.crashed < self.crashes {
+            if state.crashes < self.crashes {
                 steps.push(Step::Crash(at));
             }
             if state.messages.len() < usize::from(self.messages) {
@@ -298,8 +302,8 @@
         if state.reverted {
             bad.push(REVERTED);
         }
-        if !self.is_reached(state) {
-            bad.push(MISSED);
+        if !self.has_converged(state) {
+            bad.push(NOT_CONVERGED);
         }
         bad
     }
--- a/crates/peppercrank-spec/src/drain/agent.rs
+++ b/crates/peppercrank-spec/src/drain/agent.rs
@@ -27,7 +27,7 @@
 use crate::drain::STRIDE_MS;
 use crate::drain::Step;
 
-/// An admission and how many arrivals it was told of.
+/// An admission, the tickets of its requests and the number of arrivals.
 pub(super) struct Agent {
     pub(super) admission: Admission,
     pub(super) tickets: BTreeMap<u8, Ticket>,
@@ -35,7 +35,8 @@
 }
 
 impl Agent {
-    /// The agent's tower of constants is in range; the tests would show it if not.
+    /// Returns an agent without requests. Its settings are constants of the model; the tests would
+    /// fail if they were out of range.
     pub(super) fn new() -> Self {
         let policy = PoolPolicy {
             cap: 2.0,
@@ -95,7 +96,7 @@
         }
     }
 
-    pub(super) fn hear(&mut self, now: Instant, flaw: Flaw) -> Vec<Action> {
+    pub(super) fn hear_mark(&mut self, now: Instant, flaw: Flaw) -> Vec<Action> {
         let action = if flaw == Flaw::Removes {
             objects::MarkAction::Remove
         } else {
@@ -128,7 +129,7 @@
                 Some(ticket) => self.admission.on(now, Input::CallerGone(*ticket)),
                 None => Vec::new(),
             },
-            Step::Hear => self.hear(now, flaw),
+            Step::Hear => self.hear_mark(now, flaw),
             Step::Unmark => self.admission.on(now, Input::Unmarked),
             Step::Stop => self.admission.on(now, Input::Stopping),
             Step::HandOver => self.admission.on(now, Input::HandedOver),
@@ -137,8 +138,9 @@
         }
     }
 
-    /// A digest of all that the admission holds, whatever the order of its hash maps.
-    pub(super) fn held(&self) -> u64 {
+    /// Returns a digest of the admission's state that does not depend on the order of its hash
+    /// maps.
+    pub(super) fn digest(&self) -> u64 {
         let text = format!("{:?}", self.admission);
         let mut words: Vec<&str> = text.split([' ', ',', '{', '}', '(', ')']).collect();
         words.sort_unstable();
--- a/crates/peppercrank-spec/src/eras.rs
+++ b/crates/peppercrank-spec/src/eras.rs
@@ -1,12 +1,13 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A store that comes back from an older copy, as a router learns of one target from it.
+//! Checks what a router learns about a target when the store is restored from an older copy.
 //!
-//! The target registers, leaves, says so in an answer, and ends; a copy of the store is taken at any moment, and the store comes back from it in a new
-//! era: its revisions go back and are given out again. A target that lives writes its entry again within a stride, that of a dead one lapses within
-//! two. The router reads now and then, and decides with the real [`peppercrank_direct::era::EraTracker`] and
-//! [`peppercrank_direct::directory::Directory`].
+//! The target registers, is marked as leaving, announces that in an answer, and ends. A copy of the
+//! store is taken at any time, and the store may be restored from it in a new era: its revisions go
+//! back and are assigned again. A live target rewrites its entry within a time step; a dead
+//! target's entry expires within two. The router reads from time to time and decides with the real
+//! [`peppercrank_direct::era::Eras`] and [`peppercrank_direct::directory::Directory`].
 
 use std::hash::Hash;
 use std::hash::Hasher;
@@ -24,50 +25,53 @@
 
 use crate::search::Model;
 
-/// The property that a router in touch comes to know what the store shows.
-pub const HIDDEN: &str = "a change stayed hidden behind a revision that was given out again";
+/// Property: a router in contact with the store learns its present content.
+pub const STALE: &str = "a change was missed because its revision was assigned twice";
 
-/// The property that a target which is known to be gone gets no work by the word of a copy.
-pub const REVIVED: &str = "a target that was told to be gone gets work again, and is dead";
+/// Property: a target known to be gone gets no requests because of a restored copy.
+pub const REVIVED: &str = "a dead target known to be gone gets requests again";
 
-/// The property that a target which is known to leave gets no work by the word of a copy.
-pub const UNMARKED: &str = "a target that was told to leave gets work again";
+/// Property: a target known to be leaving gets no requests because of a restored copy.
+pub const LEAVING_FORGOTTEN: &str = "a target known to be leaving gets requests again";
 
-/// The property that a target which said that it leaves gets no work, in touch or not.
-pub const UNHEEDED: &str = "a target that said in an answer that it leaves gets work again";
+/// Property: a target that announced in an answer that it is leaving gets no requests, whether or
+/// not the router is in contact with the store.
+pub const NOTICE_IGNORED: &str =
+    "a target that announced in an answer that it is leaving gets requests again";
 
-/// What one step of time lasts: the time in which all write again what the copy lacks.
+/// Duration of one time step, within which all live processes rewrite what a restored copy lacks.
 const STRIDE: Duration = Duration::from_secs(2);
 
-/// Strides after which a dead target's entry has lapsed.
-const LAPSE: u8 = 2;
+/// Number of time steps after which a dead target's entry has expired.
+const EXPIRY_STRIDES: u8 = 2;
 
-/// Strides in touch after which a router knows what the store shows: those for which entries are held, and one more.
-const CALM: u8 = 4;
+/// Number of time steps in contact after which a router knows the store's content: those for which
+/// entries are held after a restore, and one more.
+const SETTLED_STRIDES: u8 = 4;
 
-/// `Flaw` is a rule taken away.
+/// `Flaw` is a planted fault, which disables one rule of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
-    /// Nothing: the protocol as built.
+    /// None: the protocol as implemented.
     None,
-    /// A revision counts in any era.
+    /// A revision is treated as valid in any era.
     KeepsRevision,
-    /// What a copy shows stands at once.
+    /// The content of a restored copy is trusted at once.
     TrustsCopy,
-    /// What a target says in its answers counts for nothing.
+    /// Notices in a target's answers are ignored.
     DropsNotices,
 }
 
 /// `Restores` is the model with its bounds.
 #[derive(Debug, Clone, Copy)]
 pub struct Restores {
-    /// The rule taken away.
+    /// Planted fault.
     pub flaw: Flaw,
-    /// Times that the store comes back from a copy.
+    /// Maximum number of restores of the store from a copy.
     pub restores: u8,
-    /// Changes of the target: registrations, marks and ends.
+    /// Maximum number of changes of the target: its registration, leaving mark and end.
     pub changes: u8,
-    /// Strides of time.
+    /// Maximum number of time steps.
     pub strides: u8,
 }
 
@@ -78,34 +82,34 @@
     Register,
     /// The target is marked as leaving.
     Leave,
-    /// The target answers the router and says that it leaves.
+    /// The target announces in an answer to the router that it is leaving.
     Answer,
     /// The target ends, and its entry is removed.
     End,
     /// A copy of the store is taken.
     Copy,
-    /// The store comes back from the copy.
+    /// The store is restored from the copy.
     Restore,
-    /// The router reads.
+    /// The router reads the store.
     Read,
-    /// Time passes while the router is not in touch.
+    /// Time passes while the router is not in contact with the store.
     Stride,
-    /// The router reads, and time passes.
+    /// The router reads the store, and time passes.
     Calm,
 }
 
-/// `Entry` is the target's entry: whether it leaves.
+/// The target's entry, if there is one: whether it is marked as leaving.
 type Entry = Option<bool>;
 
-/// What the store holds.
+/// Content of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
-struct Stored {
+struct StoreContent {
     entry: Entry,
-    /// The entry after each change; a change's place is its revision.
+    /// Entry after each change; the position of a change is its revision.
     history: Vec<Entry>,
 }
 
-impl Stored {
+impl StoreContent {
     fn write(&mut self, entry: Entry) {
         if self.entry != entry {
             self.entry = entry;
@@ -119,46 +123,47 @@
 pub struct State {
     directory: Directory,
     eras: EraTracker,
-    shape: Shape,
+    vars: Variables,
 }
 
-/// What the router heard of the target.
+/// What the router has learned about the target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-struct Heard {
-    /// By the store, that it leaves.
+struct RouterKnowledge {
+    /// From the store: that it is leaving.
     leaving: bool,
-    /// By the store, that it is gone.
+    /// From the store: that it is gone.
     gone: bool,
-    /// By the target, that it leaves.
-    said: bool,
+    /// From the target: that it is leaving.
+    noticed: bool,
 }
 
-/// All that tells states apart.
+/// Variables by which states are compared.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Shape {
+struct Variables {
     strides: u8,
     changes: u8,
     era: u64,
-    stored: Stored,
-    copy: Option<Stored>,
-    /// Whether the target lives, and whether it leaves.
-    live: Entry,
-    /// Strides for which a dead target's entry has stood.
-    dead: u8,
-    /// Strides in touch in a row.
-    calm: u8,
-    /// Whether the router is in touch: it was in each stride, or in the last ones for as long as entries are held.
-    touch: bool,
-    /// The era and the revision that the router goes on from.
+    stored: StoreContent,
+    copy: Option<StoreContent>,
+    /// The live target and whether it is leaving; `None` if it is not running.
+    target: Entry,
+    /// Number of time steps for which a dead target's entry has remained.
+    expiring_strides: u8,
+    /// Number of consecutive time steps in contact.
+    strides_in_touch: u8,
+    /// Whether the router counts as in contact: it was in every time step, or in the last ones for
+    /// as long as entries are held.
+    in_touch: bool,
+    /// Era and revision from which the router reads on.
     position: Option<(u64, usize)>,
-    heard: Heard,
-    /// What the router knows, as text.
+    learned: RouterKnowledge,
+    /// The router's directory and eras, formatted with [`std::fmt::Debug`].
     known: String,
 }
 
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
-        self.shape == other.shape
+        self.vars == other.vars
     }
 }
 
@@ -166,52 +171,53 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.shape.hash(state);
+        self.vars.hash(state);
     }
 }
 
 impl State {
     fn now(&self) -> Instant {
-        Instant::ZERO + STRIDE * u32::from(self.shape.strides)
+        Instant::ZERO + STRIDE * u32::from(self.vars.strides)
     }
 
     fn read(&mut self, flaw: Flaw) {
         let now = self.now();
-        let era = self.shape.era;
+        let era = self.vars.era;
         let told = self.eras.observe(now, Era(era));
         if told == EraOrder::Newer && flaw != Flaw::TrustsCopy {
             self.directory.store_restored(now);
         }
-        let held = self.directory.find("one").is_some();
-        let revision = self.shape.stored.history.len();
-        let position = self.shape.position;
+        let was_known = self.directory.find("one").is_some();
+        let revision = self.vars.stored.history.len();
+        let position = self.vars.position;
         let position = position.filter(|(of, _)| *of == era || flaw == Flaw::KeepsRevision);
         if let Some((_, known)) = position.filter(|(_, known)| *known <= revision) {
-            for entry in &self.shape.stored.history[known..] {
+            for entry in &self.vars.stored.history[known..] {
                 let _noted = self.directory.apply(now, change(*entry));
             }
         } else {
-            let listed = self.shape.stored.entry.map(|l| change(Some(l)));
+            let listed = self.vars.stored.entry.map(|l| change(Some(l)));
             let listed = listed.into_iter().collect();
             let _noted = self.directory.replace(now, listed);
         }
-        self.shape.position = Some((era, revision));
-        self.shape.heard.gone |= held && self.directory.find("one").is_none();
-        self.shape.heard.leaving |= self.directory.draining(now, "pool").next().is_some();
+        self.vars.position = Some((era, revision));
+        self.vars.learned.gone |= was_known && self.directory.find("one").is_none();
+        self.vars.learned.leaving |= self.directory.draining(now, "pool").next().is_some();
     }
 
-    /// Lets time pass: what is owed by then is written.
-    fn pass(&mut self) {
-        self.shape.strides += 1;
-        match (self.shape.live, self.shape.stored.entry) {
-            (Some(leaving), entry) if entry != Some(leaving) && self.shape.era > 0 => {
-                self.shape.stored.write(Some(leaving));
+    /// Advances time by one step, within which a live target rewrites its entry and a dead target's
+    /// entry may expire.
+    fn advance_time(&mut self) {
+        self.vars.strides += 1;
+        match (self.vars.target, self.vars.stored.entry) {
+            (Some(leaving), entry) if entry != Some(leaving) && self.vars.era > 0 => {
+                self.vars.stored.write(Some(leaving));
             }
             (None, Some(_)) => {
-                self.shape.dead += 1;
-                if self.shape.dead >= LAPSE {
-                    self.shape.dead = 0;
-                    self.shape.stored.write(None);
+                self.vars.expiring_strides += 1;
+                if self.vars.expiring_strides >= EXPIRY_STRIDES {
+                    self.vars.expiring_strides = 0;
+                    self.vars.stored.write(None);
                 }
             }
             _ => {}
@@ -220,9 +226,9 @@
         let _noted = self.directory.expire(now);
     }
 
-    /// Takes in an answer of the target, which the router has sent work.
-    fn answer(&mut self, flaw: Flaw) {
-        self.shape.heard.said = true;
+    /// Lets the router receive an answer of the target, to which it has sent a request.
+    fn receive_answer(&mut self, flaw: Flaw) {
+        self.vars.learned.noticed = true;
         let now = self.now();
         let notice = Notice {
             leaving: true,
@@ -234,7 +240,7 @@
         }
     }
 
-    fn works(&self) -> bool {
+    fn gets_work(&self) -> bool {
         !self.directory.pool(self.now(), "pool").is_empty()
     }
 }
@@ -256,73 +262,73 @@
 }
 
 impl Restores {
-    /// The steps that can be taken.
-    fn possible(self, state: &State) -> Vec<Step> {
-        let shape = &state.shape;
+    /// Returns the enabled steps.
+    fn enabled_steps(self, state: &State) -> Vec<Step> {
+        let vars = &state.vars;
         let mut steps = vec![Step::Read];
-        if shape.live == Some(true) && !shape.heard.said && state.directory.find("one").is_some() {
+        if vars.target == Some(true) && !vars.learned.noticed && state.directory.find("one").is_some() {
             steps.push(Step::Answer);
         }
-        if shape.changes < self.changes {
-            match shape.live {
-                None if shape.changes == 0 => steps.push(Step::Register),
+        if vars.changes < self.changes {
+            match vars.target {
+                None if vars.changes == 0 => steps.push(Step::Register),
                 Some(false) => steps.extend([Step::Leave, Step::End]),
                 Some(true) => steps.push(Step::End),
                 None => {}
             }
         }
-        if shape.era < u64::from(self.restores) {
+        if vars.era < u64::from(self.restores) {
             steps.push(Step::Copy);
-            if shape.copy.is_some() {
+            if vars.copy.is_some() {
                 steps.push(Step::Restore);
             }
         }
-        if shape.strides < self.strides {
+        if vars.strides < self.strides {
             steps.extend([Step::Stride, Step::Calm]);
         }
         steps
     }
 
-    fn take(self, state: &State, step: Step) -> State {
+    fn apply(self, state: &State, step: Step) -> State {
         let mut next = state.clone();
-        let shape = &mut next.shape;
-        shape.calm = match step {
-            Step::Calm => shape.calm + 1,
-            Step::Read | Step::Copy | Step::Answer => shape.calm,
+        let vars = &mut next.vars;
+        vars.strides_in_touch = match step {
+            Step::Calm => vars.strides_in_touch + 1,
+            Step::Read | Step::Copy | Step::Answer => vars.strides_in_touch,
             _ => 0,
         };
         match step {
-            Step::Register => shape.turn(Some(false)),
-            Step::Leave => shape.turn(Some(true)),
-            Step::Answer => next.answer(self.flaw),
-            Step::End => shape.turn(None),
-            Step::Copy => shape.copy = Some(shape.stored.clone()),
+            Step::Register => vars.change_target(Some(false)),
+            Step::Leave => vars.change_target(Some(true)),
+            Step::Answer => next.receive_answer(self.flaw),
+            Step::End => vars.change_target(None),
+            Step::Copy => vars.copy = Some(vars.stored.clone()),
             Step::Restore => {
-                shape.stored = shape.copy.take().unwrap_or_default();
-                shape.era += 1;
-                shape.dead = 0;
+                vars.stored = vars.copy.take().unwrap_or_default();
+                vars.era += 1;
+                vars.expiring_strides = 0;
             }
             Step::Read => next.read(self.flaw),
             Step::Stride => {
-                shape.touch = false;
-                next.pass();
+                vars.in_touch = false;
+                next.advance_time();
             }
             Step::Calm => {
-                shape.touch |= shape.calm >= CALM;
+                vars.in_touch |= vars.strides_in_touch >= SETTLED_STRIDES;
                 next.read(self.flaw);
-                next.pass();
+                next.advance_time();
             }
         }
-        next.shape.known = format!("{:?}{:?}", next.directory, next.eras);
+        next.vars.known = format!("{:?}{:?}", next.directory, next.eras);
         next
     }
 }
 
-impl Shape {
-    /// The target changes, and writes so.
-    fn turn(&mut self, live: Entry) {
+impl Variables {
+    /// Changes the target and writes its entry.
+    fn change_target(&mut self, live: Entry) {
         self.changes += 1;
-        self.live = live;
+        self.target = live;
         self.stored.write(live);
     }
 }
@@ -331,45 +337,45 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         State {
             directory: Directory::default(),
             eras: EraTracker::default(),
-            shape: Shape {
+            vars: Variables {
                 strides: 0,
                 changes: 0,
                 era: 0,
-                stored: Stored::default(),
+                stored: StoreContent::default(),
                 copy: None,
-                live: None,
-                dead: 0,
-                calm: 0,
-                touch: true,
+                target: None,
+                expiring_strides: 0,
+                strides_in_touch: 0,
+                in_touch: true,
                 position: None,
-                heard: Heard::default(),
+                learned: RouterKnowledge::default(),
                 known: String::new(),
             },
         }
     }
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
-        let steps = self.possible(state).into_iter();
-        steps.map(|s| (s, self.take(state, s))).collect()
+        let steps = self.enabled_steps(state).into_iter();
+        steps.map(|s| (s, self.apply(state, s))).collect()
     }
 
     fn violations(&self, state: &State) -> Vec<&'static str> {
-        let shape = &state.shape;
-        let shown = shape.stored.entry.is_some();
-        let hidden = shape.calm >= CALM && state.directory.find("one").is_some() != shown;
-        let works = shape.touch && state.works();
-        let revived = works && shape.heard.gone && shape.live.is_none();
-        let unmarked = works && shape.heard.leaving;
-        let unheeded = shape.heard.said && state.works();
+        let vars = &state.vars;
+        let shown = vars.stored.entry.is_some();
+        let missed_change = vars.strides_in_touch >= SETTLED_STRIDES && state.directory.find("one").is_some() != shown;
+        let works = vars.in_touch && state.gets_work();
+        let revived = works && vars.learned.gone && vars.target.is_none();
+        let forgotten = works && vars.learned.leaving;
+        let ignored = vars.learned.noticed && state.gets_work();
         let rows = [
-            (hidden, HIDDEN),
+            (missed_change, STALE),
             (revived, REVIVED),
-            (unmarked, UNMARKED),
-            (unheeded, UNHEEDED),
+            (forgotten, LEAVING_FORGOTTEN),
+            (ignored, NOTICE_IGNORED),
         ];
         let violated = rows.into_iter().filter(|(holds, _)| *holds);
         violated.map(|(_, property)| property).collect()
--- a/crates/peppercrank-spec/src/evacuations.rs
+++ b/crates/peppercrank-spec/src/evacuations.rs
@@ -1,11 +1,13 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! An availability zone that is evacuated and restored, as a router learns of it.
+//! Checks what a router learns about the evacuation and restoration of an availability zone.
 //!
-//! An operator evacuates the zone and restores it; the store may come back from a copy that lacks either, and the operator writes
-//! its own word again within a stride. The router lists, follows the history, loses touch for any time and starts again with
-//! nothing. It decides with the real [`peppercrank_direct::era::EraTracker`] and [`peppercrank_direct::evacuations::Evacuations`].
+//! An operator evacuates the zone and restores it; the store may be restored from a copy that lacks
+//! either change, and the operator rewrites its setting within a time step. The router lists
+//! entries, follows the change history, loses contact for any time and may restart with no state.
+//! It decides with the real [`peppercrank_direct::era::Eras`] and
+//! [`peppercrank_direct::evacuations::Evacuations`].
 
 use std::hash::Hash;
 use std::hash::Hasher;
@@ -21,53 +23,57 @@
 
 use crate::search::Model;
 
-/// The property that an evacuation reaches a router in touch.
-pub const UNHEARD: &str = "a router in touch places work in a zone that is evacuated";
+/// Property: an evacuation takes effect at a router in contact with the store.
+pub const NOT_APPLIED: &str =
+    "a router in contact with the store places requests in an evacuated zone";
 
-/// The property that an evacuation which a router was told of binds it until the operator ends it.
-pub const UNBOUND: &str = "a router that was told of an evacuation places work in the zone";
+/// Property: an evacuation known to a router binds it until the operator ends it.
+pub const NOT_BINDING: &str = "a router that knows of an evacuation places requests in the zone";
 
-/// The property that a router which knows nothing places no work.
-pub const BLIND: &str =
-    "a router places work in an evacuated zone before it has read which zones are";
+/// Property: a router that does not know the evacuated zones places no requests.
+pub const ZONES_UNKNOWN: &str =
+    "a router places requests in an evacuated zone before it has read the evacuations";
 
-/// The property that a zone which is restored gets work again.
-pub const STUCK: &str = "a router in touch keeps work from a zone that was restored";
+/// Property: a restored zone gets requests again.
+pub const NOT_RESTORED: &str =
+    "a router in contact with the store places no requests in a restored zone";
 
-/// What one step of time lasts: the time in which an operator writes again what a copy lacks.
+/// Duration of one time step, within which an operator rewrites what a restored copy lacks.
 const STRIDE: Duration = Duration::from_secs(2);
 
-/// Strides in touch after which a router knows what the operator wants: those for which a copy is distrusted, and one more.
-const CALM: u8 = 4;
+/// Number of time steps in contact after which a router knows the operator's setting: those for
+/// which a restored copy is distrusted, and one more.
+const SETTLED_STRIDES: u8 = 4;
 
-/// The zone of the model.
+/// Name of the zone.
 const ZONE: &str = "a";
 
-/// `Flaw` is a rule taken away.
+/// `Flaw` is a planted fault, which disables one rule of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
-    /// Nothing: the protocol as built.
+    /// None: the protocol as implemented.
     None,
-    /// A copy that lacks an evacuation ends it.
+    /// A restored copy that lacks an evacuation ends it.
     TrustsCopy,
-    /// What is not known yet is taken for none.
+    /// Unknown evacuations are treated as none.
     TrustsSilence,
-    /// What a copy lacks ends by time alone.
+    /// An evacuation missing from a restored copy ends after a time, without the store having been
+    /// read again.
     EndsByTime,
 }
 
-/// `Zones` is the model with its bounds.
+/// `ZoneEvacuation` is the model with its bounds.
 #[derive(Debug, Clone, Copy)]
-pub struct Zones {
-    /// The rule taken away.
+pub struct ZoneEvacuation {
+    /// Planted fault.
     pub flaw: Flaw,
-    /// Times that the store comes back from a copy.
+    /// Maximum number of restores of the store from a copy.
     pub restores: u8,
-    /// Times that the operator evacuates or restores the zone.
+    /// Maximum number of evacuations and restorations of the zone.
     pub changes: u8,
-    /// Times that the router starts again.
-    pub starts: u8,
-    /// Strides of time.
+    /// Maximum number of router restarts.
+    pub restarts: u8,
+    /// Maximum number of time steps.
     pub strides: u8,
 }
 
@@ -78,19 +84,19 @@
     Turn,
     /// A copy of the store is taken.
     Copy,
-    /// The store comes back from the copy.
+    /// The store is restored from the copy.
     Restore,
-    /// The router starts again.
+    /// The router restarts with no state.
     Start,
-    /// The router reads.
+    /// The router reads the store.
     Read,
-    /// Time passes while the router is not in touch.
+    /// Time passes while the router is not in contact with the store.
     Stride,
-    /// The router reads, and time passes.
+    /// The router reads the store, and time passes.
     Calm,
 }
 
-/// What the store holds: whether the zone is evacuated, after each change.
+/// Content of the store: whether the zone is evacuated, after each change.
 type Stored = Vec<bool>;
 
 /// `State` is one state of the model.
@@ -98,33 +104,33 @@
 pub struct State {
     known: Evacuations,
     eras: EraTracker,
-    shape: Shape,
+    vars: Variables,
 }
 
-/// All that tells states apart.
+/// Variables by which states are compared.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Shape {
+struct Variables {
     strides: u8,
     changes: u8,
-    starts: u8,
+    restarts: u8,
     era: u64,
     stored: Stored,
     copy: Option<Stored>,
     /// Whether the operator wants the zone evacuated.
     wanted: bool,
-    /// Whether the router was told of the evacuation that is wanted.
-    told: bool,
-    /// Strides in touch in a row.
-    calm: u8,
-    /// The era and the revision that the router goes on from.
+    /// Whether the router has read the evacuation that the operator wants.
+    learned: bool,
+    /// Number of consecutive time steps in contact.
+    strides_in_touch: u8,
+    /// Era and revision from which the router reads on.
     position: Option<(u64, usize)>,
-    /// What the router knows, as text.
+    /// The router's evacuations and eras, formatted with [`std::fmt::Debug`].
     known: String,
 }
 
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
-        self.shape == other.shape
+        self.vars == other.vars
     }
 }
 
@@ -132,7 +138,7 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.shape.hash(state);
+        self.vars.hash(state);
     }
 }
 
@@ -150,49 +156,49 @@
 
 impl State {
     fn now(&self) -> Instant {
-        Instant::ZERO + STRIDE * u32::from(self.shape.strides)
+        Instant::ZERO + STRIDE * u32::from(self.vars.strides)
     }
 
     fn read(&mut self, flaw: Flaw) {
         let now = self.now();
-        let era = self.shape.era;
+        let era = self.vars.era;
         if self.eras.observe(now, Era(era)) == EraOrder::Newer && flaw != Flaw::TrustsCopy {
             self.known.store_restored(now);
         }
-        let revision = self.shape.stored.len();
-        let position = self.shape.position.filter(|(of, _)| *of == era);
+        let revision = self.vars.stored.len();
+        let position = self.vars.position.filter(|(of, _)| *of == era);
         if let Some((_, from)) = position {
-            for evacuated in &self.shape.stored[from..] {
+            for evacuated in &self.vars.stored[from..] {
                 let _news = self.known.apply(now, change(*evacuated));
             }
             let _settled = self.known.end_missing(now, now);
         } else {
-            let listed = is_evacuated(&self.shape.stored).then(|| Arc::from(ZONE));
+            let listed = is_evacuated(&self.vars.stored).then(|| Arc::from(ZONE));
             let listed = listed.into_iter().collect::<Vec<_>>();
             let _changes = self.known.replace(now, now, &listed);
         }
-        self.shape.position = Some((era, revision));
-        self.shape.told |= self.shape.wanted && is_evacuated(&self.shape.stored);
+        self.vars.position = Some((era, revision));
+        self.vars.learned |= self.vars.wanted && is_evacuated(&self.vars.stored);
     }
 
-    /// Lets time pass: what the operator wants is written by then.
-    fn pass(&mut self, flaw: Flaw) {
-        self.shape.strides += 1;
-        self.shape.write();
+    /// Advances time by one step, within which the operator's setting is written again.
+    fn advance_time(&mut self, flaw: Flaw) {
+        self.vars.strides += 1;
+        self.vars.write();
         if flaw == Flaw::EndsByTime {
             let now = self.now();
             let _ended = self.known.end_missing(now, now);
         }
     }
 
-    /// Whether work is placed in the zone.
-    fn places(&self, flaw: Flaw) -> bool {
+    /// Returns whether the router may place requests in the zone.
+    fn may_place_work(&self, flaw: Flaw) -> bool {
         let knows = self.known.is_listed() || flaw == Flaw::TrustsSilence;
         knows && !self.known.contains(ZONE)
     }
 }
 
-impl Shape {
+impl Variables {
     fn write(&mut self) {
         if is_evacuated(&self.stored) != self.wanted {
             self.stored.push(self.wanted);
@@ -200,85 +206,85 @@
     }
 }
 
-impl Zones {
-    /// The steps that can be taken.
-    fn possible(self, shape: &Shape) -> Vec<Step> {
+impl ZoneEvacuation {
+    /// Returns the enabled steps.
+    fn enabled_steps(self, vars: &Variables) -> Vec<Step> {
         let mut steps = vec![Step::Read];
-        if shape.changes < self.changes {
+        if vars.changes < self.changes {
             steps.push(Step::Turn);
         }
-        if shape.starts < self.starts {
+        if vars.restarts < self.restarts {
             steps.push(Step::Start);
         }
-        if shape.era < u64::from(self.restores) {
+        if vars.era < u64::from(self.restores) {
             steps.push(Step::Copy);
-            if shape.copy.is_some() {
+            if vars.copy.is_some() {
                 steps.push(Step::Restore);
             }
         }
-        if shape.strides < self.strides {
+        if vars.strides < self.strides {
             steps.extend([Step::Stride, Step::Calm]);
         }
         steps
     }
 
-    fn take(self, state: &State, step: Step) -> State {
+    fn apply(self, state: &State, step: Step) -> State {
         let mut next = state.clone();
-        let shape = &mut next.shape;
-        shape.calm = match step {
-            Step::Calm => shape.calm + 1,
-            Step::Read | Step::Copy => shape.calm,
+        let vars = &mut next.vars;
+        vars.strides_in_touch = match step {
+            Step::Calm => vars.strides_in_touch + 1,
+            Step::Read | Step::Copy => vars.strides_in_touch,
             Step::Turn | Step::Restore | Step::Start | Step::Stride => 0,
         };
         match step {
             Step::Turn => {
-                shape.changes += 1;
-                shape.wanted = !shape.wanted;
-                shape.told = false;
-                shape.write();
+                vars.changes += 1;
+                vars.wanted = !vars.wanted;
+                vars.learned = false;
+                vars.write();
             }
-            Step::Copy => shape.copy = Some(shape.stored.clone()),
+            Step::Copy => vars.copy = Some(vars.stored.clone()),
             Step::Restore => {
-                shape.stored = shape.copy.take().unwrap_or_default();
-                shape.era += 1;
+                vars.stored = vars.copy.take().unwrap_or_default();
+                vars.era += 1;
             }
             Step::Start => {
-                shape.starts += 1;
-                shape.told = false;
-                shape.position = None;
+                vars.restarts += 1;
+                vars.learned = false;
+                vars.position = None;
                 next.known = Evacuations::default();
                 next.eras = EraTracker::default();
             }
             Step::Read => next.read(self.flaw),
-            Step::Stride => next.pass(self.flaw),
+            Step::Stride => next.advance_time(self.flaw),
             Step::Calm => {
                 next.read(self.flaw);
-                next.pass(self.flaw);
+                next.advance_time(self.flaw);
             }
         }
-        next.shape.known = format!("{:?}{:?}", next.known, next.eras);
+        next.vars.known = format!("{:?}{:?}", next.known, next.eras);
         next
     }
 }
 
-impl Model for Zones {
+impl Model for ZoneEvacuation {
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         State {
             known: Evacuations::default(),
             eras: EraTracker::default(),
-            shape: Shape {
+            vars: Variables {
                 strides: 0,
                 changes: 0,
-                starts: 0,
+                restarts: 0,
                 era: 0,
                 stored: Stored::default(),
                 copy: None,
                 wanted: false,
-                told: false,
-                calm: 0,
+                learned: false,
+                strides_in_touch: 0,
                 position: None,
                 known: String::new(),
             },
@@ -286,23 +292,23 @@
     }
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
-        let steps = self.possible(&state.shape).into_iter();
-        steps.map(|s| (s, self.take(state, s))).collect()
+        let steps = self.enabled_steps(&state.vars).into_iter();
+        steps.map(|s| (s, self.apply(state, s))).collect()
     }
 
     fn violations(&self, state: &State) -> Vec<&'static str> {
-        let shape = &state.shape;
-        let places = state.places(self.flaw);
-        let unbound = shape.told && places;
-        let calm = shape.calm >= CALM;
-        let unheard = calm && shape.wanted && places;
-        let stuck = calm && !shape.wanted && !places;
-        let blind = shape.wanted && !state.known.is_listed() && places;
+        let vars = &state.vars;
+        let places = state.may_place_work(self.flaw);
+        let not_binding = vars.learned && places;
+        let settled = vars.strides_in_touch >= SETTLED_STRIDES;
+        let not_applied = settled && vars.wanted && places;
+        let not_restored = settled && !vars.wanted && !places;
+        let zones_unknown = vars.wanted && !state.known.is_listed() && places;
         let rows = [
-            (unheard, UNHEARD),
-            (unbound, UNBOUND),
-            (blind, BLIND),
-            (stuck, STUCK),
+            (not_applied, NOT_APPLIED),
+            (not_binding, NOT_BINDING),
+            (zones_unknown, ZONES_UNKNOWN),
+            (not_restored, NOT_RESTORED),
         ];
         let violated = rows.into_iter().filter(|(holds, _)| *holds);
         violated.map(|(_, property)| property).collect()
--- a/crates/peppercrank-spec/src/once.rs
+++ b/crates/peppercrank-spec/src/once.rs
@@ -1,12 +1,14 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A not-repeatable request with an idempotency key runs at most once, and "not run" is true.
+//! Checks that a non-repeatable request with an idempotency key runs at most once, and that "not
+//! run" is reported truthfully.
 //!
-//! One key, two routers that run the real [`Claims`] machine on one shard, a caller that sends the
-//! same request again whenever it likes, one agent. Calls of the store are answered late, in any
-//! order or not at all, and may take effect though their answer is lost. One assumption is built
-//! in: a forwarded request is taken up within the retention less the life of a grant, or never.
+//! The model has one key, two routers that run the real [`Claims`] state machine on one shard, a
+//! caller that submits the same request any number of times, and one agent. Calls of the store are
+//! answered late, in any order or not at all, and may take effect even if the answer is lost. One
+//! assumption is built in: a forwarded request is accepted by the agent within the retention time
+//! less the lifetime of a grant, or never.
 
 mod bounds;
 mod state;
@@ -30,62 +32,63 @@
 use peppercrank_lease::store::Version;
 
 use crate::once::state::Call;
+use crate::once::state::Report;
 use crate::once::state::Router;
-use crate::once::state::Sending;
-use crate::once::state::Word;
+use crate::once::state::Submission;
 use crate::search::Model;
 
 pub use crate::once::bounds::Flaw;
 pub use crate::once::bounds::Once;
 pub use crate::once::state::State;
 
-/// The property that the request runs at most once.
-pub const TWICE: &str = "a request that must not run twice ran twice";
+/// Property: the request runs at most once.
+pub const RAN_TWICE: &str = "a request that must not run twice ran twice";
 
-/// The property that a sending of which "not run" is said never ran and never runs.
-pub const UNTRUE: &str = "\"not run\" was said of a sending that ran";
+/// Property: a submission reported as "not run" never ran and never runs.
+pub const FALSE_NOT_RUN: &str = "\"not run\" was reported of a submission that ran";
 
-/// The property that "not run", said under a claim, is true of the key in all its sendings.
+/// Property: "not run", reported under a claim, is true of all submissions with the key.
 ///
-/// Without a claim, in an outage or after a pause that outlasted the grant, a router answers for
-/// the one sending only: it cannot know of the others.
-pub const UNTRUE_KEY: &str = "\"not run\" was said under a claim of a key that ran or might run";
+/// Without a claim, in an outage or after a pause longer than the grant, a router reports on the
+/// one submission only, since it cannot know of the others.
+pub const FALSE_NOT_RUN_OF_KEY: &str =
+    "\"not run\" was reported under a claim of a key that ran or might run";
 
-/// The one key.
+/// Idempotency key of all submissions.
 const KEY: ClaimKey = ClaimKey(7);
 
-/// What a long step of time lasts: an epoch, longer than a grant or a wait for a claim.
+/// Duration of a long time step: an epoch, which is longer than a grant or a wait for a claim.
 const STRIDE: Duration = Duration::from_secs(4);
 
-/// What a short step of time lasts: longer than a wait for a claim, shorter than a grant.
+/// Duration of a short time step: longer than a wait for a claim, shorter than a grant.
 const NAP: Duration = Duration::from_millis(1_500);
 
 /// `Step` is one step of the model.
 #[derive(Debug, Clone)]
 pub enum Step {
-    /// The caller sends the request to a router.
+    /// The caller submits the request to a router.
     Send(usize),
-    /// The store takes a call and its answer arrives.
+    /// The store handles a call and its answer arrives.
     Serve(usize),
-    /// The router takes a call for failed; it may take effect yet.
+    /// The router treats a call as failed; it may still take effect.
     Lose(usize),
-    /// A router's timer runs.
+    /// A router's timer fires.
     Tick(usize),
-    /// A router that has a grant forwards.
+    /// A router that has a grant forwards the request.
     Forward(usize, RequestId),
-    /// The agent takes a request and it runs; the answer arrives or not.
+    /// The agent accepts a request and runs it; its answer may be lost.
     Run(RequestId),
     /// The agent refuses a request as not run.
     Refuse(RequestId),
-    /// The connection is cut; the request may reach the agent yet.
+    /// The connection is lost; the request may still reach the agent.
     Cut(RequestId),
-    /// A router crashes and starts anew.
+    /// A router crashes and restarts with no state.
     Crash(usize),
-    /// A long time passes, or every process is paused.
+    /// A long time passes, or all processes are paused.
     Stride,
     /// A short time passes.
     Nap,
-    /// Another router that has watched the epoch for a period begins the next.
+    /// Another router that has observed the epoch for a whole period starts the next one.
     Roll,
 }
 
@@ -106,16 +109,16 @@
     }
 
     fn router() -> Router {
-        // The policy above passes its own check; the tests would show it if not.
+        // The policy is a constant of the model; the tests would fail if it were invalid.
         let claims = Claims::new(Self::policy(), 1).expect("the model's policy is in range");
         Router {
             claims,
             grants: Vec::new(),
-            open: Vec::new(),
+            awaiting: Vec::new(),
         }
     }
 
-    fn drive(self, s: &mut State, at: usize, input: Input) {
+    fn drive_claims(self, s: &mut State, at: usize, input: Input) {
         let actions = s.routers[at].claims.on(s.now, input);
         for action in actions {
             match action {
@@ -136,25 +139,25 @@
                     shard,
                     write: Some((base, body)),
                 }),
-                Action::Tell { token, verdict } => self.tell(s, at, token, verdict),
+                Action::Tell { token, verdict } => self.record_verdict(s, at, token, verdict),
             }
         }
     }
 
-    fn tell(self, s: &mut State, at: usize, token: RequestId, verdict: Verdict) {
+    fn record_verdict(self, s: &mut State, at: usize, token: RequestId, verdict: Verdict) {
         match verdict {
             Verdict::Granted { until } => s.routers[at].grants.push((token, until)),
-            Verdict::Begun if self.flaw == Flaw::BegunNotRun => s.say_not_run(token, true),
-            Verdict::Begun => s.say(token, Word::MayHaveRun),
-            Verdict::Unavailable => s.say_not_run(token, false),
+            Verdict::Begun if self.flaw == Flaw::BegunNotRun => s.report_not_run(token, true),
+            Verdict::Begun => s.report(token, Report::MayHaveRun),
+            Verdict::Unavailable => s.report_not_run(token, false),
         }
     }
 
-    fn send(self, s: &mut State, at: usize) {
-        let token = RequestId(s.sends.len() as u128);
-        s.sends.push(Sending {
+    fn send_request(self, s: &mut State, at: usize) {
+        let token = RequestId(s.submissions.len() as u128);
+        s.submissions.push(Submission {
             at: s.now,
-            ran: s.ran.len(),
+            runs_before: s.runs.len(),
         });
         if self.flaw == Flaw::NoClaim {
             let until = s.now + STRIDE;
@@ -163,19 +166,19 @@
         }
         let wait = STRIDE;
         let key = KEY;
-        self.drive(s, at, Input::Claim { key, token, wait });
+        self.drive_claims(s, at, Input::Claim { key, token, wait });
     }
 
-    fn serve(self, s: &mut State, at: usize) {
+    fn serve_call(self, s: &mut State, at: usize) {
         let call = s.calls.remove(at);
-        let answer = self.store(s, call.shard, call.write);
+        let answer = self.call_store(s, call.shard, call.write);
         if let Some(router) = call.from {
             let call = call.id;
-            self.drive(s, router, Input::Answer { call, answer });
+            self.drive_claims(s, router, Input::Answer { call, answer });
         }
     }
 
-    fn store(self, s: &mut State, shard: u16, write: Option<(Base, Shard)>) -> Answer<Shard> {
+    fn call_store(self, s: &mut State, shard: u16, write: Option<(Base, Shard)>) -> Answer<Shard> {
         let current = s.object(shard).clone();
         let Some((base, body)) = write else {
             return match current {
@@ -183,8 +186,8 @@
                 None => Answer::Absent,
             };
         };
-        let stands = base == current.as_ref().map(|c| c.0);
-        if !stands && self.flaw != Flaw::Unconditional {
+        let is_current = base == current.as_ref().map(|c| c.0);
+        if !is_current && self.flaw != Flaw::Unconditional {
             return Answer::Conflict { current };
         }
         s.put(shard, body);
@@ -193,8 +196,8 @@
         }
     }
 
-    fn lose(self, s: &mut State, at: usize) {
-        s.lost += 1;
+    fn lose_answer(self, s: &mut State, at: usize) {
+        s.losses += 1;
         let call = s.calls[at].id;
         let Some(router) = s.calls[at].from.take() else {
             return;
@@ -203,7 +206,7 @@
             s.calls.remove(at);
         }
         let answer = Answer::Failed { after: None };
-        self.drive(s, router, Input::Answer { call, answer });
+        self.drive_claims(s, router, Input::Answer { call, answer });
     }
 
     fn forward(self, s: &mut State, at: usize, token: RequestId) {
@@ -213,72 +216,72 @@
         };
         let (_, until) = s.routers[at].grants.remove(found);
         if s.now < until || self.flaw == Flaw::OldGrant {
-            s.wire.push((token, s.now));
-            s.routers[at].open.push((token, until));
+            s.in_flight.push((token, s.now));
+            s.routers[at].awaiting.push((token, until));
             return;
         }
-        s.say_not_run(token, false);
-        self.release(s, at, token);
+        s.report_not_run(token, false);
+        self.release_claim(s, at, token);
     }
 
-    fn release(self, s: &mut State, at: usize, token: RequestId) {
+    fn release_claim(self, s: &mut State, at: usize, token: RequestId) {
         let key = KEY;
-        self.drive(s, at, Input::Release { key, token });
+        self.drive_claims(s, at, Input::Release { key, token });
     }
 
     fn refuse(self, s: &mut State, token: RequestId) {
-        s.wire.retain(|w| w.0 != token);
-        let Some((at, until)) = s.close(token) else {
+        s.in_flight.retain(|w| w.0 != token);
+        let Some((at, until)) = s.stop_awaiting(token) else {
             return;
         };
-        s.say_not_run(token, s.now < until);
-        self.release(s, at, token);
+        s.report_not_run(token, s.now < until);
+        self.release_claim(s, at, token);
     }
 
-    fn cut(self, s: &mut State, token: RequestId) {
-        s.cut += 1;
-        let Some((at, until)) = s.close(token) else {
+    fn cut_connection(self, s: &mut State, token: RequestId) {
+        s.cuts += 1;
+        let Some((at, until)) = s.stop_awaiting(token) else {
             return;
         };
         match self.flaw {
-            Flaw::RetriesCut => s.wire.push((token, s.now)),
-            Flaw::CutNotRun => s.say_not_run(token, s.now < until),
-            _ => s.say(token, Word::MayHaveRun),
+            Flaw::RetriesCut => s.in_flight.push((token, s.now)),
+            Flaw::CutNotRun => s.report_not_run(token, s.now < until),
+            _ => s.report(token, Report::MayHaveRun),
         }
         if self.flaw == Flaw::ReleasesCut {
-            self.release(s, at, token);
+            self.release_claim(s, at, token);
         }
     }
 
-    fn crash(s: &mut State, at: usize) {
-        s.crashed += 1;
+    fn crash_router(s: &mut State, at: usize) {
+        s.crashes += 1;
         s.routers[at] = Self::router();
-        // Its reads die with it; its writes may take effect yet.
+        // Reads of the crashed router are lost; its writes may still take effect.
         s.calls.retain(|c| c.from != Some(at) || c.write.is_some());
         for call in &mut s.calls {
             call.from.take_if(|r| *r == at);
         }
     }
 
-    fn pass(s: &mut State, time: Duration) {
+    fn advance_time(s: &mut State, time: Duration) {
         s.now = s.now + time;
-        // The assumption on the network and on paused agents: a request that was forwarded is
-        // taken up before the claim on it can be dropped, or never.
+        // Assumption on the network and on paused agents: a forwarded request is accepted before
+        // its claim can be dropped, or never.
         let policy = Self::policy();
-        let lasts = policy.retention().saturating_sub(policy.life);
+        let max_transit = policy.retention().saturating_sub(policy.life);
         let now = s.now;
-        s.wire.retain(|w| now.since(w.1) < lasts);
+        s.in_flight.retain(|w| now.since(w.1) < max_transit);
     }
 
-    fn may_roll(self, s: &State) -> bool {
+    fn may_advance_epoch(self, s: &State) -> bool {
         let period = Self::policy().period;
-        let watched = s.since.is_none_or(|at| s.now.since(at) >= period);
-        // An epoch that no claim is made or kept in makes no difference.
+        let watched = s.epoch_since.is_none_or(|at| s.now.since(at) >= period);
+        // Advancing the epoch makes no difference while no claim is held.
         let useful = s.object(0).as_ref().is_some_and(|o| !o.1.is_empty());
         useful && (watched || self.flaw == Flaw::EarlyEpoch)
     }
 
-    fn roll(s: &mut State) {
+    fn advance_epoch(s: &mut State) {
         let number = s.object(EPOCH).as_ref().map_or(0, |o| o.1.epoch());
         s.put(EPOCH, Shard::of_epoch(number + 1));
     }
@@ -286,24 +289,24 @@
     fn apply(self, s: &State, step: &Step) -> State {
         let mut s = s.clone();
         match *step {
-            Step::Send(at) => self.send(&mut s, at),
-            Step::Serve(at) => self.serve(&mut s, at),
-            Step::Lose(at) => self.lose(&mut s, at),
-            Step::Tick(at) => self.drive(&mut s, at, Input::Tick),
+            Step::Send(at) => self.send_request(&mut s, at),
+            Step::Serve(at) => self.serve_call(&mut s, at),
+            Step::Lose(at) => self.lose_answer(&mut s, at),
+            Step::Tick(at) => self.drive_claims(&mut s, at, Input::Tick),
             Step::Forward(at, token) => self.forward(&mut s, at, token),
             Step::Run(token) => s.run(token),
             Step::Refuse(token) => self.refuse(&mut s, token),
-            Step::Cut(token) => self.cut(&mut s, token),
-            Step::Crash(at) => Self::crash(&mut s, at),
+            Step::Cut(token) => self.cut_connection(&mut s, token),
+            Step::Crash(at) => Self::crash_router(&mut s, at),
             Step::Stride => {
-                s.strode += 1;
-                Self::pass(&mut s, STRIDE);
+                s.strides += 1;
+                Self::advance_time(&mut s, STRIDE);
             }
             Step::Nap => {
-                s.napped += 1;
-                Self::pass(&mut s, NAP);
+                s.naps += 1;
+                Self::advance_time(&mut s, NAP);
             }
-            Step::Roll => Self::roll(&mut s),
+            Step::Roll => Self::advance_epoch(&mut s),
         }
         s
     }
@@ -313,26 +316,26 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         State {
             now: Instant::ZERO,
             version: 0,
             shard: None,
             epoch: None,
-            since: None,
+            epoch_since: None,
             routers: [Self::router(), Self::router()],
             calls: Vec::new(),
-            wire: Vec::new(),
-            ran: Vec::new(),
-            told: BTreeSet::new(),
-            lied: false,
-            sends: Vec::new(),
-            twice: false,
-            lost: 0,
-            crashed: 0,
-            strode: 0,
-            napped: 0,
-            cut: 0,
+            in_flight: Vec::new(),
+            runs: Vec::new(),
+            reports: BTreeSet::new(),
+            false_report: false,
+            submissions: Vec::new(),
+            ran_twice: false,
+            losses: 0,
+            crashes: 0,
+            strides: 0,
+            naps: 0,
+            cuts: 0,
         }
     }
 
@@ -342,27 +345,27 @@
         self.router_steps(state, 1, &mut steps);
         for (i, call) in state.calls.iter().enumerate() {
             steps.push(Step::Serve(i));
-            if call.from.is_some() && state.lost < self.losses {
+            if call.from.is_some() && state.losses < self.losses {
                 steps.push(Step::Lose(i));
             }
         }
-        for (token, _) in &state.wire {
+        for (token, _) in &state.in_flight {
             steps.push(Step::Run(*token));
-            let open = state.is_open(*token);
+            let open = state.is_awaited(*token);
             if open {
                 steps.push(Step::Refuse(*token));
             }
-            if open && state.cut < self.cuts {
+            if open && state.cuts < self.cuts {
                 steps.push(Step::Cut(*token));
             }
         }
-        if state.strode < self.strides {
+        if state.strides < self.strides {
             steps.push(Step::Stride);
         }
-        if state.napped < self.naps {
+        if state.naps < self.naps {
             steps.push(Step::Nap);
         }
-        if self.may_roll(state) {
+        if self.may_advance_epoch(state) {
             steps.push(Step::Roll);
         }
         let next = steps.into_iter().map(|step| {
@@ -374,15 +377,15 @@
 
     fn violations(&self, state: &State) -> Vec<&'static str> {
         let mut bad = Vec::new();
-        if state.twice {
-            bad.push(TWICE);
+        if state.ran_twice {
+            bad.push(RAN_TWICE);
         }
-        let mut told = state.told.iter();
-        if told.any(|(t, w)| *w == Word::NotRun && state.ran.contains(t)) {
-            bad.push(UNTRUE);
+        let mut told = state.reports.iter();
+        if told.any(|(t, w)| *w == Report::NotRun && state.runs.contains(t)) {
+            bad.push(FALSE_NOT_RUN);
         }
-        if state.lied {
-            bad.push(UNTRUE_KEY);
+        if state.false_report {
+            bad.push(FALSE_NOT_RUN_OF_KEY);
         }
         bad
     }
--- a/crates/peppercrank-spec/src/starts.rs
+++ b/crates/peppercrank-spec/src/starts.rs
@@ -1,11 +1,12 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A target that starts again under its name, as a router learns of it from the store.
+//! Checks what a router learns about a target that restarts under the same name.
 //!
-//! One target starts up to three times, the last time by a clock that was set back. Its writes to the store may be
-//! done late, also after their process has ended; its entry may lapse; the router reads the store now and then, and
-//! misses what came between. The router decides with the real [`peppercrank_direct::directory::Directory`].
+//! One target starts up to three times, the last time with its clock set back. Its writes to the
+//! store may take effect late, even after the process has ended; its entry may expire; the router
+//! reads the store from time to time and misses changes in between. It decides with the real
+//! [`peppercrank_direct::directory::Directory`].
 
 use std::collections::BTreeSet;
 use std::hash::Hash;
@@ -21,68 +22,71 @@
 
 use crate::search::Model;
 
-/// The property that two starts never count as one.
-pub const MIXED: &str = "what was known of one start was kept for another";
+/// Property: two starts are never treated as one.
+pub const MIXED: &str = "the state of one start was kept for another";
 
-/// The property that late word of a start that has ended replaces none that lives, by clocks that only go on.
-pub const OVERTAKEN: &str = "late word of an earlier start replaced the one that lives";
+/// Property: a late write of an ended start does not replace the live one, if clocks only move
+/// forward.
+pub const OVERTAKEN: &str = "a late write of an earlier start replaced the live one";
 
-/// The property that a router comes to know the start that lives.
-pub const BEHIND: &str = "a router in touch did not come to know the start that lives";
+/// Property: a router in contact with the store learns of the live start.
+pub const BEHIND: &str = "a router in contact with the store did not learn of the live start";
 
-/// When each start began, by its own clock. The third one's was set back.
-const BORN: [u64; 3] = [1_000, 3_000, 2_000];
+/// Start times by the target's own clock, in milliseconds. The clock was set back before the third
+/// start.
+const START_TIMES_MS: [u64; 3] = [1_000, 3_000, 2_000];
 
-/// What one step of time lasts: half of the time after which word of an earlier start stands.
+/// Duration of one time step: half of the time after which an entry of an earlier start is
+/// accepted.
 const STRIDE: Duration = Duration::from_secs(2);
 
-/// Strides in touch after which a router knows the start that lives.
-const CALM: u8 = 2;
+/// Number of time steps in contact after which a router knows the live start.
+const SETTLED_STRIDES: u8 = 2;
 
-/// `Flaw` is a rule taken away.
+/// `Flaw` is a planted fault, which disables one rule of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
-    /// Nothing: the protocol as built.
+    /// None: the protocol as implemented.
     None,
-    /// Starts are told apart by the target's name alone.
+    /// Starts are distinguished by the target's name only.
     NameOnly,
-    /// Word of an earlier start counts at once.
+    /// An entry of an earlier start is accepted at once.
     TakesEarlier,
-    /// Word of an earlier start never counts.
+    /// An entry of an earlier start is never accepted.
     DropsEarlier,
 }
 
 /// `Starts` is the model with its bounds.
 #[derive(Debug, Clone, Copy)]
 pub struct Starts {
-    /// The rule taken away.
+    /// Planted fault.
     pub flaw: Flaw,
-    /// Times that the target starts again, two at the most.
+    /// Maximum number of target restarts, at most 2.
     pub restarts: u8,
-    /// Writes that are done late.
+    /// Maximum number of writes that take effect late.
     pub delays: u8,
-    /// Times that the entry lapses.
+    /// Maximum number of times that the entry expires.
     pub lapses: u8,
-    /// Strides of time.
+    /// Maximum number of time steps.
     pub strides: u8,
 }
 
 /// `Step` is one step of the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// The target ends and starts again.
+    /// The target ends and restarts.
     Restart,
-    /// The start that lives writes its entry.
+    /// The live start writes its entry.
     Write,
-    /// It sends a write that is done later.
+    /// The live start sends a write that takes effect later.
     Send,
-    /// A late write of this start is done.
+    /// A late write of this start takes effect.
     Land(u8),
-    /// The entry lapses.
+    /// The entry expires.
     Lapse,
     /// The router reads the entry.
     Read,
-    /// Time passes while nobody is in touch.
+    /// Time passes while neither the target nor the router is in contact with the store.
     Stride,
     /// The target writes, the router reads, and time passes.
     Calm,
@@ -92,24 +96,25 @@
 #[derive(Debug, Clone)]
 pub struct State {
     directory: Directory,
-    /// The key that the router knows, and the start that it was first known for.
-    owner: Option<(TargetKey, u8)>,
-    shape: Shape,
+    /// The router's key of the target, and the start for which it was first used.
+    known_key: Option<(TargetKey, u8)>,
+    vars: Variables,
 }
 
-/// All that tells states apart.
+/// Variables by which states are compared.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Shape {
+struct Variables {
     strides: u8,
-    live: u8,
+    current: u8,
     entry: Option<u8>,
-    late: BTreeSet<u8>,
+    pending_writes: BTreeSet<u8>,
     delays: u8,
     lapses: u8,
-    calm: u8,
-    /// The start that the router knows.
+    strides_in_touch: u8,
+    /// Start that the router knows.
     known: Option<u8>,
-    /// The start that it doubts about, and the millisecond from which on that stands.
+    /// Unconfirmed start of which the router has read an entry, and the time from which on it is
+    /// accepted, in milliseconds.
     rival: Option<(u8, u64)>,
     mixed: bool,
     overtaken: bool,
@@ -117,7 +122,7 @@
 
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
-        self.shape == other.shape
+        self.vars == other.vars
     }
 }
 
@@ -125,61 +130,61 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.shape.hash(state);
+        self.vars.hash(state);
     }
 }
 
-/// The start that an entry is of; entries of the model tell it as their slots.
+/// Returns the start that wrote an entry, which the model encodes as the number of slots.
 fn start_of(entry: &Registration) -> u8 {
     u8::try_from(entry.slots).unwrap_or(u8::MAX)
 }
 
 impl State {
     fn now(&self) -> Instant {
-        Instant::ZERO + STRIDE * u32::from(self.shape.strides)
+        Instant::ZERO + STRIDE * u32::from(self.vars.strides)
     }
 
-    /// Takes over what the router knows.
-    fn look(&mut self) {
+    /// Updates the variables with what the router knows.
+    fn record_known(&mut self) {
         let key = self.directory.find("one");
         let target = key.and_then(|k| self.directory.get(k));
         let known = target.map(|t| start_of(&t.registration));
         let rival = target.and_then(|t| t.conflicting_start());
         let rival = rival.map(|(entry, from)| (start_of(entry), millis(from)));
         let owner = key.zip(known);
-        if let (Some((before, start)), Some((now, known))) = (self.owner, owner) {
-            self.shape.mixed |= before == now && start != known;
+        if let (Some((before, start)), Some((now, known))) = (self.known_key, owner) {
+            self.vars.mixed |= before == now && start != known;
         }
-        if self.owner.map(|(k, _)| k) != key {
-            self.owner = owner;
+        if self.known_key.map(|(k, _)| k) != key {
+            self.known_key = owner;
         }
-        self.shape.known = known;
-        self.shape.rival = rival;
+        self.vars.known = known;
+        self.vars.rival = rival;
     }
 
     fn read(&mut self, flaw: Flaw) {
         let now = self.now();
-        let live = self.shape.live;
-        let knew = self.shape.known == Some(live);
+        let current = self.vars.current;
+        let knew = self.vars.known == Some(current);
         for change in self.changes(flaw) {
             let _noted = self.directory.apply(now, change);
         }
-        self.look();
-        let ahead = (0..live).all(|s| BORN[usize::from(s)] < BORN[usize::from(live)]);
-        let late = self.shape.known.is_some_and(|known| known != live);
-        self.shape.overtaken |= knew && ahead && late;
+        self.record_known();
+        let ahead = (0..current).all(|s| START_TIMES_MS[usize::from(s)] < START_TIMES_MS[usize::from(current)]);
+        let late = self.vars.known.is_some_and(|known| known != current);
+        self.vars.overtaken |= knew && ahead && late;
     }
 
-    /// What the router makes of the entry.
+    /// Returns the changes that the router derives from the entry.
     fn changes(&self, flaw: Flaw) -> Vec<Change> {
         let removed = || Change::Removed("one".into());
-        let Some(told) = self.shape.entry else {
+        let Some(told) = self.vars.entry else {
             return vec![removed()];
         };
         let put = Change::Put(registration(told, flaw));
-        let born = |s: u8| BORN[usize::from(s)];
+        let born = |s: u8| START_TIMES_MS[usize::from(s)];
         let earlier = self
-            .shape
+            .vars
             .known
             .is_some_and(|known| born(told) < born(known));
         match flaw {
@@ -189,11 +194,11 @@
         }
     }
 
-    fn pass(&mut self) {
-        self.shape.strides += 1;
+    fn advance_time(&mut self) {
+        self.vars.strides += 1;
         let now = self.now();
         let _noted = self.directory.expire(now);
-        self.look();
+        self.record_known();
     }
 }
 
@@ -202,7 +207,7 @@
 }
 
 fn registration(start: u8, flaw: Flaw) -> Registration {
-    let born = BORN[usize::from(start)];
+    let born = START_TIMES_MS[usize::from(start)];
     Registration {
         instance: "one".into(),
         start: Start((flaw != Flaw::NameOnly).then_some(born)),
@@ -216,54 +221,54 @@
 }
 
 impl Starts {
-    /// The steps that can be taken.
-    fn possible(self, shape: &Shape) -> Vec<Step> {
+    /// Returns the enabled steps.
+    fn enabled_steps(self, vars: &Variables) -> Vec<Step> {
         let mut steps = vec![Step::Write, Step::Read];
-        if shape.live < self.restarts {
+        if vars.current < self.restarts {
             steps.push(Step::Restart);
         }
-        if shape.delays < self.delays {
+        if vars.delays < self.delays {
             steps.push(Step::Send);
         }
-        steps.extend(shape.late.iter().copied().map(Step::Land));
-        if shape.lapses < self.lapses && shape.entry.is_some() {
+        steps.extend(vars.pending_writes.iter().copied().map(Step::Land));
+        if vars.lapses < self.lapses && vars.entry.is_some() {
             steps.push(Step::Lapse);
         }
-        if shape.strides < self.strides {
+        if vars.strides < self.strides {
             steps.extend([Step::Stride, Step::Calm]);
         }
         steps
     }
 
-    fn take(self, state: &State, step: Step) -> State {
+    fn apply(self, state: &State, step: Step) -> State {
         let mut next = state.clone();
-        let shape = &mut next.shape;
-        shape.calm = match step {
-            Step::Calm if shape.late.is_empty() => shape.calm + 1,
-            Step::Read | Step::Write => shape.calm,
+        let vars = &mut next.vars;
+        vars.strides_in_touch = match step {
+            Step::Calm if vars.pending_writes.is_empty() => vars.strides_in_touch + 1,
+            Step::Read | Step::Write => vars.strides_in_touch,
             _ => 0,
         };
         match step {
-            Step::Restart => shape.live += 1,
-            Step::Write => shape.entry = Some(shape.live),
+            Step::Restart => vars.current += 1,
+            Step::Write => vars.entry = Some(vars.current),
             Step::Send => {
-                shape.delays += 1;
-                shape.late.insert(shape.live);
+                vars.delays += 1;
+                vars.pending_writes.insert(vars.current);
             }
             Step::Land(start) => {
-                shape.late.remove(&start);
-                shape.entry = Some(start);
+                vars.pending_writes.remove(&start);
+                vars.entry = Some(start);
             }
             Step::Lapse => {
-                shape.lapses += 1;
-                shape.entry = None;
+                vars.lapses += 1;
+                vars.entry = None;
             }
             Step::Read => next.read(self.flaw),
-            Step::Stride => next.pass(),
+            Step::Stride => next.advance_time(),
             Step::Calm => {
-                shape.entry = Some(shape.live);
+                vars.entry = Some(vars.current);
                 next.read(self.flaw);
-                next.pass();
+                next.advance_time();
             }
         }
         next
@@ -274,18 +279,18 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         State {
             directory: Directory::default(),
-            owner: None,
-            shape: Shape {
+            known_key: None,
+            vars: Variables {
                 strides: 0,
-                live: 0,
+                current: 0,
                 entry: None,
-                late: BTreeSet::new(),
+                pending_writes: BTreeSet::new(),
                 delays: 0,
                 lapses: 0,
-                calm: 0,
+                strides_in_touch: 0,
                 known: None,
                 rival: None,
                 mixed: false,
@@ -295,16 +300,16 @@
     }
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
-        let steps = self.possible(&state.shape).into_iter();
-        steps.map(|s| (s, self.take(state, s))).collect()
+        let steps = self.enabled_steps(&state.vars).into_iter();
+        steps.map(|s| (s, self.apply(state, s))).collect()
     }
 
     fn violations(&self, state: &State) -> Vec<&'static str> {
-        let shape = &state.shape;
-        let behind = shape.calm >= CALM && shape.known != Some(shape.live);
+        let vars = &state.vars;
+        let behind = vars.strides_in_touch >= SETTLED_STRIDES && vars.known != Some(vars.current);
         let rows = [
-            (shape.mixed, MIXED),
-            (shape.overtaken, OVERTAKEN),
+            (vars.mixed, MIXED),
+            (vars.overtaken, OVERTAKEN),
             (behind, BEHIND),
         ];
         let violated = rows.into_iter().filter(|(holds, _)| *holds);
