--- a/crates/peppercrank-direct/src/confirm.rs
+++ b/crates/peppercrank-direct/src/confirm.rs
@@ -48,7 +48,7 @@
 
 /// State that a router confirms to others.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct KeyState {
+pub struct ConfirmableState {
     /// Configuration version in force; `None` without a configuration.
     pub version: Option<u64>,
     /// Age of the copy of the keys; `None` if it is not known.
@@ -60,7 +60,7 @@
 impl Confirmation {
     /// Answers a request from the current state; `None` if the version or the age is not known.
     #[must_use]
-    pub fn new(question: ConfirmationRequest, known: KeyState) -> Option<Self> {
+    pub fn new(question: ConfirmationRequest, known: ConfirmableState) -> Option<Self> {
         let age = u32::try_from(known.age?.as_millis()).ok()?;
         Some(Self {
             nonce: question.nonce,
--- a/crates/peppercrank-direct/src/desired.rs
+++ b/crates/peppercrank-direct/src/desired.rs
@@ -139,7 +139,7 @@
     /// Returns the rate at which it is copied, in tokens per millisecond; `None` if it cannot be
     /// copied.
     #[must_use]
-    pub fn copy_rate(&self) -> Option<f64> {
+    pub fn copy_tokens_per_ms(&self) -> Option<f64> {
         let rate = self.bytes_per_ms / self.bytes_per_token;
         (rate.is_finite() && rate > 0.0).then_some(rate)
     }
--- a/crates/peppercrank-direct/src/directory.rs
+++ b/crates/peppercrank-direct/src/directory.rs
@@ -446,8 +446,12 @@
     pub fn pool(&self, now: Instant, name: &str) -> Vec<TargetKey> {
         let usable = self.members(name).filter(|k| self.is_usable(now, *k));
         let usable = usable.collect::<Vec<_>>();
-        let certain = |k: &&TargetKey| self.targets[**k].is_certain();
-        let found = usable.iter().filter(certain).copied().collect::<Vec<_>>();
+        let ready_without_conflict = |k: &&TargetKey| self.targets[**k].is_ready_without_conflict();
+        let found = usable
+            .iter()
+            .filter(ready_without_conflict)
+            .copied()
+            .collect::<Vec<_>>();
         if found.is_empty() { usable } else { found }
     }
 
--- a/crates/peppercrank-direct/src/evacuations.rs
+++ b/crates/peppercrank-direct/src/evacuations.rs
@@ -36,9 +36,9 @@
 
 /// Evidence for the evacuation of a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Evidence {
+enum EntryStatus {
     /// The latest answer of the store.
-    Store,
+    Present,
     /// The evacuation was acknowledged but is missing in a restored store. Queries from this time
     /// on decide.
     Missing(Instant),
@@ -47,7 +47,7 @@
 /// `Evacuations` holds the evacuated zones.
 #[derive(Debug, Clone, Default)]
 pub struct Evacuations {
-    zones: HashMap<Arc<str>, Evidence>,
+    zones: HashMap<Arc<str>, EntryStatus>,
     /// Times at which zones were restored recently.
     restorations: HashMap<Arc<str>, Instant>,
     /// Whether a list has been read.
@@ -77,7 +77,7 @@
     pub fn apply(&mut self, now: Instant, change: Change) -> Option<Change> {
         let changed = match &change {
             Change::Evacuated(zone) => {
-                let known = self.zones.insert(Arc::clone(zone), Evidence::Store);
+                let known = self.zones.insert(Arc::clone(zone), EntryStatus::Present);
                 known.is_none()
             }
             Change::Restored(zone) => {
@@ -94,8 +94,8 @@
     /// Handles the absence of an evacuated zone from a list.
     fn mark_missing(&mut self, now: Instant, asked: Instant, zone: Arc<str>) -> Option<Change> {
         match (self.zones.get_mut(&zone), self.hold_until) {
-            (Some(evidence), Some(until)) if asked < until => {
-                *evidence = Evidence::Missing(until);
+            (Some(status), Some(until)) if asked < until => {
+                *status = EntryStatus::Missing(until);
                 None
             }
             _ => self.apply(now, Change::Restored(zone)),
@@ -110,7 +110,7 @@
     /// Ends the evacuations that were still missing when the store answered a query sent at
     /// `asked`, and returns them.
     pub fn end_missing(&mut self, now: Instant, asked: Instant) -> Vec<Change> {
-        let overdue = |e: &Evidence| matches!(e, Evidence::Missing(until) if asked >= *until);
+        let overdue = |e: &EntryStatus| matches!(e, EntryStatus::Missing(until) if asked >= *until);
         let overdue = self.zones.iter().filter(|(_, evidence)| overdue(evidence));
         let overdue = overdue
             .map(|(zone, _)| Arc::clone(zone))
--- a/crates/peppercrank-direct/src/target.rs
+++ b/crates/peppercrank-direct/src/target.rs
@@ -136,7 +136,7 @@
     }
 
     /// Returns whether it takes new work and no other start conflicts with it.
-    pub(crate) const fn is_certain(&self) -> bool {
+    pub(crate) const fn is_ready_without_conflict(&self) -> bool {
         matches!(self.state, State::Ready) && self.conflicting.is_none()
     }
 }
--- a/crates/peppercrank-direct/src/truncation.rs
+++ b/crates/peppercrank-direct/src/truncation.rs
@@ -26,7 +26,7 @@
 /// Divisor of an answer's size that gives by how much answers with the same number of entries of
 /// one kind differ. Without it one change looked as long as two, and 68 routers made 500 more calls
 /// on a day on which targets come and go.
-const SIZE_DIVISOR: usize = 8;
+const LENGTH_TOLERANCE_DIVISOR: usize = 8;
 
 /// `Next` is when to send the next query after an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -54,7 +54,7 @@
             return self.changes == longest.changes;
         }
         let change_bytes = self.bytes.div_ceil(self.changes.max(1));
-        self.bytes + change_bytes > longest.bytes + longest.bytes / SIZE_DIVISOR
+        self.bytes + change_bytes > longest.bytes + longest.bytes / LENGTH_TOLERANCE_DIVISOR
     }
 }
 
--- a/crates/peppercrank-direct/src/warm_up.rs
+++ b/crates/peppercrank-direct/src/warm_up.rs
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allowance {
     /// Multiple of the rate.
-    pub overage: f64,
+    pub rate_factor: f64,
     /// Number of requests on top of the multiple.
     pub slack: f64,
 }
@@ -77,7 +77,7 @@
     reason = "it is one at least, and saturates at the upper end"
 )]
 pub fn fleet_budget(warm_up: &WarmUp, allowance: &Allowance) -> usize {
-    let bound = warm_up.rate * allowance.overage + allowance.slack;
+    let bound = warm_up.rate * allowance.rate_factor + allowance.slack;
     (bound * SHARED_PART).min(warm_up.rate).max(1.0) as usize
 }
 
--- a/crates/peppercrank-direct/tests/verify_confirm.rs
+++ b/crates/peppercrank-direct/tests/verify_confirm.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use peppercrank_core::time::Instant;
+use peppercrank_direct::confirm::ConfirmableState;
 use peppercrank_direct::confirm::Confirmation;
 use peppercrank_direct::confirm::ConfirmationRequest;
-use peppercrank_direct::confirm::KeyState;
 use peppercrank_direct::confirm::PendingRequest;
 use peppercrank_direct::confirm::Verdict;
 use peppercrank_direct::confirm::store_readers;
@@ -25,11 +25,12 @@
 
 fn confirmation(version: u64, age: u64) -> Confirmation {
     let age = Some(Duration::from_millis(age));
-    Confirmation::new(REQUEST, key_state(Some(version), age)).expect("the key state is known")
+    Confirmation::new(REQUEST, confirmable_state(Some(version), age))
+        .expect("the key state is known")
 }
 
-fn key_state(version: Option<u64>, age: Option<Duration>) -> KeyState {
-    KeyState {
+fn confirmable_state(version: Option<u64>, age: Option<Duration>) -> ConfirmableState {
+    ConfirmableState {
         version,
         age,
         evacuations_digest: 3,
@@ -95,8 +96,14 @@
 #[test]
 fn verify_no_confirmation_without_a_version_and_an_age() {
     let age = Some(Duration::ZERO);
-    assert_eq!(Confirmation::new(REQUEST, key_state(None, age)), None);
-    assert_eq!(Confirmation::new(REQUEST, key_state(Some(1), None)), None);
+    assert_eq!(
+        Confirmation::new(REQUEST, confirmable_state(None, age)),
+        None
+    );
+    assert_eq!(
+        Confirmation::new(REQUEST, confirmable_state(Some(1), None)),
+        None
+    );
 }
 
 #[test]
@@ -111,8 +118,8 @@
         // ms.
         let (sent, answered) = (common + 60, common + 120);
         let age = freshness.age(at(offsets[hop - 1] + answered));
-        let answer =
-            Confirmation::new(REQUEST, key_state(Some(1), age)).expect("the key state is known");
+        let answer = Confirmation::new(REQUEST, confirmable_state(Some(1), age))
+            .expect("the key state is known");
         let asked = PendingRequest {
             request: REQUEST,
             sent_at: at(offsets[hop] + sent),
--- a/crates/peppercrank-direct/tests/verify_congestion.rs
+++ b/crates/peppercrank-direct/tests/verify_congestion.rs
@@ -22,7 +22,7 @@
 /// State of the connections, and whether the link is congested. `count` is the number of pending
 /// connections.
 struct Row {
-    count: usize,
+    pending: usize,
     /// How long the oldest connection has been pending, in milliseconds.
     longest: u32,
     /// Time since the latest connection was established and the time that it took, in milliseconds.
@@ -30,9 +30,9 @@
     congested: bool,
 }
 
-const fn row(count: usize, longest: u32, last: Option<(u32, u32)>, congested: bool) -> Row {
+const fn row(pending: usize, longest: u32, last: Option<(u32, u32)>, congested: bool) -> Row {
     Row {
-        count,
+        pending,
         longest,
         last,
         congested,
@@ -62,7 +62,7 @@
     for row in TABLE {
         let last = row.last.map(|(age, took)| (MS * age, MS * took));
         let link = LinkState {
-            pending: row.count,
+            pending: row.pending,
             longest_pending: MS * row.longest,
             last_connected: last,
         };
--- a/crates/peppercrank-direct/tests/verify_ranks.rs
+++ b/crates/peppercrank-direct/tests/verify_ranks.rs
@@ -112,10 +112,10 @@
     let scaled = scaled.collect::<Vec<_>>();
     assert!(scaled.is_sorted());
     assert_eq!((scaled[0], scaled[29]), (0, 9));
-    let few = Rank {
+    let few_levels = Rank {
         level: 2,
         levels: 6,
     };
-    assert_eq!(few.scaled(9), 2);
+    assert_eq!(few_levels.scaled(9), 2);
     assert_eq!(Rank::default().scaled(9), 0);
 }
--- a/crates/peppercrank-gateway/src/confirm.rs
+++ b/crates/peppercrank-gateway/src/confirm.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use peppercrank_direct::confirm::ConfirmableState;
 use peppercrank_direct::confirm::Confirmation;
 use peppercrank_direct::confirm::ConfirmationRequest;
-use peppercrank_direct::confirm::KeyState;
 use peppercrank_direct::confirm::PendingRequest;
 use peppercrank_direct::confirm::Verdict;
 use peppercrank_direct::confirm::store_readers;
@@ -101,7 +101,7 @@
 pub fn answer_question(gateway: &Gateway, question: ConfirmationRequest) -> Option<Confirmation> {
     let now = gateway.now();
     let state = gateway.state();
-    let known = KeyState {
+    let known = ConfirmableState {
         version: state.config.index().map(|i| i.desired().version),
         age: state.freshness.age(now),
         evacuations_digest: state.directory.evacuations.digest(),
--- a/crates/peppercrank-gateway/src/eligible.rs
+++ b/crates/peppercrank-gateway/src/eligible.rs
@@ -138,7 +138,7 @@
         return Ok(());
     };
     let allowance = Allowance {
-        overage: settings.warm_up.overage,
+        rate_factor: settings.warm_up.overage,
         slack: settings.warm_up.slack,
     };
     let request_limit = fleet_budget(&warm_up, &allowance);
--- a/crates/peppercrank-gateway/src/job.rs
+++ b/crates/peppercrank-gateway/src/job.rs
@@ -198,7 +198,7 @@
             pool_goal: index.ranks().shortest_goal(pool),
             prompt_tokens: prompt.tokens,
             max_output_tokens: prompt.max_output_tokens,
-            copy_rate: engine_memory.and_then(|m| m.copy_rate()),
+            copy_rate: engine_memory.and_then(|m| m.copy_tokens_per_ms()),
             warm_up: settings.and_then(|p| p.warm_up),
             regions: match organisation {
                 Some(organisation) => route.regions.intersection(&organisation.regions),
--- a/crates/peppercrank-settings/src/url.rs
+++ b/crates/peppercrank-settings/src/url.rs
@@ -32,7 +32,7 @@
     ///
     /// Returns [`Error::Url`] for another scheme, a host name or a path.
     pub fn new(text: &str) -> Result<Self> {
-        parse_address(text)
+        parse_url(text)
             .map(Self)
             .ok_or_else(|| errors::invalid_url(text))
     }
@@ -44,12 +44,13 @@
     }
 }
 
-fn parse_address(text: &str) -> Option<SocketAddr> {
+fn parse_url(text: &str) -> Option<SocketAddr> {
     let rest = text.strip_prefix(SCHEME)?;
-    let host = rest.strip_suffix('/').unwrap_or(rest);
-    let whole = host.parse::<SocketAddr>();
+    let authority = rest.strip_suffix('/').unwrap_or(rest);
+    let whole = authority.parse::<SocketAddr>();
     let bare = || {
-        host.parse::<IpAddr>()
+        authority
+            .parse::<IpAddr>()
             .map(|ip| SocketAddr::new(ip, DEFAULT_PORT))
     };
     whole.or_else(|_| bare()).ok()
--- a/crates/peppercrank-spec/src/cold.rs
+++ b/crates/peppercrank-spec/src/cold.rs
@@ -38,7 +38,7 @@
 
 /// How far it may be driven.
 const ALLOWANCE: Allowance = Allowance {
-    overage: 1.5,
+    rate_factor: 1.5,
     slack: 1.0,
 };
 
