--- a/crates/peppercrank-core/src/blackboard.rs
+++ b/crates/peppercrank-core/src/blackboard.rs
@@ -65,11 +65,11 @@
 /// for a mean below one cost unit per unit of weight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MeanLoad {
-    /// Sum of the loads of the included targets.
+    /// Sum of the loads of the targets whose loads enter the mean.
     pub total_load: Cost,
-    /// Sum of the weights of the included targets.
+    /// Sum of the weights of these targets.
     pub total_weight: u64,
-    /// Number of included targets.
+    /// Number of these targets.
     pub target_count: u32,
     /// Time of the last update.
     pub updated_at: Instant,
--- a/crates/peppercrank-core/src/objects.rs
+++ b/crates/peppercrank-core/src/objects.rs
@@ -19,13 +19,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ObjectKind {
-    /// A [`Template`].
+    /// Quotas, defaults and permissions that several organisations share; see [`Template`].
     Template,
-    /// An [`Organisation`].
+    /// The API keys of an organisation and its deviations from a template; see [`Organisation`].
     Organisation,
-    /// A [`Pool`].
+    /// The requests that a pool serves and how they are balanced; see [`Pool`].
     Pool,
-    /// A [`Mark`] of one target.
+    /// The order to take one target out of service; see [`Mark`].
     Mark,
 }
 
@@ -90,29 +90,29 @@
     pub parameters: Parameters,
 }
 
-/// Parameters that an organisation sets instead of taking them from its template.
+/// Parameters that an organisation sets itself. `None` takes the value from its template.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Overrides {
-    /// See [`Parameters::weight`].
+    /// Share of a contended target relative to other organisations, 1 to 1,000.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub weight: Option<u32>,
-    /// See [`Parameters::priority`].
+    /// Priority of requests that do not ask for a lower one, 0 (lowest) to 9 (highest).
     #[serde(skip_serializing_if = "Option::is_none")]
     pub priority: Option<u8>,
-    /// See [`Parameters::limit`].
+    /// Maximum work in flight across the whole fleet, in cost units.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub limit: Option<Cost>,
-    /// See [`Parameters::output`].
+    /// Expected output length of a request that sets no maximum, in tokens.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub output: Option<u32>,
-    /// See [`Parameters::deadline_ms`].
+    /// Deadline of a request that sets none, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
-    /// See [`Parameters::models`].
+    /// Models that the organisation may call; an empty list allows all.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub models: Option<Vec<ModelName>>,
-    /// See [`Parameters::services`].
+    /// Pools of plain services that the organisation may call; an empty list allows all.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub services: Option<Vec<PoolName>>,
 }
--- a/crates/peppercrank-direct/src/confirm.rs
+++ b/crates/peppercrank-direct/src/confirm.rs
@@ -46,7 +46,8 @@
     pub evacuations_digest: u64,
 }
 
-/// State that a router confirms to others.
+/// State that a router confirms to others: its configuration version, the age of its keys and the
+/// zones that it considers evacuated.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ConfirmableState {
     /// Configuration version in force; `None` without a configuration.
--- a/crates/peppercrank-direct/src/desired.rs
+++ b/crates/peppercrank-direct/src/desired.rs
@@ -127,17 +127,17 @@
 /// `PromptCache` describes the prompt cache of one engine of a pool.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PromptCache {
-    /// Tokens that it can hold.
+    /// Capacity of the cache, in tokens.
     pub capacity_tokens: u64,
-    /// Size of one token, in bytes.
+    /// Size of one cached token, in bytes.
     pub bytes_per_token: f64,
-    /// Rate at which it is copied to another engine, in bytes per millisecond.
+    /// Rate at which cached tokens are copied to another engine, in bytes per millisecond.
     pub bytes_per_ms: f64,
 }
 
 impl PromptCache {
-    /// Returns the rate at which it is copied, in tokens per millisecond; `None` if it cannot be
-    /// copied.
+    /// Returns the rate at which cached tokens are copied to another engine, in tokens per
+    /// millisecond; `None` if they cannot be copied.
     #[must_use]
     pub fn copy_tokens_per_ms(&self) -> Option<f64> {
         let rate = self.bytes_per_ms / self.bytes_per_token;
--- a/crates/peppercrank-direct/src/directory.rs
+++ b/crates/peppercrank-direct/src/directory.rs
@@ -214,7 +214,8 @@
         let Some(target) = self.targets.get_mut(key) else {
             return TargetEvent::NoChange;
         };
-        // A conflicting entry from before this one is no longer the latest in the store.
+        // The unreadable entry is now the latest in the store, so a conflicting entry that was read
+        // before it is outdated.
         target.conflicting = None;
         match target.state {
             State::Leaving | State::Unreadable => TargetEvent::NoChange,
--- a/crates/peppercrank-direct/src/evacuations.rs
+++ b/crates/peppercrank-direct/src/evacuations.rs
@@ -34,13 +34,14 @@
     Restored(Arc<str>),
 }
 
-/// Evidence for the evacuation of a zone.
+/// Whether the store still holds the entry of a zone that counts as evacuated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EntryStatus {
-    /// The latest answer of the store.
+    /// The latest answer of the store contains the entry.
     Present,
-    /// The evacuation was acknowledged but is missing in a restored store. Queries from this time
-    /// on decide.
+    /// The store acknowledged the entry before it was restored from an older copy that lacks it.
+    /// The evacuation ends if the entry is still missing in the answer to a query sent at this time
+    /// or later.
     Missing(Instant),
 }
 
--- a/crates/peppercrank-direct/src/freshness.rs
+++ b/crates/peppercrank-direct/src/freshness.rs
@@ -19,9 +19,10 @@
 /// process.
 pub const DISPATCH_TIME: Duration = Duration::from_millis(300);
 
-/// Age from which the known configuration no longer justifies a final refusal for lack of a route,
-/// where keys need not be confirmed. By then a route that was added since is overdue by the users'
-/// usual limits of two to three seconds.
+/// Age from which the known configuration is too old for a final refusal of a request that matches
+/// no route. It applies if keys have no maximum age. Users usually require that a new route takes
+/// effect within two to three seconds, so a configuration of this age may lack a route that callers
+/// already rely on.
 pub const DENIAL_MAX_AGE: Duration = Duration::from_secs(4);
 
 /// `Source` is who confirmed the known keys.
--- a/crates/peppercrank-direct/src/place.rs
+++ b/crates/peppercrank-direct/src/place.rs
@@ -36,8 +36,9 @@
 /// cache memory.
 const COPY_COST: f64 = 0.4;
 
-/// Probability that a home holds a prompt that no target is known to hold. A slow or full home must
-/// not cost more than the request is worth.
+/// Assumed probability that a home holds a prompt that no target is known to hold. It is well below
+/// 1 because the home's advantage is only assumed: it must not make a slow or full home look better
+/// than a target that is free.
 const HOME_HIT_PROBABILITY: f64 = 0.5;
 
 /// Fraction of the latency goal from which an answer may be late, and the further fraction at which
--- a/crates/peppercrank-direct/src/ranks.rs
+++ b/crates/peppercrank-direct/src/ranks.rs
@@ -55,7 +55,8 @@
 /// Priorities that occur in one pool.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct PoolRanks {
-    /// All of them, the most urgent first.
+    /// Pairs of an organisation's and a route's priority that requests for the pool can have, the
+    /// most urgent first.
     priorities: Vec<Priorities>,
     /// Shortest latency goal of the pool's routes.
     shortest_goal: Option<Duration>,
--- a/crates/peppercrank-direct/src/starts.rs
+++ b/crates/peppercrank-direct/src/starts.rs
@@ -13,7 +13,7 @@
 //! | the known start | an update of it |
 //! | a later start | a new start, at once |
 //! | an earlier start | a conflict: the target gets no work unless its pool has no other, until the known start writes its entry again, or the earlier one is accepted after [`OLDER_START_DELAY`] |
-//! | no start, where one is known | an entry of another writer, which identifies no target |
+//! | an entry without a start, although the target's start is known | an entry of another writer, which identifies no target |
 //! | removal | the target is gone, and a later entry is a new one |
 //!
 //! Other routers identify a target by its start too ([`crate::peers::TargetId`]). What they report
--- a/crates/peppercrank-direct/src/truncation.rs
+++ b/crates/peppercrank-direct/src/truncation.rs
@@ -23,9 +23,11 @@
 /// truncates at 100.
 const MAX_CONSECUTIVE: u32 = 64;
 
-/// Divisor of an answer's size that gives by how much answers with the same number of entries of
-/// one kind differ. Without it one change looked as long as two, and 68 routers made 500 more calls
-/// on a day on which targets come and go.
+/// Divisor of the longest answer's length in bytes that gives the tolerance for differing sizes of
+/// changes: an answer with fewer changes than the longest one may have been truncated only if a
+/// further change would have made it longer than the longest one by more than an eighth. Without
+/// the tolerance, an answer with one change was often taken for as long as one with two, and 68
+/// routers made 500 more calls on a day on which targets come and go.
 const LENGTH_TOLERANCE_DIVISOR: usize = 8;
 
 /// `Next` is when to send the next query after an answer.
--- a/crates/peppercrank-direct/src/warm_up.rs
+++ b/crates/peppercrank-direct/src/warm_up.rs
@@ -62,9 +62,9 @@
 /// `Allowance` is how far the requests to a cold target may exceed its rate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allowance {
-    /// Multiple of the rate.
+    /// Factor on the rate that the target can take.
     pub rate_factor: f64,
-    /// Number of requests on top of the multiple.
+    /// Requests per second in addition to the rate times the factor.
     pub slack: f64,
 }
 
--- a/crates/peppercrank-direct/tests/verify_congestion.rs
+++ b/crates/peppercrank-direct/tests/verify_congestion.rs
@@ -19,9 +19,9 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// State of the connections, and whether the link is congested. `count` is the number of pending
-/// connections.
+/// State of the connections, and whether the link is congested.
 struct Row {
+    /// Number of connections that are being established.
     pending: usize,
     /// How long the oldest connection has been pending, in milliseconds.
     longest: u32,
--- a/crates/peppercrank-direct/tests/verify_overcount.rs
+++ b/crates/peppercrank-direct/tests/verify_overcount.rs
@@ -132,7 +132,8 @@
         candidate.stats.peers_in_flight = 0;
     }
     assert_same(&own);
-    // One target with a few requests says nothing about 56 others.
+    // The only peers' requests at targets with a report are a few at one target. That is too little
+    // to conclude that the peers' requests at the other targets are overcounted.
     let mut few = pool();
     for candidate in &mut few[1..=REPORTING_TARGETS] {
         candidate.stats.peers_in_flight = 0;
--- a/crates/peppercrank-direct/tests/verify_place.rs
+++ b/crates/peppercrank-direct/tests/verify_place.rs
@@ -228,13 +228,15 @@
     }
 }
 
-/// Guards against overloading the homes of prompts when all targets queue requests. With half of
-/// 120 engines gone and 2.5 times the load, 101 to 168 of 2,500 to 4,500 requests reached targets
-/// that held more than twice the mean plus three, in three of five simulated runs. Targets with 16
-/// slots held 21 to 25 requests, then the load fell, and routers still trusted loads that were
-/// seconds old and filled the homes up to the cap that these allowed. The fraction of the cap
-/// reserved for unknown load was the same where all targets queue requests, which is where the
-/// unknown load is greatest.
+/// Guards against overloading the homes of prompts when all targets queue requests.
+///
+/// Routers know the loads of targets with a delay, and the unknown part of the load is greatest
+/// when all targets queue. Part of the load cap is reserved for it. When that part did not grow
+/// with the queues, routers filled homes up to a cap that they derived from loads that were seconds
+/// old and had fallen since: with half of 120 engines gone and 2.5 times the load, targets with 16
+/// slots held 21 to 25 requests, and in three of five simulated runs 101 to 168 of 2,500 to 4,500
+/// requests reached targets that held more than twice the mean plus three. Now the cap is 1.2 times
+/// the mean plus two when all targets queue, and 1.7 times the mean plus two otherwise.
 #[test]
 fn verify_the_cap_is_tighter_where_all_targets_queue_requests() {
     let at_home = |mean: u32, home: u32| {
--- a/crates/peppercrank-direct/tests/verify_regions.rs
+++ b/crates/peppercrank-direct/tests/verify_regions.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Regions in which a request may run.
+//! Tests where a request may run if its route or its organisation lists regions, if both do, and if
+//! the region of a target is unknown.
 
 use std::sync::Arc;
 
--- a/crates/peppercrank-gateway/src/choose.rs
+++ b/crates/peppercrank-gateway/src/choose.rs
@@ -32,8 +32,8 @@
 use crate::refuse::Reason;
 use crate::state::State;
 
-/// Time after joining during which a target counts as new. Cached prompts that are requested less
-/// often than this are worth little.
+/// Time after joining during which a target counts as new, and copies prompts from their previous
+/// homes. A prompt that is not requested within this time is not worth copying.
 const RECENT_JOIN_WINDOW: Duration = Duration::from_secs(30);
 
 /// Time after the first list of targets within which further targets count as part of the same
--- a/crates/peppercrank-gateway/src/follow.rs
+++ b/crates/peppercrank-gateway/src/follow.rs
@@ -41,16 +41,16 @@
 /// Maximum pause between failed calls. It bounds how late the store's recovery is noticed.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(400);
 
-/// During an outage, time after which a follower that waits for another one to detect the store's
-/// recovery checks by itself.
+/// Time between a follower's own calls during an outage. One follower calls the store more often
+/// and tells the others when it recovers, but they do not depend on it alone.
 const OUTAGE_CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Time for the store's answer to begin, in addition to the wait that was asked for. Answers
 /// normally take milliseconds, and some hundreds from a slow store.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The same after a failed call. It is shorter so that a request lost in the outage does not hide
-/// its end.
+/// Like [`ANSWER_TIMEOUT`], for a call after a failed one. It is shorter so that a request that is
+/// lost in an outage does not delay the detection of the store's recovery.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Answers below this size hold no configuration, whose caller limits alone are larger.
@@ -139,7 +139,8 @@
                     return PollOutcome::Done;
                 }
             }
-            // A router that confirms with the store anyway learns of changes that way.
+            // A router that confirms its configuration with the store learns of changes from the
+            // answers, and needs no watch.
             FollowerRole::WatchConfiguration(confirmer) if confirmer.asks_store() => {
                 return PollOutcome::Done;
             }
--- a/crates/peppercrank-gateway/src/intake.rs
+++ b/crates/peppercrank-gateway/src/intake.rs
@@ -240,8 +240,8 @@
     fn apply_router(&mut self, entry: Entry) {
         match entry {
             Entry::Router(router) if *router.name == *self.gateway.settings().name => {
-                // Another writer replaced the entry, so other routers would not find this one by
-                // it.
+                // Another writer replaced this router's entry by one with another address, at which
+                // other routers would not reach it.
                 if router.address != self.gateway.peer_address {
                     self.gateway.entry_missing.notify_one();
                 }
--- a/crates/peppercrank-gateway/src/metrics.rs
+++ b/crates/peppercrank-gateway/src/metrics.rs
@@ -89,8 +89,11 @@
     invalid_entries: Family<KindLabel, Counter>,
     datagrams: Family<ReasonLabel, Counter>,
     confirmations: Family<ReasonLabel, Counter>,
+    /// Seconds to the first part of an answer, by kind of route.
     first_seconds: Family<KindLabel, Histogram, fn() -> Histogram>,
+    /// Seconds between two parts of a stream, by kind of route.
     gap_seconds: Family<KindLabel, Histogram, fn() -> Histogram>,
+    /// Seconds from sending a request to a target until the first part of its answer, by target.
     target_first_seconds: Family<TargetLabel, Histogram, fn() -> Histogram>,
     target_failures: Family<TargetLabel, Counter>,
     /// The targets that have metrics series of their own.
--- a/crates/peppercrank-gateway/src/role.rs
+++ b/crates/peppercrank-gateway/src/role.rs
@@ -27,29 +27,35 @@
 const ROUTERS_WAIT: Duration = Duration::from_secs(20);
 
 /// Wait of the evacuations watch at a router that confirms with the store for others. A connection
-/// that silently broke is noticed after it, within half of the usual bound on evacuations.
+/// that silently broke is noticed after it, within half of the time in which an evacuation usually
+/// has to take effect.
 const EVACUATIONS_WAIT: Duration = Duration::from_millis(2_500);
 
-/// The same at a router that others tell when its evacuations differ from theirs. It is below the
-/// history that the store keeps.
+/// Wait of the evacuations watch at a router that other routers tell when its evacuations differ
+/// from theirs. It is below the history that the store keeps.
 const EVACUATIONS_WAIT_CONFIRMED: Duration = Duration::from_secs(18);
 
 /// Pause between calls for targets. Each change ends a watch, and many arrive together when a pool
-/// is replaced. A leaving target gets work for this much longer, a fifth of the usual bound.
+/// is replaced. A leaving target gets work for up to this much longer, which is a fifth of the time
+/// for which that is usually permitted.
 const TARGETS_PACE: Duration = Duration::from_millis(400);
 
-/// The same per router of a large fleet, as all of them call after each change.
+/// Pause between calls for targets per router of the fleet. The pause grows with the fleet because
+/// all routers call after each change.
 const TARGETS_PACE_PER_ROUTER: Duration = Duration::from_millis(25);
 
-/// Maximum pause between calls for targets, below half of the usual bound for a leaving target.
+/// Maximum pause between calls for targets. It is below half of the time for which a leaving target
+/// is usually permitted to get work.
 const MAX_TARGETS_PACE: Duration = Duration::from_millis(900);
 
-/// Pause between confirmations of what is known about keys. It is below half of the usual bound for
-/// a change to take effect, and a fifth of the usual bound on keys.
+/// Pause between confirmations of what is known about keys. It is below half of the time in which a
+/// change usually has to take effect, and a fifth of the time after which a revoked key must
+/// usually no longer be accepted.
 const CONFIRM_PACE: Duration = Duration::from_millis(900);
 
 /// Pause between watches of the configuration, so that a series of changes is read together: the
-/// first takes effect at once, the next within a third of the usual bound.
+/// first takes effect at once, the next within a third of the time in which a change usually has to
+/// take effect.
 const CONFIG_PACE: Duration = Duration::from_millis(700);
 
 /// Pause between calls for evacuations. They are rare, and several made together are read at once.
--- a/crates/peppercrank-gateway/src/serve.rs
+++ b/crates/peppercrank-gateway/src/serve.rs
@@ -348,7 +348,8 @@
             ("held_ms", Field::Millis(self.elapsed())),
         ];
         let mut fields = [&fields[..], &self.gateway.state_summary().log_fields()[..]].concat();
-        // Computed for quarantined requests only, since a flood is refused in large numbers.
+        // The fingerprint hashes the whole body. It is computed only for quarantined requests, as
+        // hashing every refused one would cost too much in a flood of requests.
         let quarantined = reason == Reason::CrashesTargets;
         let content = quarantined.then(|| self.job.fingerprint().to_string());
         if let Some(content) = &content {
--- a/crates/peppercrank-gateway/src/store.rs
+++ b/crates/peppercrank-gateway/src/store.rs
@@ -42,7 +42,7 @@
 /// MiB, which takes this long over a tenth of the slowest link.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time limit for a write.
+/// Time from sending a write until its answer must begin.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// A client of the platform's store.
@@ -54,7 +54,7 @@
     bytes_read: Counter,
 }
 
-/// The result of a call.
+/// How the store answered a call, or why there is no usable answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallResult {
     /// Success, with the answer's body.
@@ -76,7 +76,7 @@
 /// The result of a call and the store era of its answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallOutcome {
-    /// The result.
+    /// How the store answered, or why there is no usable answer.
     pub result: CallResult,
     /// The era; `None` without an answer, or if the store does not report it.
     pub era: Option<Era>,
--- a/crates/peppercrank-gateway/src/suspension.rs
+++ b/crates/peppercrank-gateway/src/suspension.rs
@@ -39,7 +39,8 @@
     store.close();
     let now = gateway.now();
     let mut state = gateway.state();
-    // Until the store answers again, what is known about targets is as old as the suspension.
+    // What is known about targets dates from before the suspension, so the store counts as
+    // unavailable until it answers again.
     state.directory.store_lost();
     state.store_away_since.get_or_insert(now);
     drop(state);
--- a/crates/peppercrank-log/src/story.rs
+++ b/crates/peppercrank-log/src/story.rs
@@ -25,7 +25,8 @@
 
 /// Minimum silence of a target that is reported when its caller disconnected, in milliseconds.
 ///
-/// Callers wait at least two seconds for an event.
+/// Callers wait at least two seconds for an event, so a shorter silence is not why a caller
+/// disconnected.
 const MIN_REPORTED_SILENCE_MS: u64 = 1_000;
 
 /// A log line of the traced request.
@@ -35,7 +36,7 @@
     pub time: String,
     /// The process that logged the line.
     pub process: String,
-    /// The logged event.
+    /// What happened, as identified by the event number of the line.
     pub event: Event,
     /// The fields of the event.
     pub fields: Map<String, Value>,
--- a/crates/peppercrank-log/tests/verify_story.rs
+++ b/crates/peppercrank-log/tests/verify_story.rs
@@ -144,7 +144,7 @@
         cause.contains("killed while the request was in progress"),
         "{cause}"
     );
-    // The same may have happened to a request that no line mentions.
+    // The kill may also be why no line mentions a request, so the trace reports it.
     let mut other = RequestTrace::new("never");
     other.read(log.concat().as_bytes()).expect("a log");
     assert!(other.steps().is_empty());
--- a/crates/peppercrank-settings/src/agent.rs
+++ b/crates/peppercrank-settings/src/agent.rs
@@ -31,7 +31,7 @@
 /// 17 million chats over 1,300 agents are 13,000 per agent; the table holds many times as many.
 pub const DEFAULT_POINTER_TABLE_BYTES: usize = 8 << 20;
 
-/// Default age above which the mean load of the pool is no longer used.
+/// Default age up to which a known mean load of the pool counts in full.
 pub const DEFAULT_MAX_MEAN_AGE: Duration = Duration::from_secs(5);
 
 /// Default interval between reads of the engine's cache events.
@@ -82,7 +82,8 @@
     #[serde(default = "default_pointers")]
     #[serde(deserialize_with = "checked::bytes::<_, 0x1_0000, 0x800_0000>")]
     pub pointers: usize,
-    /// Maximum age of a mean load that is used, 500 ms to 5 min.
+    /// Age up to which a known mean load of the pool counts in full, 500 ms to 5 min. Beyond it, the
+    /// older the mean load is, the less it counts; from six times this age it is ignored.
     ///
     /// The default is [`DEFAULT_MAX_MEAN_AGE`].
     #[serde(default = "default_mean_age")]
--- a/crates/peppercrank-settings/src/gateway.rs
+++ b/crates/peppercrank-settings/src/gateway.rs
@@ -132,10 +132,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WarmUpLimits {
-    /// Multiple of the configured rate, 1 to 100.
+    /// Factor on the configured rate of a cold target, 1 to 100.
     #[serde(deserialize_with = "checked::number::<_, 1, 100>")]
     pub overage: f64,
-    /// Requests allowed in addition, 0 to 1,000,000.
+    /// Requests per second allowed in addition to the rate times the factor, 0 to 1,000,000.
     #[serde(deserialize_with = "checked::number::<_, 0, 1_000_000>")]
     pub slack: f64,
 }
--- a/crates/peppercrank-settings/src/units.rs
+++ b/crates/peppercrank-settings/src/units.rs
@@ -8,10 +8,12 @@
 use crate::Result;
 use crate::errors;
 
-/// Units of a duration with their lengths in milliseconds; `ms` precedes its suffix `s`.
+/// Units of a duration with their lengths in milliseconds. The parser takes the first unit that the
+/// text ends with, so `ms` must come before `s`.
 const DURATION_UNITS: &[(&str, u64)] = &[("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
 
-/// Units of a size with their lengths in bytes; the others precede their common suffix `B`.
+/// Units of a size with their lengths in bytes. The parser takes the first unit that the text ends
+/// with, so `B`, with which all of them end, must come last.
 const SIZE_UNITS: &[(&str, u64)] = &[
     ("KiB", 1 << 10),
     ("MiB", 1 << 20),
--- a/crates/peppercrank-settings/src/url.rs
+++ b/crates/peppercrank-settings/src/url.rs
@@ -17,10 +17,11 @@
 /// The only supported scheme; TLS towards the platform is terminated outside this process.
 const SCHEME: &str = "http://";
 
-/// The port of a URL without one.
+/// The port of a URL that names none.
 const DEFAULT_PORT: u16 = 80;
 
-/// A URL of the form `http://IP[:DEFAULT_PORT]`; the fleet uses IP addresses, not host names.
+/// A URL of the form `http://IP[:PORT][/]`, with port 80 if it names none. The fleet uses IP
+/// addresses, not host names.
 #[derive(Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "String")]
 pub struct BaseUrl(SocketAddr);
