--- a/crates/peppercrank-core/src/blackboard.rs
+++ b/crates/peppercrank-core/src/blackboard.rs
@@ -71,7 +71,7 @@
     pub total_weight: u64,
     /// Number of these targets.
     pub target_count: u32,
-    /// Time of the last update.
+    /// When the mean was last updated.
     pub updated_at: Instant,
 }
 
--- a/crates/peppercrank-core/src/objects.rs
+++ b/crates/peppercrank-core/src/objects.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Identifies a configuration object.
+/// The kind and name that together identify a configuration object.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ObjectKey {
     /// The kind of the object.
--- a/crates/peppercrank-direct/src/confirm.rs
+++ b/crates/peppercrank-direct/src/confirm.rs
@@ -75,7 +75,7 @@
 /// Confirmation request that has not been answered yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PendingRequest {
-    /// The request.
+    /// The request, whose nonce identifies its answer.
     pub request: ConfirmationRequest,
     /// When it was sent.
     pub sent_at: Instant,
--- a/crates/peppercrank-direct/src/desired.rs
+++ b/crates/peppercrank-direct/src/desired.rs
@@ -191,7 +191,7 @@
     pub routes: Vec<Route>,
     /// All pools.
     pub pools: Vec<Pool>,
-    /// Limits on callers.
+    /// Limits on the size of requests and on the time that callers may take.
     pub caller_limits: CallerLimits,
     /// All organisations. If there are none, requests need no keys.
     pub organisations: Vec<Organisation>,
@@ -205,7 +205,7 @@
     hosts: HashMap<Arc<str>, Vec<usize>>,
     /// Organisations by key.
     keys: HashMap<Arc<str>, usize>,
-    /// Urgency of requests.
+    /// Ranks by which requests for a pool are ordered.
     ranks: Ranks,
 }
 
@@ -221,7 +221,7 @@
 }
 
 impl Index {
-    /// Indexes a configuration.
+    /// Builds the index of a configuration.
     #[must_use]
     pub fn new(desired: Desired) -> Self {
         let mut hosts: HashMap<Arc<str>, Vec<usize>> = HashMap::new();
--- a/crates/peppercrank-direct/src/directory.rs
+++ b/crates/peppercrank-direct/src/directory.rs
@@ -37,8 +37,9 @@
 /// about two seconds.
 pub const RETURN_GRACE: Duration = Duration::from_secs(2);
 
-/// Time for which a departed target and its leaving mark are remembered. It is longer than the age
-/// of any copy of the store, and than a leaving target keeps running.
+/// Time for which a departed target and its leaving mark are remembered. It exceeds the age
+/// of any copy that the store may be restored from, and the time for which a leaving target keeps
+/// running.
 const DEPARTED_RETENTION: Duration = Duration::from_secs(60);
 
 /// Time for which entries of departed targets are held back after the store was restored from an
@@ -61,7 +62,7 @@
     /// Entries of departed targets in a store that was restored from an older copy. They are
     /// accepted if they are still there at the end of the hold.
     held_entries: HashMap<Arc<str>, Registration>,
-    /// End of the hold.
+    /// Time until which such entries are held back; `None` if the store was not restored.
     held_until: Option<Instant>,
     /// Availability zones whose targets get no new work.
     pub evacuations: Evacuations,
@@ -75,9 +76,9 @@
 struct Departed {
     start: Start,
     removed_at: Instant,
-    /// Whether it was leaving.
+    /// Whether the target was marked as leaving.
     leaving: bool,
-    /// End of the pause that it asked for.
+    /// End of the pause that the target asked for; `None` if it asked for none.
     paused_until: Option<Instant>,
 }
 
@@ -88,7 +89,7 @@
     Joined(TargetKey),
     /// A target was marked as leaving.
     MarkedLeaving(TargetKey),
-    /// A target is gone.
+    /// A target left the directory, since its entry was removed or did not return after an outage.
     Gone(TargetKey),
     /// A target started again.
     Restarted {
@@ -154,7 +155,7 @@
             .collect()
     }
 
-    /// Applies one change.
+    /// Applies a change of one target's entry, and returns its effect on the target.
     pub fn apply(&mut self, now: Instant, change: Change) -> TargetEvent {
         match change {
             Change::Put(entry) => self.put(now, entry),
@@ -347,7 +348,8 @@
         match std::mem::replace(&mut target.state, State::Leaving) {
             State::Leaving => TargetEvent::NoChange,
             State::Ready | State::Unreadable => TargetEvent::MarkedLeaving(key),
-            // No later change would report that it is gone.
+            // The target's entry is missing already, so no later change of the store would report
+            // that the target is gone.
             State::Missing(_) => self.depart(now, key),
         }
     }
--- a/crates/peppercrank-direct/src/place.rs
+++ b/crates/peppercrank-direct/src/place.rs
@@ -9,8 +9,8 @@
 //! more latency costs next to nothing, so a request waits for the target that holds its prompt
 //! rather than have it prefilled twice.
 //!
-//! Where no target is known to hold a prompt, its home is assumed to: the first target of the pool
-//! by rendezvous hashing. Routers without any knowledge thus choose the same target without
+//! If no target is known to hold a prompt, its home is assumed to hold it: the first target of the
+//! pool by rendezvous hashing. Routers without any knowledge thus choose the same target without
 //! coordination. A home that joined or became the home recently copies the prompt from the previous
 //! home.
 
@@ -71,8 +71,8 @@
 /// a delay.
 const CAP_FRACTION: f64 = 0.85;
 
-/// Like `CAP_FRACTION`, where the pool's targets hold more requests than they run at once. A
-/// request has to wait there anyway, so a target that holds its prompt saves it little.
+/// Like `CAP_FRACTION`, if the pool's targets hold more requests than they run at once. A request
+/// then has to wait at any target, so sending it to the one that holds its prompt saves it little.
 const CAP_FRACTION_SATURATED: f64 = 0.6;
 
 /// Multiple of the usual error of a target's known load that is kept free below its cap.
@@ -263,10 +263,10 @@
 enum PrefixSource {
     /// This target is known to hold all of it.
     Known(TargetKey),
-    /// No target is known to hold all of it, so the home is assumed to. The home may copy it from
-    /// the previous home.
+    /// No target is known to hold all of it, so the home is assumed to hold it. The home may copy it
+    /// from the previous home.
     Home {
-        /// The previous home.
+        /// The target that was the home before; `None` if the home has not changed.
         previous: Option<TargetKey>,
         /// The target that is known to hold most of the leading tokens, and how many.
         partial: Option<(TargetKey, u64)>,
@@ -291,7 +291,8 @@
     }
 }
 
-/// Returns the target that was the home until another one joined or it was marked as leaving.
+/// Returns the target that was the home until another target joined and became the home, or until
+/// it was itself marked as leaving; `None` if the home has not changed.
 fn previous_home(
     request: &PlacementRequest,
     candidates: &[Candidate],
@@ -310,9 +311,9 @@
 
 /// Part of the prompt's shared prefix that a candidate does not hold.
 struct MissingPrefix {
-    /// Leading tokens that it does not have to prefill.
+    /// Leading tokens that the candidate does not have to prefill.
     held_tokens: u64,
-    /// Target to copy from, and the number of tokens.
+    /// Target to copy tokens from, and their number; `None` if nothing is copied.
     copy: Option<(TargetKey, u64)>,
     /// Cost of copying or prefilling the missing part, in tokens.
     cost: f64,
--- a/crates/peppercrank-direct/src/quarantine.rs
+++ b/crates/peppercrank-direct/src/quarantine.rs
@@ -63,7 +63,7 @@
 /// Change in what a router knows of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Update {
-    /// Nothing new.
+    /// The report or observation brought no new evidence.
     Unchanged,
     /// New evidence, but the request has not just become quarantined.
     NewEvidence,
@@ -77,13 +77,13 @@
     /// Probe whether the target has crashed before the request is retried, since this crash may be
     /// the one that reaches the limit.
     ProbeFirst,
-    /// Probe it in the background.
+    /// Probe the target in the background; the request may be retried meanwhile.
     Probe,
     /// Nothing: a probe of this target is already under way.
     AlreadyProbing,
 }
 
-/// Evidence on one request.
+/// Crashes and completions by which it is decided whether a request crashes targets.
 #[derive(Debug, Clone, Default)]
 struct Evidence {
     /// Target crashes under the request since it was last completed.
@@ -113,8 +113,9 @@
         true
     }
 
-    /// Records that a target completed the request, which clears earlier crashes, except those in
-    /// `later`, which the reporting router knows to be later. Returns whether any was cleared.
+    /// Records that a target completed the request at `at`, which clears the crashes before that.
+    /// Crashes in `later` are kept in any case, since the router that reported the completion knows
+    /// that they happened after it. Returns whether any crash was cleared.
     fn record_success(&mut self, at: Instant, later: &[ReportedCrash]) -> bool {
         let before = self.crashes.len();
         let is_later = |crash: &Crash| later.iter().any(|t| t.target == crash.target);
@@ -145,8 +146,8 @@
         }
     }
 
-    /// Returns whether a crash is known here that the report lacks, unless the report already
-    /// reaches the limit.
+    /// Returns whether this router knows of a crash that the report lacks; false if the report
+    /// already reaches the crash limit, above which further crashes make no difference.
     fn knows_more_than(&self, report: &CrashReport) -> bool {
         let is_reported = |crash: &Crash| report.crashes.iter().any(|e| e.target == crash.target);
         report.crashes.len() < CRASH_LIMIT && !self.crashes.iter().all(is_reported)
--- a/crates/peppercrank-direct/src/retries.rs
+++ b/crates/peppercrank-direct/src/retries.rs
@@ -31,7 +31,7 @@
     pub share: f64,
     /// Additional retries allowed per window, over all routers.
     pub extra: f64,
-    /// Length of the window.
+    /// Period before the present in which requests and retries are counted.
     pub window: Duration,
 }
 
@@ -77,7 +77,7 @@
 
     /// Takes one retry from the budget; returns false if none is left.
     ///
-    /// `routers` is the number of routers that share the extra, including this one.
+    /// `routers` is the number of routers that share the additional retries, including this one.
     pub fn try_spend(&mut self, now: Instant, pool: &Arc<str>, routers: usize) -> bool {
         let fits = self.can_spend(now, pool, routers);
         if fits {
@@ -148,7 +148,7 @@
     pub max_runs: u32,
     /// Attempts that may have executed the request.
     runs: u32,
-    /// All attempts.
+    /// Number of attempts, including those that were not executed.
     sends: u32,
 }
 
--- a/crates/peppercrank-direct/src/silence.rs
+++ b/crates/peppercrank-direct/src/silence.rs
@@ -14,11 +14,12 @@
 /// for the next target to process the prompt.
 const PAUSE_SHARE: f64 = 0.75;
 
-/// Shortest limit: steps of a busy engine that prefills several long prompts take some hundred
-/// milliseconds, and its streams pause for that time.
+/// Minimum time without a part after which a stream counts as silent. Steps of a busy engine that
+/// prefills several long prompts take some hundred milliseconds, and its streams pause meanwhile.
 const MIN_LIMIT: Duration = Duration::from_millis(300);
 
-/// Limit on routes that set no longest pause; callers wait at least two seconds for an event.
+/// Time without a part after which a stream counts as silent if its route sets no longest pause.
+/// Callers wait at least two seconds for an event, which leaves a second for another target.
 const DEFAULT_LIMIT: Duration = Duration::from_secs(1);
 
 /// Detector of silence on one stream.
@@ -33,7 +34,7 @@
 pub enum StreamState {
     /// The stream is not silent yet; check again at this time.
     ActiveUntil(Instant),
-    /// The stream is silent.
+    /// Nothing has arrived for so long that the stream counts as stalled.
     Silent,
 }
 
@@ -55,7 +56,7 @@
         now.since(self.last_heard)
     }
 
-    /// Records a part, or restarts the limit.
+    /// Records a part. It is also called without one, to wait for the full limit again.
     pub const fn record_part(&mut self, now: Instant) {
         self.last_heard = now;
     }
--- a/crates/peppercrank-direct/src/stats.rs
+++ b/crates/peppercrank-direct/src/stats.rs
@@ -12,8 +12,9 @@
 use crate::peers::PeerWork;
 use crate::rates::saturating_u64;
 
-/// Time for which a target's load report is used. Later, peers have sent the target more requests
-/// than this router knows of. A report still says more than peer counts that are older than it.
+/// Time for which a target's load report is used. An older report lacks requests that peers have
+/// sent the target since, and of which this router may not know yet. It is used for longer while
+/// the peers' counts are even older.
 const REPORT_TTL: Duration = Duration::from_secs(1);
 
 /// Longest time for which a load report is used, where the peers' counts are older than
@@ -30,7 +31,7 @@
 /// Duration of the first ejection; it doubles with each further one.
 const FIRST_EJECTION: Duration = Duration::from_millis(600);
 
-/// Longest ejection.
+/// Maximum duration of an ejection, at which it stops doubling.
 const MAX_EJECTION: Duration = Duration::from_secs(5);
 
 /// Weight of one answer in the moving average of the failure rate.
@@ -51,7 +52,7 @@
     /// The target's report. The value is the fraction of the reported requests that have since
     /// ended and been replaced by others, 0 to 1.
     Report(f64),
-    /// Routers' counts so old that other requests run by now.
+    /// The routers' counts, which are so old that other requests are assumed to run by now.
     StaleCounts,
 }
 
@@ -79,7 +80,7 @@
     pub peers_prefill_tokens: u64,
     /// Latest load that the target reported, in requests, and when.
     last_report: Option<(Instant, u32)>,
-    /// Requests sent since that report.
+    /// Requests that this router sent after the target's latest report.
     sent_since_report: u32,
     /// When this router last sent a request.
     last_sent: Instant,
--- a/crates/peppercrank-direct/src/warm_up.rs
+++ b/crates/peppercrank-direct/src/warm_up.rs
@@ -20,7 +20,7 @@
 //! | it registered after the first list | the pool's warm-up time after that |
 //! | its availability zone was restored after an evacuation | the pool's warm-up time after that |
 //! | a connection to it was refused or timed out | the pool's warm-up time after the last one |
-//! | nothing new, as the store has not answered for a while | the store answers |
+//! | the store has not answered for a while, so restarts may have been missed | the store answers again |
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -90,7 +90,7 @@
     own: u64,
     /// Whether a list of routers has been received.
     listed: bool,
-    /// Incremented with each change.
+    /// Number that is incremented with each change of the routers, which outdates cached shares.
     version: u64,
 }
 
@@ -117,8 +117,9 @@
         let count = self.hashes.len();
         let own = router_rank(self.own, placement_id);
         if count * 4 < known_routers * 3 {
-            // The list lacks many routers, which select themselves too. Each router then decides
-            // independently, and fewer are selected.
+            // The list lacks many routers, which cannot be ranked here but may select themselves.
+            // So each router compares its rank with a fixed bound instead of with the other
+            // routers, and the bound selects only half of `requests` routers on average.
             let each = u64::MAX / known_routers as u64;
             let most = each.saturating_mul(requests.div_ceil(2) as u64);
             return usize::from(own < most);
@@ -147,11 +148,11 @@
 /// `Opens` is when a cold target may be sent a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Opens {
-    /// Immediately.
+    /// It may be sent a request immediately.
     Now,
-    /// After this delay.
+    /// It may be sent a request after this delay.
     After(Duration),
-    /// Never by this router while the target is cold.
+    /// It gets no requests from this router while it is cold.
     Never,
 }
 
--- a/crates/peppercrank-gateway/src/attempt.rs
+++ b/crates/peppercrank-gateway/src/attempt.rs
@@ -57,7 +57,7 @@
         status: StatusCode,
         /// The headers, without hop-by-hop ones.
         headers: HeaderMap,
-        /// The first part.
+        /// The first part of the stream's body.
         first: Bytes,
         /// The remaining body.
         rest: AnswerBody,
--- a/crates/peppercrank-gateway/src/flight.rs
+++ b/crates/peppercrank-gateway/src/flight.rs
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub struct Flight {
     pub(crate) gateway: Arc<Gateway>,
-    /// How it is counted at its target.
+    /// The request's contribution to its target's load and statistics.
     pub in_flight: InFlight,
     /// Signals that the target's process has been replaced by a new incarnation.
     pub termination: Termination,
--- a/crates/peppercrank-gateway/src/follow.rs
+++ b/crates/peppercrank-gateway/src/follow.rs
@@ -115,8 +115,9 @@
         }
     }
 
-    /// During an outage, leaves it to the follower that confirms the configuration to detect the
-    /// store's recovery, as each call has a cost. Checks by itself every [`OUTAGE_CHECK_INTERVAL`].
+    /// During an outage, waits until the follower that confirms the configuration has detected the
+    /// store's recovery, or for [`OUTAGE_CHECK_INTERVAL`]. Returns at once for that follower. Calls
+    /// have a cost, so only one follower makes them frequently during an outage.
     async fn defer_to_confirmer(&mut self) {
         let away = self.outage_listener.is_away();
         if away && !matches!(self.role, FollowerRole::ConfirmConfiguration(_)) {
@@ -163,14 +164,14 @@
             let state = self.gateway.state();
             return state.catch_up.next_read(state.freshness.age(now));
         }
-        // Another follower may have noticed a new era first.
+        // Another follower may have noticed a new era first, in which the known revision is invalid.
         let same_era = self.gateway.state().eras.newest() == self.era;
         let revision = self.intake.revision.filter(|_| same_era);
         revision.map_or(ReadMode::Snapshot, ReadMode::Changes)
     }
 
-    /// The revision up to which the entries are known. The configuration's is shared by both of its
-    /// followers.
+    /// The revision up to which the entries are known. Both followers of the configuration share
+    /// one revision.
     fn known_revision(&self) -> Option<u64> {
         match self.kind {
             Kind::Configuration => self.gateway.state().catch_up.revision(),
@@ -205,10 +206,10 @@
         }
     }
 
-    /// Waits between calls so that several changes are read by one of them, as each has a cost.
+    /// Waits before the next call, so that one call reads several changes. Each call has a cost.
     async fn pace(&self) {
-        // Do not wait before the first list, except for the watcher, which leaves it to the other
-        // follower.
+        // The first list is requested without a wait. The follower that watches the configuration
+        // waits nevertheless, since the one that confirms it requests that list.
         if self.known_revision().is_none()
             && !matches!(self.role, FollowerRole::WatchConfiguration(_))
         {
@@ -339,7 +340,7 @@
         self.log_configuration_call(wait, asked_at, &result);
         match self.gateway.observe_era(era, asked_era) {
             EraOrder::Same => {}
-            // The answer refers to revisions of another era.
+            // The revisions in the answer are of a newer era, so everything must be read again.
             EraOrder::Newer => return Err(PollOutcome::Relist),
             EraOrder::Older => return Err(PollOutcome::Done),
         }
--- a/crates/peppercrank-gateway/src/metrics.rs
+++ b/crates/peppercrank-gateway/src/metrics.rs
@@ -43,7 +43,7 @@
 /// keeps a large fleet's metrics below a few hundred kilobytes.
 const MAX_NAMED_TARGETS: usize = 64;
 
-/// The label shared by further targets.
+/// Label of the series that targets without a series of their own share.
 const OTHER_TARGETS: &str = "other";
 
 /// Labels a counter with a reason.
--- a/crates/peppercrank-gateway/src/refuse.rs
+++ b/crates/peppercrank-gateway/src/refuse.rs
@@ -60,7 +60,7 @@
     /// All targets of the pool are in evacuated availability zones, or it is not yet known which
     /// zones are evacuated.
     Evacuated "evacuated" SERVICE_UNAVAILABLE;
-    /// All targets of the pool that it may run on asked for a pause in requests.
+    /// All targets of the pool that the request may run on asked for a pause in requests.
     Paused "paused" SERVICE_UNAVAILABLE;
     /// No target in an allowed region accepts work.
     NoRegion "no_region" SERVICE_UNAVAILABLE;
@@ -70,15 +70,15 @@
     Full "full" SERVICE_UNAVAILABLE;
     /// Connections to all targets are slow because this router's own link is congested.
     Congested "congested" SERVICE_UNAVAILABLE;
-    /// It repeatedly crashed targets.
+    /// Targets repeatedly crashed while running the request.
     CrashesTargets "crashes_targets" SERVICE_UNAVAILABLE;
-    /// Targets refused it or could not be reached, and no further attempt is allowed.
+    /// Targets refused the request or could not be reached, and no further attempt is allowed.
     Refused "refused" SERVICE_UNAVAILABLE;
-    /// Its deadline passed before it was sent.
+    /// The request's deadline passed before it was sent.
     Late "late" SERVICE_UNAVAILABLE;
     /// An attempt may have run but gave no complete answer.
     Failed "failed" BAD_GATEWAY;
-    /// Its deadline passed while a target was processing it.
+    /// The request's deadline passed while a target was processing it.
     TimedOut "timed_out" GATEWAY_TIMEOUT;
 }
 
--- a/crates/peppercrank-gateway/src/register.rs
+++ b/crates/peppercrank-gateway/src/register.rs
@@ -22,7 +22,8 @@
 use crate::store::CallResult;
 use crate::store::Store;
 
-/// Pause after a failed call. Routers can serve without knowing of each other for a while.
+/// Pause after a failed call. It may be long, as routers can serve for a while without knowing of
+/// each other.
 const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
 /// Time without a message, in addition to the gossip rounds of a large fleet, after which a router
--- a/crates/peppercrank-gateway/src/serve.rs
+++ b/crates/peppercrank-gateway/src/serve.rs
@@ -43,11 +43,11 @@
 use crate::relay;
 use crate::state::InProgressKey;
 
-/// Share of the request's goal after which a repeatable request is tried elsewhere.
+/// Share of a request's latency goal after which a repeatable request is sent to another target.
 const RETRY_AFTER_SHARE: f64 = 0.5;
 
-/// Minimum wait before a repeatable request is tried elsewhere, as a multiple of the predicted
-/// time.
+/// Minimum wait before a repeatable request is sent to another target, as a multiple of the
+/// predicted time to the first part of its answer.
 const PREDICTION_FACTOR: f64 = 4.0;
 
 /// Answers one call.
@@ -268,7 +268,7 @@
         self.log_failed_attempt(flight, error.cause);
         self.record_loss(flight, error.crash_evidence).await;
         let after = self.plan.record_attempt(error.execution);
-        // Checked before a retry is taken from the fleet's budget.
+        // Checked first so that a quarantined request takes no retry from the fleet's budget.
         if let Some(next) = self.refuse_if_quarantined() {
             return next;
         }
--- a/crates/peppercrank-gateway/src/state.rs
+++ b/crates/peppercrank-gateway/src/state.rs
@@ -174,8 +174,8 @@
         self.directory.store_restored(now);
         self.catch_up.reset();
         for router in self.routers.values_mut() {
-            // Its known revision no longer identifies its entry, so treat it as alive until the
-            // entry is read again.
+            // The known revision no longer identifies the router's entry, which therefore must not
+            // be removed: the router counts as alive until its entry is read again.
             router.last_heard = now;
         }
     }
