--- a/crates/peppercrank-direct/src/confirm.rs
+++ b/crates/peppercrank-direct/src/confirm.rs
@@ -46,9 +46,10 @@
     pub evacuations_digest: u64,
 }
 
-/// State that a router confirms to others.
+/// State that a router confirms to others: its configuration version, the age of its keys and the
+/// zones that it considers evacuated.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct KeyState {
+pub struct ConfirmableState {
     /// Configuration version in force; `None` without a configuration.
     pub version: Option<u64>,
     /// Age of the copy of the keys; `None` if it is not known.
@@ -60,7 +61,7 @@
 impl Confirmation {
     /// Answers a request from the current state; `None` if the version or the age is not known.
     #[must_use]
-    pub fn new(question: ConfirmationRequest, known: KeyState) -> Option<Self> {
+    pub fn new(question: ConfirmationRequest, known: ConfirmableState) -> Option<Self> {
         let age = u32::try_from(known.age?.as_millis()).ok()?;
         Some(Self {
             nonce: question.nonce,
@@ -74,7 +75,7 @@
 /// Confirmation request that has not been answered yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PendingRequest {
-    /// The request.
+    /// The request, whose nonce identifies its answer.
     pub request: ConfirmationRequest,
     /// When it was sent.
     pub sent_at: Instant,
--- a/crates/peppercrank-direct/src/desired.rs
+++ b/crates/peppercrank-direct/src/desired.rs
@@ -127,19 +127,19 @@
 /// `PromptCache` describes the prompt cache of one engine of a pool.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PromptCache {
-    /// Tokens that it can hold.
+    /// Capacity of the cache, in tokens.
     pub capacity_tokens: u64,
-    /// Size of one token, in bytes.
+    /// Size of one cached token, in bytes.
     pub bytes_per_token: f64,
-    /// Rate at which it is copied to another engine, in bytes per millisecond.
+    /// Rate at which cached tokens are copied to another engine, in bytes per millisecond.
     pub bytes_per_ms: f64,
 }
 
 impl PromptCache {
-    /// Returns the rate at which it is copied, in tokens per millisecond; `None` if it cannot be
-    /// copied.
+    /// Returns the rate at which cached tokens are copied to another engine, in tokens per
+    /// millisecond; `None` if they cannot be copied.
     #[must_use]
-    pub fn copy_rate(&self) -> Option<f64> {
+    pub fn copy_tokens_per_ms(&self) -> Option<f64> {
         let rate = self.bytes_per_ms / self.bytes_per_token;
         (rate.is_finite() && rate > 0.0).then_some(rate)
     }
@@ -191,7 +191,7 @@
     pub routes: Vec<Route>,
     /// All pools.
     pub pools: Vec<Pool>,
-    /// Limits on callers.
+    /// Limits on the size of requests and on the time that callers may take.
     pub caller_limits: CallerLimits,
     /// All organisations. If there are none, requests need no keys.
     pub organisations: Vec<Organisation>,
@@ -205,7 +205,7 @@
     hosts: HashMap<Arc<str>, Vec<usize>>,
     /// Organisations by key.
     keys: HashMap<Arc<str>, usize>,
-    /// Urgency of requests.
+    /// Ranks by which requests for a pool are ordered.
     ranks: Ranks,
 }
 
@@ -221,7 +221,7 @@
 }
 
 impl Index {
-    /// Indexes a configuration.
+    /// Builds the index of a configuration.
     #[must_use]
     pub fn new(desired: Desired) -> Self {
         let mut hosts: HashMap<Arc<str>, Vec<usize>> = HashMap::new();
--- a/crates/peppercrank-gateway/src/follow.rs
+++ b/crates/peppercrank-gateway/src/follow.rs
@@ -41,16 +41,16 @@
 /// Maximum pause between failed calls. It bounds how late the store's recovery is noticed.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(400);
 
-/// During an outage, time after which a follower that waits for another one to detect the store's
-/// recovery checks by itself.
+/// Time between a follower's own calls during an outage. One follower calls the store more often
+/// and tells the others when it recovers, but they do not depend on it alone.
 const OUTAGE_CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Time for the store's answer to begin, in addition to the wait that was asked for. Answers
 /// normally take milliseconds, and some hundreds from a slow store.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The same after a failed call. It is shorter so that a request lost in the outage does not hide
-/// its end.
+/// Like [`ANSWER_TIMEOUT`], for a call after a failed one. It is shorter so that a request that is
+/// lost in an outage does not delay the detection of the store's recovery.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Answers below this size hold no configuration, whose caller limits alone are larger.
@@ -115,8 +115,9 @@
         }
     }
 
-    /// During an outage, leaves it to the follower that confirms the configuration to detect the
-    /// store's recovery, as each call has a cost. Checks by itself every [`OUTAGE_CHECK_INTERVAL`].
+    /// During an outage, waits until the follower that confirms the configuration has detected the
+    /// store's recovery, or for [`OUTAGE_CHECK_INTERVAL`]. Returns at once for that follower. Calls
+    /// have a cost, so only one follower makes them frequently during an outage.
     async fn defer_to_confirmer(&mut self) {
         let away = self.outage_listener.is_away();
         if away && !matches!(self.role, FollowerRole::ConfirmConfiguration(_)) {
@@ -139,7 +140,8 @@
                     return PollOutcome::Done;
                 }
             }
-            // A router that confirms with the store anyway learns of changes that way.
+            // A router that confirms its configuration with the store learns of changes from the
+            // answers, and needs no watch.
             FollowerRole::WatchConfiguration(confirmer) if confirmer.asks_store() => {
                 return PollOutcome::Done;
             }
@@ -162,14 +164,14 @@
             let state = self.gateway.state();
             return state.catch_up.next_read(state.freshness.age(now));
         }
-        // Another follower may have noticed a new era first.
+        // Another follower may have noticed a new era first, in which the known revision is invalid.
         let same_era = self.gateway.state().eras.newest() == self.era;
         let revision = self.intake.revision.filter(|_| same_era);
         revision.map_or(ReadMode::Snapshot, ReadMode::Changes)
     }
 
-    /// The revision up to which the entries are known. The configuration's is shared by both of its
-    /// followers.
+    /// The revision up to which the entries are known. Both followers of the configuration share
+    /// one revision.
     fn known_revision(&self) -> Option<u64> {
         match self.kind {
             Kind::Configuration => self.gateway.state().catch_up.revision(),
@@ -204,10 +206,10 @@
         }
     }
 
-    /// Waits between calls so that several changes are read by one of them, as each has a cost.
+    /// Waits before the next call, so that one call reads several changes. Each call has a cost.
     async fn pace(&self) {
-        // Do not wait before the first list, except for the watcher, which leaves it to the other
-        // follower.
+        // The first list is requested without a wait. The follower that watches the configuration
+        // waits nevertheless, since the one that confirms it requests that list.
         if self.known_revision().is_none()
             && !matches!(self.role, FollowerRole::WatchConfiguration(_))
         {
@@ -338,7 +340,7 @@
         self.log_configuration_call(wait, asked_at, &result);
         match self.gateway.observe_era(era, asked_era) {
             EraOrder::Same => {}
-            // The answer refers to revisions of another era.
+            // The revisions in the answer are of a newer era, so everything must be read again.
             EraOrder::Newer => return Err(PollOutcome::Relist),
             EraOrder::Older => return Err(PollOutcome::Done),
         }
--- a/crates/peppercrank-gateway/src/metrics.rs
+++ b/crates/peppercrank-gateway/src/metrics.rs
@@ -43,7 +43,7 @@
 /// keeps a large fleet's metrics below a few hundred kilobytes.
 const MAX_NAMED_TARGETS: usize = 64;
 
-/// The label shared by further targets.
+/// Label of the series that targets without a series of their own share.
 const OTHER_TARGETS: &str = "other";
 
 /// Labels a counter with a reason.
@@ -89,8 +89,11 @@
     invalid_entries: Family<KindLabel, Counter>,
     datagrams: Family<ReasonLabel, Counter>,
     confirmations: Family<ReasonLabel, Counter>,
+    /// Seconds to the first part of an answer, by kind of route.
     first_seconds: Family<KindLabel, Histogram, fn() -> Histogram>,
+    /// Seconds between two parts of a stream, by kind of route.
     gap_seconds: Family<KindLabel, Histogram, fn() -> Histogram>,
+    /// Seconds from sending a request to a target until the first part of its answer, by target.
     target_first_seconds: Family<TargetLabel, Histogram, fn() -> Histogram>,
     target_failures: Family<TargetLabel, Counter>,
     /// The targets that have metrics series of their own.
--- a/crates/peppercrank-settings/src/url.rs
+++ b/crates/peppercrank-settings/src/url.rs
@@ -17,10 +17,11 @@
 /// The only supported scheme; TLS towards the platform is terminated outside this process.
 const SCHEME: &str = "http://";
 
-/// The port of a URL without one.
+/// The port of a URL that names none.
 const DEFAULT_PORT: u16 = 80;
 
-/// A URL of the form `http://IP[:DEFAULT_PORT]`; the fleet uses IP addresses, not host names.
+/// A URL of the form `http://IP[:PORT][/]`, with port 80 if it names none. The fleet uses IP
+/// addresses, not host names.
 #[derive(Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "String")]
 pub struct BaseUrl(SocketAddr);
@@ -32,7 +33,7 @@
     ///
     /// Returns [`Error::Url`] for another scheme, a host name or a path.
     pub fn new(text: &str) -> Result<Self> {
-        parse_address(text)
+        parse_url(text)
             .map(Self)
             .ok_or_else(|| errors::invalid_url(text))
     }
@@ -44,12 +45,13 @@
     }
 }
 
-fn parse_address(text: &str) -> Option<SocketAddr> {
+fn parse_url(text: &str) -> Option<SocketAddr> {
     let rest = text.strip_prefix(SCHEME)?;
-    let host = rest.strip_suffix('/').unwrap_or(rest);
-    let whole = host.parse::<SocketAddr>();
+    let authority = rest.strip_suffix('/').unwrap_or(rest);
+    let whole = authority.parse::<SocketAddr>();
     let bare = || {
-        host.parse::<IpAddr>()
+        authority
+            .parse::<IpAddr>()
             .map(|ip| SocketAddr::new(ip, DEFAULT_PORT))
     };
     whole.or_else(|_| bare()).ok()
--- a/crates/peppercrank-spec/src/cold.rs
+++ b/crates/peppercrank-spec/src/cold.rs
@@ -39,7 +39,7 @@
 
 /// Load allowed during the warm-up.
 const ALLOWANCE: Allowance = Allowance {
-    overage: 1.5,
+    rate_factor: 1.5,
     slack: 1.0,
 };
 
