--- a/crates/peppercrank-cli/src/access.rs
+++ b/crates/peppercrank-cli/src/access.rs
@@ -11,28 +11,28 @@
 use peppercrank_settings::BaseUrl;
 use peppercrank_settings::Secret;
 
-use crate::errors::Misuse;
 use crate::errors::Result;
+use crate::errors::UsageError;
 use crate::flags::Peppercrank;
-use crate::words::Form;
+use crate::words::OutputFormat;
 
 /// The variable that names the platform's API.
-pub const PLATFORM: &str = "PEPPERCRANK_PLATFORM";
+pub const PLATFORM_VAR: &str = "PEPPERCRANK_PLATFORM";
 
 /// The variable that holds the platform's token.
-pub const TOKEN: &str = "PEPPERCRANK_TOKEN";
+pub const TOKEN_VAR: &str = "PEPPERCRANK_TOKEN";
 
 /// The variable that holds the token of the operators' pages.
-pub const OPERATORS_TOKEN: &str = "PEPPERCRANK_OPERATORS_TOKEN";
+pub const OPERATORS_TOKEN_VAR: &str = "PEPPERCRANK_OPERATORS_TOKEN";
 
 /// The variable that names daemons' operators' addresses, parted by commas.
-pub const DAEMONS: &str = "PEPPERCRANK_DAEMONS";
+pub const DAEMONS_VAR: &str = "PEPPERCRANK_DAEMONS";
 
 /// Time for reading or writing the platform, unless set.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Port of the operators' pages on the VMs of the platform's list, unless set.
-const DEFAULT_PORT: u16 = 7002;
+const DEFAULT_OPERATORS_PORT: u16 = 7002;
 
 /// `Environment` is what a run takes from its environment.
 #[derive(Debug, Clone, Default)]
@@ -42,7 +42,7 @@
     /// The platform's token.
     pub token: Option<String>,
     /// The token of the operators' pages.
-    pub operators: Option<String>,
+    pub operators_token: Option<String>,
     /// The operators' addresses of the daemons, parted by commas.
     pub daemons: Option<String>,
 }
@@ -54,10 +54,10 @@
         // An empty variable is as good as none, as shells leave them.
         let variable = |name| env::var(name).ok().filter(|text| !text.is_empty());
         Self {
-            platform: variable(PLATFORM),
-            token: variable(TOKEN),
-            operators: variable(OPERATORS_TOKEN),
-            daemons: variable(DAEMONS),
+            platform: variable(PLATFORM_VAR),
+            token: variable(TOKEN_VAR),
+            operators_token: variable(OPERATORS_TOKEN_VAR),
+            daemons: variable(DAEMONS_VAR),
         }
     }
 }
@@ -71,7 +71,7 @@
     pub(crate) timeout: Duration,
     pub(crate) daemons: Vec<SocketAddr>,
     pub(crate) port: u16,
-    pub(crate) form: Form,
+    pub(crate) format: OutputFormat,
 }
 
 impl Access {
@@ -80,42 +80,42 @@
         let Environment {
             platform,
             token,
-            operators,
+            operators_token,
             daemons,
         } = environment;
         Ok(Self {
-            platform: choose(flags.platform, platform.as_ref(), PLATFORM)?,
-            token: choose(flags.token.clone(), token.as_ref(), TOKEN)?,
-            operators: choose(
+            platform: flag_or_variable(flags.platform, platform.as_ref(), PLATFORM_VAR)?,
+            token: flag_or_variable(flags.token.clone(), token.as_ref(), TOKEN_VAR)?,
+            operators: flag_or_variable(
                 flags.operators_token.clone(),
-                operators.as_ref(),
-                OPERATORS_TOKEN,
+                operators_token.as_ref(),
+                OPERATORS_TOKEN_VAR,
             )?,
             timeout: flags.timeout.map_or(DEFAULT_TIMEOUT, |t| t.0),
-            daemons: addresses(flags, daemons.as_deref())?,
-            port: flags.operators_port.unwrap_or(DEFAULT_PORT),
-            form: flags.output.unwrap_or_default(),
+            daemons: daemon_addresses(flags, daemons.as_deref())?,
+            port: flags.operators_port.unwrap_or(DEFAULT_OPERATORS_PORT),
+            format: flags.output.unwrap_or_default(),
         })
     }
 
     /// The platform, which some verbs can do without.
     pub(crate) fn platform(&self) -> Result<BaseUrl> {
-        Ok(self.platform.ok_or(Misuse::NoPlatform)?)
+        Ok(self.platform.ok_or(UsageError::MissingPlatform)?)
     }
 }
 
 /// The daemons that are named: by flags, or else by the variable unless a port asks for the list.
-fn addresses(flags: &Peppercrank, text: Option<&str>) -> Result<Vec<SocketAddr>> {
+fn daemon_addresses(flags: &Peppercrank, text: Option<&str>) -> Result<Vec<SocketAddr>> {
     if !flags.daemon.is_empty() || flags.operators_port.is_some() {
         return Ok(flags.daemon.clone());
     }
     let parts = text.into_iter().flat_map(|t| t.split(','));
     let parsed = parts.map(|part| part.trim().parse::<SocketAddr>());
     let parsed = parsed.collect::<std::result::Result<_, _>>();
-    Ok(parsed.map_err(|_e| Misuse::Variable(DAEMONS))?)
+    Ok(parsed.map_err(|_e| UsageError::InvalidVariable(DAEMONS_VAR))?)
 }
 
-fn choose<T: FromStr>(
+fn flag_or_variable<T: FromStr>(
     flag: Option<T>,
     text: Option<&String>,
     name: &'static str,
@@ -124,5 +124,5 @@
         return Ok(flag);
     }
     let parsed = text.map(|t| t.parse::<T>()).transpose();
-    Ok(parsed.map_err(|_e| Misuse::Variable(name))?)
+    Ok(parsed.map_err(|_e| UsageError::InvalidVariable(name))?)
 }
--- a/crates/peppercrank-cli/src/daemons.rs
+++ b/crates/peppercrank-cli/src/daemons.rs
@@ -15,13 +15,13 @@
 
 use crate::access::Access;
 use crate::errors::Result;
-use crate::remote::Remote;
+use crate::remote::PlatformClient;
 
 /// Pages asked for at once; so 1,670 small ones took 2.7 s on loopback, their server included.
-const LANES: usize = 16;
+const MAX_CONCURRENCY: usize = 16;
 
 /// Time for one page.
-const PAGE_TIME: Duration = Duration::from_secs(2);
+const PAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// `Daemon` is one daemon's operators' address.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -34,7 +34,7 @@
 /// `Silence` is why a daemon gave no page.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Silence {
+pub enum PageError {
     /// It could not be reached, or did not answer in time.
     Unreached,
     /// It answered with this HTTP status.
@@ -43,7 +43,7 @@
     Malformed,
 }
 
-impl fmt::Display for Silence {
+impl fmt::Display for PageError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreached => f.write_str("does not answer"),
@@ -56,18 +56,18 @@
 
 /// `Pages` reads operators' pages.
 #[derive(Debug)]
-pub(crate) struct Pages {
+pub(crate) struct PageClient {
     agent: Agent,
     bearer: Option<String>,
 }
 
-impl Pages {
+impl PageClient {
     pub(crate) fn new(token: Option<&Secret>) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
             .max_redirects(0)
             .proxy(None)
-            .timeout_global(Some(PAGE_TIME))
+            .timeout_global(Some(PAGE_TIMEOUT))
             .build();
         Self {
             agent: Agent::new_with_config(config),
@@ -76,52 +76,52 @@
     }
 
     /// Asks all daemons for one page, and gives the answers in their order.
-    pub(crate) fn ask<T>(
+    pub(crate) fn fetch_all<T>(
         &self,
         daemons: &[Daemon],
         path: &str,
-    ) -> Vec<std::result::Result<T, Silence>>
+    ) -> Vec<std::result::Result<T, PageError>>
     where
         T: DeserializeOwned + Send,
     {
-        let share = daemons.len().div_ceil(LANES).max(1);
+        let share = daemons.len().div_ceil(MAX_CONCURRENCY).max(1);
         thread::scope(|scope| {
             let lanes = daemons.chunks(share).map(|some| {
-                scope.spawn(move || some.iter().map(|d| self.page(d, path)).collect::<Vec<_>>())
+                scope.spawn(move || some.iter().map(|d| self.fetch(d, path)).collect::<Vec<_>>())
             });
             // All lanes start before the first is waited for.
             let lanes = lanes.collect::<Vec<_>>();
             let answers = lanes.into_iter().zip(daemons.chunks(share));
             let answers = answers.flat_map(|(lane, some)| {
-                let lost = || some.iter().map(|_| Err(Silence::Unreached)).collect();
+                let lost = || some.iter().map(|_| Err(PageError::Unreached)).collect();
                 lane.join().unwrap_or_else(|_panic| lost())
             });
             answers.collect()
         })
     }
 
-    fn page<T: DeserializeOwned>(
+    fn fetch<T: DeserializeOwned>(
         &self,
         daemon: &Daemon,
         path: &str,
-    ) -> std::result::Result<T, Silence> {
+    ) -> std::result::Result<T, PageError> {
         let request = self.agent.get(format!("http://{}{path}", daemon.address));
         let request = match &self.bearer {
             Some(bearer) => request.header("authorization", bearer),
             None => request,
         };
-        let mut answer = request.call().map_err(|_e| Silence::Unreached)?;
+        let mut answer = request.call().map_err(|_e| PageError::Unreached)?;
         let status = answer.status().as_u16();
         if status != 200 {
-            return Err(Silence::Refused(status));
+            return Err(PageError::Refused(status));
         }
         let body = answer.body_mut().read_json();
-        body.map_err(|_e| Silence::Malformed)
+        body.map_err(|_e| PageError::Malformed)
     }
 }
 
 /// Finds the daemons: those of the flags, else those of the platform's list that stay.
-pub(crate) fn find(access: &Access) -> Result<Vec<Daemon>> {
+pub(crate) fn discover(access: &Access) -> Result<Vec<Daemon>> {
     if !access.daemons.is_empty() {
         let named = access.daemons.iter().map(|address| Daemon {
             name: address.to_string(),
@@ -129,7 +129,7 @@
         });
         return Ok(named.collect());
     }
-    let list = Remote::new(access)?.vms()?;
+    let list = PlatformClient::new(access)?.vms()?;
     let staying = list.vms.into_iter().filter(|vm| !vm.leaving);
     let daemons = staying.map(|vm| Daemon {
         name: vm.name.to_string(),
--- a/crates/peppercrank-cli/src/drain.rs
+++ b/crates/peppercrank-cli/src/drain.rs
@@ -15,45 +15,53 @@
 use crate::access::Access;
 use crate::daemons;
 use crate::daemons::Daemon;
-use crate::daemons::Pages;
+use crate::daemons::PageClient;
 use crate::errors::Error;
 use crate::errors::Result;
-use crate::words::Span;
+use crate::words::DurationArg;
 
 /// Longest wait, unless set: a long answer, and some.
-const DEFAULT_WITHIN: Duration = Duration::from_secs(600);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// Pause between two looks at the target's agent.
-const PAUSE: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Waits until the target's own agent says that it is drained.
-pub(crate) fn wait(access: &Access, target: &TargetName, within: Option<Span>) -> Result<()> {
-    let end = Instant::now() + within.map_or(DEFAULT_WITHIN, |s| s.0);
-    let pages = Pages::new(access.operators.as_ref());
+pub(crate) fn wait(
+    access: &Access,
+    target: &TargetName,
+    within: Option<DurationArg>,
+) -> Result<()> {
+    let end = Instant::now() + within.map_or(DEFAULT_TIMEOUT, |s| s.0);
+    let pages = PageClient::new(access.operators.as_ref());
     let mut agent = None;
     let mut last = None;
     loop {
         let asked = match &agent {
             Some(agent) => vec![Daemon::clone(agent)],
-            None => daemons::find(access)?,
+            None => daemons::discover(access)?,
         };
-        if let Some((daemon, seen)) = look(&pages, &asked, target) {
+        if let Some((daemon, seen)) = find_target(&pages, &asked, target) {
             if seen.drain.is_some_and(|d| d.drained) {
                 return Ok(());
             }
             agent = Some(daemon);
             last = Some(seen);
         }
-        if Instant::now() + PAUSE >= end {
-            return Err(give_up(target, last));
+        if Instant::now() + POLL_INTERVAL >= end {
+            return Err(timeout_error(target, last));
         }
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
 /// Finds the target's own agent among the daemons, and what it says of the target.
-fn look(pages: &Pages, asked: &[Daemon], target: &TargetName) -> Option<(Daemon, TargetStatus)> {
-    let answers = pages.ask::<Status>(asked, STATUS_PATH);
+fn find_target(
+    pages: &PageClient,
+    asked: &[Daemon],
+    target: &TargetName,
+) -> Option<(Daemon, TargetStatus)> {
+    let answers = pages.fetch_all::<Status>(asked, STATUS_PATH);
     let answers = asked.iter().zip(answers);
     let mut own = answers.filter_map(|(daemon, answer)| {
         let targets = answer.ok()?.targets;
@@ -65,7 +73,7 @@
     own.next()
 }
 
-fn give_up(target: &TargetName, last: Option<TargetStatus>) -> Error {
+fn timeout_error(target: &TargetName, last: Option<TargetStatus>) -> Error {
     let load = last.and_then(|t| t.load);
     match load {
         Some(load) => Error::NotDrained {
--- a/crates/peppercrank-cli/src/errors.rs
+++ b/crates/peppercrank-cli/src/errors.rs
@@ -27,49 +27,49 @@
 
 /// `Word` is what an argument should have been.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Word {
+pub enum ArgumentError {
     /// The kind of an object.
-    Kind,
+    ObjectKind,
     /// A form of output.
-    Form,
+    OutputFormat,
     /// A daemon.
-    Daemon,
+    DaemonKind,
     /// What a stand-in stands in for.
-    Part,
+    StandinKind,
     /// A `key=value`.
     Assignment,
     /// The id of an order.
-    Order,
+    OrderId,
 }
 
 /// `Misuse` is a command line that parses and yet makes no sense.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Misuse {
+pub enum UsageError {
     /// No platform is named.
-    NoPlatform,
+    MissingPlatform,
     /// A variable of the environment does not hold what it should.
-    Variable(&'static str),
+    InvalidVariable(&'static str),
     /// `mark` wants one of `--remove` and `--shutdown`.
-    MarkAction,
+    MissingMarkAction,
     /// `--grace` has no meaning without `--remove`.
-    Grace,
+    GraceWithoutRemove,
     /// An organisation has no such parameter.
-    Parameter(String),
+    UnknownParameter(String),
     /// A parameter's value is not of its type.
-    Value {
+    InvalidValue {
         /// The parameter.
         key: String,
         /// The value as given.
         value: String,
     },
     /// A new organisation wants a template.
-    NoTemplate,
+    MissingTemplate,
     /// `set-organisation` wants a parameter.
-    NoParameter,
+    MissingParameter,
     /// `order` wants one order.
-    OrderCommand,
+    AmbiguousOrderCommand,
     /// `--platform-port` has no meaning without `--agents`.
-    PlatformPort,
+    PlatformPortWithoutAgents,
 }
 
 /// `Error` is why a verb was not carried out.
@@ -77,9 +77,9 @@
 #[non_exhaustive]
 pub enum Error {
     /// The command line does not parse.
-    Flags(xflags::Error),
+    Arguments(xflags::Error),
     /// The command line parses and yet makes no sense.
-    Misuse(Misuse),
+    Usage(UsageError),
     /// A settings file is wrong, or a file could not be read.
     Settings(peppercrank_settings::Error),
     /// A file is not JSON with comments.
@@ -90,9 +90,9 @@
         source: peppercrank_core::Error,
     },
     /// The content failed its checks.
-    Fault(Fault),
+    InvalidObject(Fault),
     /// The content of one file of many failed its checks.
-    FileFault {
+    InvalidObjectFile {
         /// The file.
         path: PathBuf,
         /// The fault.
@@ -118,7 +118,7 @@
     /// The platform's API refused the call itself.
     Platform(peppercrank_wire::platform::Failure),
     /// A write was sent and the time was up before its fate was known.
-    Unknown(PublishId),
+    OutcomeUnknown(PublishId),
     /// A change is not in force everywhere in time.
     NotInForce {
         /// Its version.
@@ -126,7 +126,7 @@
         /// On how many daemons it is.
         done: usize,
         /// The daemons that answered with an older version, or not at all.
-        missing: Vec<crate::in_force::Missing>,
+        missing: Vec<crate::in_force::MissingDaemon>,
     },
     /// A leaving target is not drained in time.
     NotDrained {
@@ -163,8 +163,8 @@
 
 /// `value` makes the error for a parameter's value of another type.
 #[must_use]
-pub fn value(key: &str, value: &str) -> Error {
-    Error::Misuse(Misuse::Value {
+pub fn invalid_value(key: &str, value: &str) -> Error {
+    Error::Usage(UsageError::InvalidValue {
         key: key.to_owned(),
         value: value.to_owned(),
     })
@@ -175,11 +175,11 @@
     #[must_use]
     pub fn exit(&self) -> Exit {
         match self {
-            Self::Flags(_) | Self::Misuse(_) => Exit::Usage,
+            Self::Arguments(_) | Self::Usage(_) => Exit::Usage,
             Self::Conflict(_) | Self::LeaseHeld(_) => Exit::Conflict,
             Self::NotFound(_) | Self::NoSuchTarget(_) => Exit::NotFound,
             Self::Unavailable => Exit::Unavailable,
-            Self::Unknown(_) => Exit::Unknown,
+            Self::OutcomeUnknown(_) => Exit::Unknown,
             Self::NotInForce { .. } | Self::NotDrained { .. } | Self::NoAgent(_) => {
                 Exit::NotInForce
             }
@@ -190,9 +190,10 @@
             | Self::Standin(_)
             | Self::Output(_)
             | Self::Daemon(_) => Exit::Failure,
-            Self::Settings(_) | Self::File { .. } | Self::Fault(_) | Self::FileFault { .. } => {
-                Exit::Invalid
-            }
+            Self::Settings(_)
+            | Self::File { .. }
+            | Self::InvalidObject(_)
+            | Self::InvalidObjectFile { .. } => Exit::Invalid,
         }
     }
 
@@ -200,15 +201,15 @@
     #[must_use]
     pub fn json(&self) -> Value {
         let mut value = json!({
-            "error": self.exit().word(),
+            "error": self.exit().name(),
             "exit": self.exit().code(),
             "message": self.to_string(),
         });
         match self {
             Self::Settings(peppercrank_settings::Error::Text(e)) | Self::File { source: e, .. } => {
-                place(&mut value, e);
+                add_position(&mut value, e);
             }
-            Self::Fault(fault) | Self::FileFault { fault, .. } => {
+            Self::InvalidObject(fault) | Self::InvalidObjectFile { fault, .. } => {
                 value["kind"] = json!(fault.kind);
                 value["path"] = json!(fault.path);
             }
@@ -216,7 +217,7 @@
                 value["current"] = object::current_json(conflict.current.as_ref());
                 value["differences"] = object::differences_json(&conflict.differences);
             }
-            Self::Unknown(id) => value["publish"] = json!(id),
+            Self::OutcomeUnknown(id) => value["publish"] = json!(id),
             Self::NotInForce {
                 version,
                 done,
@@ -233,39 +234,43 @@
 }
 
 /// Adds the place of a fault in a file.
-fn place(value: &mut Value, e: &peppercrank_core::Error) {
+fn add_position(value: &mut Value, e: &peppercrank_core::Error) {
     if let peppercrank_core::Error::Settings { line, column, .. } = e {
         value["line"] = json!(line);
         value["column"] = json!(column);
     }
 }
 
-impl fmt::Display for Word {
+impl fmt::Display for ArgumentError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Kind => "expected template, organisation, pool or mark",
-            Self::Form => "expected text or json",
-            Self::Daemon => "expected router, agent or gateway",
-            Self::Part => "expected engine, service or platform",
+            Self::ObjectKind => "expected template, organisation, pool or mark",
+            Self::OutputFormat => "expected text or json",
+            Self::DaemonKind => "expected router, agent or gateway",
+            Self::StandinKind => "expected engine, service or platform",
             Self::Assignment => "expected key=value",
-            Self::Order => "expected 32 hexadecimal digits",
+            Self::OrderId => "expected 32 hexadecimal digits",
         })
     }
 }
 
-impl fmt::Display for Misuse {
+impl fmt::Display for UsageError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoPlatform => f.write_str("no platform: set --platform or PEPPERCRANK_PLATFORM"),
-            Self::Variable(name) => write!(f, "{name} does not hold what it should"),
-            Self::MarkAction => f.write_str("one of --remove and --shutdown is wanted"),
-            Self::Grace => f.write_str("--grace goes with --remove only"),
-            Self::Parameter(key) => write!(f, "an organisation has no parameter `{key}`"),
-            Self::Value { key, value } => write!(f, "`{value}` is no value of `{key}`"),
-            Self::NoTemplate => f.write_str("the organisation is new: template=NAME is wanted"),
-            Self::NoParameter => f.write_str("at least one key=value is wanted"),
-            Self::PlatformPort => write!(f, "--platform-port wants --agents"),
-            Self::OrderCommand => {
+            Self::MissingPlatform => {
+                f.write_str("no platform: set --platform or PEPPERCRANK_PLATFORM")
+            }
+            Self::InvalidVariable(name) => write!(f, "{name} does not hold what it should"),
+            Self::MissingMarkAction => f.write_str("one of --remove and --shutdown is wanted"),
+            Self::GraceWithoutRemove => f.write_str("--grace goes with --remove only"),
+            Self::UnknownParameter(key) => write!(f, "an organisation has no parameter `{key}`"),
+            Self::InvalidValue { key, value } => write!(f, "`{value}` is no value of `{key}`"),
+            Self::MissingTemplate => {
+                f.write_str("the organisation is new: template=NAME is wanted")
+            }
+            Self::MissingParameter => f.write_str("at least one key=value is wanted"),
+            Self::PlatformPortWithoutAgents => write!(f, "--platform-port wants --agents"),
+            Self::AmbiguousOrderCommand => {
                 f.write_str("one of --load-model, --load-adapter and --set-role is wanted")
             }
         }
@@ -275,20 +280,20 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Flags(e) => e.fmt(f),
-            Self::Misuse(e) => e.fmt(f),
+            Self::Arguments(e) => e.fmt(f),
+            Self::Usage(e) => e.fmt(f),
             Self::Settings(e) => e.fmt(f),
             Self::File { path, source } => write!(f, "{}: {source}", path.display()),
-            Self::Fault(e) => e.fmt(f),
-            Self::FileFault { path, fault } => write!(f, "{}: {fault}", path.display()),
+            Self::InvalidObject(e) => e.fmt(f),
+            Self::InvalidObjectFile { path, fault } => write!(f, "{}: {fault}", path.display()),
             Self::Directory { path, source } => write!(f, "{}: {source}", path.display()),
             Self::Process(e) => write!(f, "the process could not be set up: {e}"),
             Self::Standin(e) => e.fmt(f),
-            Self::Conflict(conflict) => show_conflict(f, conflict),
+            Self::Conflict(conflict) => fmt_conflict(f, conflict),
             Self::NotFound(key) => write!(f, "there is no {} `{}`", key.kind.code(), key.name),
             Self::Unavailable => f.write_str("the platform did not answer; nothing was written"),
             Self::Platform(e) => write!(f, "the platform refused the call: {e}"),
-            Self::Unknown(id) => write!(
+            Self::OutcomeUnknown(id) => write!(
                 f,
                 "the platform did not answer and the change may have taken effect; \
                  run the same again with --publish-id {id}"
@@ -335,7 +340,7 @@
     }
 }
 
-fn show_conflict(f: &mut fmt::Formatter<'_>, conflict: &Conflict) -> fmt::Result {
+fn fmt_conflict(f: &mut fmt::Formatter<'_>, conflict: &Conflict) -> fmt::Result {
     let key = &conflict.key;
     write!(f, "conflict: {} `{}` ", key.kind.code(), key.name)?;
     match (&conflict.current, conflict.base) {
@@ -357,14 +362,14 @@
     Ok(())
 }
 
-impl std::error::Error for Word {}
+impl std::error::Error for ArgumentError {}
 
 impl std::error::Error for Error {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
             Self::Settings(e) => Some(e),
             Self::File { source, .. } => Some(source),
-            Self::Fault(e) | Self::FileFault { fault: e, .. } => Some(e),
+            Self::InvalidObject(e) | Self::InvalidObjectFile { fault: e, .. } => Some(e),
             Self::Platform(e) => Some(e),
             Self::Output(e) | Self::Process(e) | Self::Directory { source: e, .. } => Some(e),
             Self::Standin(e) => Some(e),
@@ -375,7 +380,7 @@
 
 impl From<xflags::Error> for Error {
     fn from(e: xflags::Error) -> Self {
-        Self::Flags(e)
+        Self::Arguments(e)
     }
 }
 
@@ -385,14 +390,14 @@
     }
 }
 
-impl From<Misuse> for Error {
-    fn from(e: Misuse) -> Self {
-        Self::Misuse(e)
+impl From<UsageError> for Error {
+    fn from(e: UsageError) -> Self {
+        Self::Usage(e)
     }
 }
 
 impl From<Fault> for Error {
     fn from(e: Fault) -> Self {
-        Self::Fault(e)
+        Self::InvalidObject(e)
     }
 }
--- a/crates/peppercrank-cli/src/exit.rs
+++ b/crates/peppercrank-cli/src/exit.rs
@@ -53,7 +53,7 @@
 
     /// `word` is the code's name in JSON output.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn name(self) -> &'static str {
         match self {
             Self::Done => "done",
             Self::Failure => "failure",
--- a/crates/peppercrank-cli/src/fate.rs
+++ b/crates/peppercrank-cli/src/fate.rs
@@ -16,7 +16,7 @@
 /// `Fate` is what became of an order at one target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
-pub enum Fate {
+pub enum OrderOutcome {
     /// The engine obeyed.
     Obeyed,
     /// The engine refused.
@@ -46,12 +46,12 @@
     Malformed,
 }
 
-impl Fate {
+impl OrderOutcome {
     /// `of` reads what the agent said, or why it said nothing.
     #[must_use]
-    pub fn of(told: Result<String, ControlError>) -> Self {
+    pub fn from_reply(told: Result<String, ControlError>) -> Self {
         match told {
-            Ok(text) => Self::told(&text),
+            Ok(text) => Self::parse(&text),
             Err(ControlError::Connect(_)) => Self::Unreached,
             Err(ControlError::Busy) => Self::Busy,
             Err(ControlError::Refused(_)) => Self::Unauthentic,
@@ -60,7 +60,7 @@
         }
     }
 
-    fn told(text: &str) -> Self {
+    fn parse(text: &str) -> Self {
         match text {
             r#""no_target""# => return Self::NoEngine,
             r#""malformed""# => return Self::Malformed,
@@ -101,7 +101,7 @@
     ///
     /// An unknown fate goes before a lost race, and that before any other failure.
     #[must_use]
-    pub fn worst(fates: impl IntoIterator<Item = Self>) -> Exit {
+    pub fn worst_exit(fates: impl IntoIterator<Item = Self>) -> Exit {
         let rank = |exit: &Exit| match exit {
             Exit::Done => 0,
             Exit::Failure => 1,
@@ -113,7 +113,7 @@
     }
 }
 
-impl fmt::Display for Fate {
+impl fmt::Display for OrderOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Obeyed => "obeyed",
--- a/crates/peppercrank-cli/src/flags.rs
+++ b/crates/peppercrank-cli/src/flags.rs
@@ -15,12 +15,12 @@
 use peppercrank_settings::Secret;
 
 use crate::words::Assignment;
-use crate::words::Daemon;
-use crate::words::Form;
-use crate::words::KindWord;
-use crate::words::OrderWord;
-use crate::words::Part;
-use crate::words::Span;
+use crate::words::DaemonKind;
+use crate::words::DurationArg;
+use crate::words::KindArg;
+use crate::words::OrderIdArg;
+use crate::words::OutputFormat;
+use crate::words::StandinKind;
 
 xflags::xflags! {
     /// Operates a peppercrank router fleet.
@@ -33,9 +33,9 @@
         /// The platform's bearer token; else PEPPERCRANK_TOKEN, which other users cannot see.
         optional --token token: Secret
         /// Form of the output, text or json; text unless set.
-        optional --output form: Form
+        optional --output form: OutputFormat
         /// Time for reading or writing the platform, with retries; 20s unless set.
-        optional --timeout duration: Span
+        optional --timeout duration: DurationArg
         /// Operators' address of one daemon, repeatable; else PEPPERCRANK_DAEMONS, parted by commas;
         /// else all of the platform's VM list.
         repeated --daemon address: SocketAddr
@@ -47,7 +47,7 @@
         /// Creates an object from a file of JSON with comments; a conflict if it is there already.
         cmd publish {
             /// template, organisation, pool or mark
-            required kind: KindWord
+            required kind: KindArg
             /// The object's name.
             required name: ObjectName
             /// The file.
@@ -55,7 +55,7 @@
             /// Return once it is in force on every daemon.
             optional --wait
             /// Longest wait for that; 30s unless set.
-            optional --within duration: Span
+            optional --within duration: DurationArg
             /// The id of an earlier run whose fate is unknown, to carry the same act through.
             optional --publish-id id: PublishId
         }
@@ -63,7 +63,7 @@
         /// Changes an object from a file; a conflict if somebody changed it since it was read.
         cmd revise {
             /// template, organisation, pool or mark
-            required kind: KindWord
+            required kind: KindArg
             /// The object's name.
             required name: ObjectName
             /// The file.
@@ -74,7 +74,7 @@
             /// Return once it is in force on every daemon.
             optional --wait
             /// Longest wait for that; 30s unless set.
-            optional --within duration: Span
+            optional --within duration: DurationArg
             /// The id of an earlier run whose fate is unknown, to carry the same act through.
             optional --publish-id id: PublishId
         }
@@ -90,13 +90,13 @@
             /// Return once all that was written is in force on every daemon.
             optional --wait
             /// Longest wait for that; 30s unless set.
-            optional --within duration: Span
+            optional --within duration: DurationArg
         }
 
         /// Prints an object.
         cmd get {
             /// template, organisation, pool or mark
-            required kind: KindWord
+            required kind: KindArg
             /// The object's name.
             required name: ObjectName
         }
@@ -104,13 +104,13 @@
         /// Lists the objects of a kind with their versions.
         cmd list {
             /// template, organisation, pool or mark
-            required kind: KindWord
+            required kind: KindArg
         }
 
         /// Deletes an object; a conflict if somebody changed it since it was read.
         cmd delete {
             /// template, organisation, pool or mark
-            required kind: KindWord
+            required kind: KindArg
             /// The object's name.
             required name: ObjectName
             /// The version that is meant; without it, the current one.
@@ -118,7 +118,7 @@
             /// Return once the deletion is in force on every daemon.
             optional --wait
             /// Longest wait for that; 30s unless set.
-            optional --within duration: Span
+            optional --within duration: DurationArg
             /// The id of an earlier run whose fate is unknown, to carry the same act through.
             optional --publish-id id: PublishId
         }
@@ -126,7 +126,7 @@
         /// Compares a file with the object on the platform; exit code 9 if they differ.
         cmd diff {
             /// template, organisation, pool or mark
-            required kind: KindWord
+            required kind: KindArg
             /// The object's name.
             required name: ObjectName
             /// The file.
@@ -136,7 +136,7 @@
         /// Checks a file as publish would, without the platform.
         cmd validate {
             /// template, organisation, pool or mark
-            required kind: KindWord
+            required kind: KindArg
             /// The object's name.
             required name: ObjectName
             /// The file.
@@ -155,7 +155,7 @@
             /// Return once it is in force on every daemon.
             optional --wait
             /// Longest wait for that; 30s unless set.
-            optional --within duration: Span
+            optional --within duration: DurationArg
             /// The id of an earlier run whose fate is unknown, to carry the same act through.
             optional --publish-id id: PublishId
         }
@@ -175,15 +175,15 @@
             /// Shut it down gracefully: what runs goes on to its end.
             optional --shutdown
             /// Time left to what runs, for --remove; 0s unless set.
-            optional --grace duration: Span
+            optional --grace duration: DurationArg
             /// Return once the mark is in force on every daemon.
             optional --wait
             /// Longest wait for that; 30s unless set.
-            optional --within duration: Span
+            optional --within duration: DurationArg
             /// Return once nothing runs on the target any more.
             optional --drained
             /// Longest wait for that; 10m unless set.
-            optional --drained-within duration: Span
+            optional --drained-within duration: DurationArg
             /// The id of an earlier run whose fate is unknown, to carry the same act through.
             optional --publish-id id: PublishId
         }
@@ -195,7 +195,7 @@
             /// Return once that is in force on every daemon.
             optional --wait
             /// Longest wait for that; 30s unless set.
-            optional --within duration: Span
+            optional --within duration: DurationArg
             /// The id of an earlier run whose fate is unknown, to carry the same act through.
             optional --publish-id id: PublishId
         }
@@ -216,9 +216,9 @@
             /// Take this role.
             optional --set-role role: String
             /// Longest wait for the lease, and for a number that agents pass; 60s unless set.
-            optional --within duration: Span
+            optional --within duration: DurationArg
             /// The id of an earlier run, to learn what became of that order or to give it now.
-            optional --order-id id: OrderWord
+            optional --order-id id: OrderIdArg
         }
 
         /// Shows the daemons, their targets, loads and drains, and the configuration in force.
@@ -234,7 +234,7 @@
             /// The file.
             required file: PathBuf
             /// router, agent or gateway; else told by what the file names.
-            optional --daemon-kind daemon: Daemon
+            optional --daemon-kind daemon: DaemonKind
         }
 
         /// Tells one request's story and its likely cause from the logs of any number of daemons.
@@ -274,13 +274,13 @@
             /// Port of the platform stand-in, with --agents; a free one unless set.
             optional --platform-port port: u16
             /// Time after which it ends with exit code 0; for ever unless set.
-            optional --run-time duration: Span
+            optional --run-time duration: DurationArg
         }
 
         /// Serves a stand-in of another system, for trials, until SIGTERM.
         cmd standin {
             /// engine, service or platform
-            required kind: Part
+            required kind: StandinKind
             /// Its settings: a file of JSON with comments, every field optional.
             required file: PathBuf
         }
--- a/crates/peppercrank-cli/src/help.rs
+++ b/crates/peppercrank-cli/src/help.rs
@@ -7,7 +7,7 @@
 const COMMAND: &str = "peppercrank";
 
 /// `of_verb` is the help for `verb`, with the flags that every verb takes; else the whole text.
-pub(crate) fn of_verb(whole: &str, verb: Option<&str>) -> String {
+pub(crate) fn help_for(whole: &str, verb: Option<&str>) -> String {
     verb.and_then(|v| section(whole, v))
         .unwrap_or_else(|| whole.to_owned())
 }
@@ -16,7 +16,7 @@
     let head = format!("{COMMAND} {verb}");
     let mut lines = whole.lines().skip_while(|line| *line != head);
     let first = lines.next()?;
-    let rest = lines.take_while(|line| !is_head(line));
+    let rest = lines.take_while(|line| !is_section_heading(line));
     let own = std::iter::once(first).chain(rest);
     let common = whole
         .lines()
@@ -33,7 +33,7 @@
 }
 
 /// Tells whether a line is the head of a verb's section.
-fn is_head(line: &str) -> bool {
+fn is_section_heading(line: &str) -> bool {
     let verb = line.strip_prefix(COMMAND);
     verb.is_some_and(|v| v.starts_with(' '))
 }
--- a/crates/peppercrank-cli/src/holder.rs
+++ b/crates/peppercrank-cli/src/holder.rs
@@ -35,7 +35,7 @@
     platform: Platform,
     pool: PoolName,
     clock: C,
-    other: Option<VmName>,
+    competing_vm: Option<VmName>,
 }
 
 impl<C> fmt::Debug for Holder<C> {
@@ -65,13 +65,13 @@
             platform,
             pool,
             clock,
-            other: None,
+            competing_vm: None,
         })
     }
 
     /// `seek` waits until the lease is held, at most until `end`; it tells the fencing number.
-    pub fn seek(&mut self, end: Instant) -> Option<Version> {
-        self.step(Input::Seek);
+    pub fn acquire(&mut self, end: Instant) -> Option<Version> {
+        self.apply(Input::Seek);
         self.wait(end, Contender::fence)
     }
 
@@ -83,13 +83,13 @@
 
     /// `renew` makes the renewal that is due, if one is.
     pub fn renew(&mut self) {
-        self.step(Input::Tick);
+        self.apply(Input::Tick);
     }
 
     /// `reach` waits for a renewal that brings a number of at least `least`.
     ///
     /// It tells whether one came by `end`; a lease that is lost meanwhile is not sought again.
-    pub fn reach(&mut self, least: Version, end: Instant) -> bool {
+    pub fn wait_for_fence(&mut self, least: Version, end: Instant) -> bool {
         let reached = |contender: &Contender, now| match contender.fence(now) {
             Some(fence) if fence < least => None,
             fence => Some(fence),
@@ -98,16 +98,16 @@
     }
 
     /// `give_back` lets another take the lease at once, and tells whether that was written.
-    pub fn give_back(&mut self, end: Instant) -> bool {
-        self.step(Input::Leave);
+    pub fn release(&mut self, end: Instant) -> bool {
+        self.apply(Input::Leave);
         let owes_nothing = |contender: &Contender, _| contender.wake().is_none().then_some(());
         self.wait(end, owes_nothing).is_some()
     }
 
     /// `other` is who held the lease when it was last seen in other hands.
     #[must_use]
-    pub const fn other(&self) -> Option<&VmName> {
-        self.other.as_ref()
+    pub const fn other_holder(&self) -> Option<&VmName> {
+        self.competing_vm.as_ref()
     }
 
     /// Carries on until `done` says something, at most until `end`.
@@ -126,12 +126,12 @@
             }
             let wake = self.contender.wake().unwrap_or(end).min(end);
             thread::sleep(wake.since(now));
-            self.step(Input::Tick);
+            self.apply(Input::Tick);
         }
     }
 
     /// Gives the contender an input, and the answers to the calls that it asks for.
-    fn step(&mut self, input: Input) {
+    fn apply(&mut self, input: Input) {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
             for action in self.contender.on((self.clock)(), input) {
@@ -153,16 +153,16 @@
 
     fn read(&mut self) -> Answer<Lease> {
         match self.platform.get(KIND, self.pool.as_str()) {
-            Ok(Fetched::Found(object)) => match parse(object) {
+            Ok(Fetched::Found(object)) => match parse_lease(object) {
                 Some((version, body)) => {
-                    self.note(&body);
+                    self.record_holder(&body);
                     Answer::Found { version, body }
                 }
                 // What cannot be read may be another's lease.
                 None => Answer::Failed { after: None },
             },
             Ok(Fetched::Absent) => Answer::Absent,
-            Err(failure) => failed(failure),
+            Err(failure) => failed_answer(failure),
         }
     }
 
@@ -179,27 +179,27 @@
                 version: Version(version),
             },
             Ok(Written::Conflict(current)) => {
-                let current = current.and_then(parse);
+                let current = current.and_then(parse_lease);
                 if let Some((_, lease)) = &current {
-                    self.note(lease);
+                    self.record_holder(lease);
                 }
                 Answer::Conflict { current }
             }
-            Err(failure) => failed(failure),
+            Err(failure) => failed_answer(failure),
         }
     }
 
-    fn note(&mut self, lease: &Lease) {
-        self.other = (!lease.released).then(|| lease.holder.clone());
+    fn record_holder(&mut self, lease: &Lease) {
+        self.competing_vm = (!lease.released).then(|| lease.holder.clone());
     }
 }
 
-fn parse(object: Object) -> Option<(Version, Lease)> {
+fn parse_lease(object: Object) -> Option<(Version, Lease)> {
     let body = serde_json::from_value(object.body?).ok()?;
     Some((Version(object.version), body))
 }
 
-fn failed(failure: Failure) -> Answer<Lease> {
+fn failed_answer(failure: Failure) -> Answer<Lease> {
     match failure {
         Failure::Throttled(after) => Answer::Failed { after },
         _ => Answer::Failed { after: None },
--- a/crates/peppercrank-cli/src/in_force.rs
+++ b/crates/peppercrank-cli/src/in_force.rs
@@ -16,45 +16,45 @@
 use crate::access::Access;
 use crate::daemons;
 use crate::daemons::Daemon;
-use crate::daemons::Pages;
-use crate::daemons::Silence;
+use crate::daemons::PageClient;
+use crate::daemons::PageError;
 use crate::errors::Error;
 use crate::errors::Result;
-use crate::words::Span;
+use crate::words::DurationArg;
 
 /// Longest wait, unless set: several times the seconds that a change takes.
-const DEFAULT_WITHIN: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Pause between two rounds over the daemons that are behind.
-const ROUND: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Rounds after which the daemons are looked up again, since VMs come and go.
-const LOOK_UP: u32 = 25;
+const REDISCOVERY_ROUNDS: u32 = 25;
 
 /// `Missing` is a daemon on which a change is not seen in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Missing {
+pub struct MissingDaemon {
     /// The daemon's VM or address.
     pub daemon: String,
     /// What it said.
-    pub why: Why,
+    pub why: MissingReason,
 }
 
 /// `Why` is why a change is not seen in force on a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Why {
+pub enum MissingReason {
     /// It holds this older version.
     Version(u64),
     /// It gave no answer.
-    Silent(Silence),
+    Silent(PageError),
 }
 
-impl fmt::Display for Missing {
+impl fmt::Display for MissingDaemon {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.why {
-            Why::Version(version) => write!(f, "{} is at version {version}", self.daemon),
-            Why::Silent(silence) => write!(f, "{} {silence}", self.daemon),
+            MissingReason::Version(version) => write!(f, "{} is at version {version}", self.daemon),
+            MissingReason::Silent(silence) => write!(f, "{} {silence}", self.daemon),
         }
     }
 }
@@ -62,30 +62,30 @@
 /// `Wait` is whether and how long a write waits to be in force.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Wait {
-    on: bool,
-    within: Duration,
+    enabled: bool,
+    timeout: Duration,
 }
 
 impl Wait {
-    pub(crate) fn new(on: bool, within: Option<Span>) -> Self {
-        let within = within.map_or(DEFAULT_WITHIN, |s| s.0);
-        Self { on, within }
+    pub(crate) fn new(enabled: bool, timeout: Option<DurationArg>) -> Self {
+        let timeout = timeout.map_or(DEFAULT_TIMEOUT, |s| s.0);
+        Self { enabled, timeout }
     }
 
     /// Waits for a version of an object and tells on how many daemons it is in force.
-    pub(crate) fn carry(
+    pub(crate) fn wait_for(
         self,
         access: &Access,
         key: &ObjectKey,
         version: u64,
     ) -> Result<Option<usize>> {
-        if !self.on {
+        if !self.enabled {
             return Ok(None);
         }
-        let end = Instant::now() + self.within;
-        let pages = Pages::new(access.operators.as_ref());
+        let end = Instant::now() + self.timeout;
+        let pages = PageClient::new(access.operators.as_ref());
         let path = format!("{OBJECTS_PATH}/{}/{}", key.kind.code(), key.name);
-        let mut all = daemons::find(access)?;
+        let mut all = daemons::discover(access)?;
         if all.is_empty() {
             // In force on all of none would be true and worthless.
             return Err(Error::NotInForce {
@@ -97,11 +97,11 @@
         let mut behind = all.clone();
         let mut round = 0;
         loop {
-            let missing = lagging(&pages, &path, &mut behind, version);
+            let missing = poll_lagging(&pages, &path, &mut behind, version);
             if missing.is_empty() {
                 return Ok(Some(all.len()));
             }
-            if Instant::now() + ROUND >= end {
+            if Instant::now() + POLL_INTERVAL >= end {
                 let done = all.len().saturating_sub(missing.len());
                 return Err(Error::NotInForce {
                     version,
@@ -109,29 +109,34 @@
                     missing,
                 });
             }
-            thread::sleep(ROUND);
+            thread::sleep(POLL_INTERVAL);
             round += 1;
-            if round % LOOK_UP == 0 {
-                renew(access, &mut all, &mut behind);
+            if round % REDISCOVERY_ROUNDS == 0 {
+                refresh_daemons(access, &mut all, &mut behind);
             }
         }
     }
 }
 
 /// Asks the daemons that were behind, and keeps those that still are.
-fn lagging(pages: &Pages, path: &str, behind: &mut Vec<Daemon>, version: u64) -> Vec<Missing> {
-    let answers = pages.ask::<HeldObject>(behind, path);
+fn poll_lagging(
+    pages: &PageClient,
+    path: &str,
+    behind: &mut Vec<Daemon>,
+    version: u64,
+) -> Vec<MissingDaemon> {
+    let answers = pages.fetch_all::<HeldObject>(behind, path);
     let whys = answers.into_iter().map(|answer| match answer {
         Ok(held) if held.version >= version => None,
-        Ok(held) => Some(Why::Version(held.version)),
-        Err(silence) => Some(Why::Silent(silence)),
+        Ok(held) => Some(MissingReason::Version(held.version)),
+        Err(silence) => Some(MissingReason::Silent(silence)),
     });
     let late = behind.iter().cloned().zip(whys);
     let late = late.filter_map(|(daemon, why)| Some((daemon, why?)));
     let (still, missing) = late
         .map(|(daemon, why)| {
             let name = daemon.name.clone();
-            (daemon, Missing { daemon: name, why })
+            (daemon, MissingDaemon { daemon: name, why })
         })
         .unzip();
     *behind = still;
@@ -139,9 +144,9 @@
 }
 
 /// Drops the VMs that have left the list and takes in the new ones.
-fn renew(access: &Access, all: &mut Vec<Daemon>, behind: &mut Vec<Daemon>) {
+fn refresh_daemons(access: &Access, all: &mut Vec<Daemon>, behind: &mut Vec<Daemon>) {
     // While the platform does not answer, those known so far will do.
-    let Ok(list) = daemons::find(access) else {
+    let Ok(list) = daemons::discover(access) else {
         return;
     };
     behind.retain(|d| list.contains(d));
--- a/crates/peppercrank-cli/src/object.rs
+++ b/crates/peppercrank-cli/src/object.rs
@@ -60,6 +60,6 @@
 
 /// `title` names an object for people.
 #[must_use]
-pub fn title(key: &ObjectKey) -> String {
+pub fn display_name(key: &ObjectKey) -> String {
     format!("{} `{}`", key.kind.code(), key.name)
 }
--- a/crates/peppercrank-cli/src/remote.rs
+++ b/crates/peppercrank-cli/src/remote.rs
@@ -34,23 +34,23 @@
 use crate::errors::Result;
 
 /// The first pause before a read is tried again; it doubles.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// The longest pause before a read is tried again.
-const LAST_PAUSE: Duration = Duration::from_secs(2);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// The pause when the platform is throttling and does not say for how long.
-const THROTTLED_PAUSE: Duration = Duration::from_secs(1);
+const THROTTLED_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// `Remote` is the platform within the time of one verb.
 #[derive(Debug)]
-pub(crate) struct Remote {
+pub(crate) struct PlatformClient {
     platform: Platform,
     start: StdInstant,
     timeout: Duration,
 }
 
-impl Remote {
+impl PlatformClient {
     pub(crate) fn new(access: &Access) -> Result<Self> {
         let mut to = platform::Access::new(access.platform()?.address());
         to.token = access.token.as_ref().map(|t| t.reveal().to_owned());
@@ -80,7 +80,7 @@
     }
 
     /// Reads an object that must be there.
-    pub(crate) fn need(&self, key: &ObjectKey) -> Result<Current> {
+    pub(crate) fn read_existing(&self, key: &ObjectKey) -> Result<Current> {
         let found = self.read(key)?;
         found.ok_or_else(|| Error::NotFound(key.clone()))
     }
@@ -98,7 +98,7 @@
     /// Carries an act of publishing through.
     pub(crate) fn publish(&self, key: &ObjectKey, mut publish: Publish) -> Result<Done> {
         let id = publish.id();
-        let mut unsure = false;
+        let mut write_uncertain = false;
         let mut input = Input::Begin;
         loop {
             let answer = match publish.on(self.now(), input) {
@@ -111,19 +111,19 @@
                 }
                 Next::Done(done) => return Ok(done),
                 Next::Conflict(conflict) => return Err(Error::Conflict(conflict)),
-                Next::Invalid(fault) => return Err(Error::Fault(fault)),
+                Next::Invalid(fault) => return Err(Error::InvalidObject(fault)),
                 Next::GiveUp(Fate::NotWritten) => return Err(Error::Unavailable),
-                Next::GiveUp(Fate::MayBeWritten) => return Err(Error::Unknown(id)),
+                Next::GiveUp(Fate::MayBeWritten) => return Err(Error::OutcomeUnknown(id)),
             };
             input = match answer {
                 Ok(input) => input,
                 Err(failure) => {
-                    unsure |= failure == platform::Failure::Unknown;
-                    match transient(failure) {
+                    write_uncertain |= failure == platform::Failure::Unknown;
+                    match publish_failure(failure) {
                         Some(Failure::Lost) => Input::Written(Err(Failure::Lost)),
                         Some(failure) => Input::Read(Err(failure)),
                         // A refusal now does not undo a write that may have been taken before.
-                        None if unsure => return Err(Error::Unknown(id)),
+                        None if write_uncertain => return Err(Error::OutcomeUnknown(id)),
                         None => return Err(Error::Platform(failure)),
                     }
                 }
@@ -134,7 +134,7 @@
     fn fetch(&self, key: &ObjectKey) -> std::result::Result<Option<Current>, platform::Failure> {
         let found = self.platform.get(key.kind.code(), key.name.as_str())?;
         Ok(match found {
-            Fetched::Found(object) => current(object),
+            Fetched::Found(object) => live_object(object),
             Fetched::Absent => None,
         })
     }
@@ -151,7 +151,7 @@
         };
         let (kind, name) = (key.kind.code(), key.name.as_str());
         let written = self.platform.put(kind, name, condition, body)?;
-        self.written(key, written)
+        self.write_result(key, written)
     }
 
     fn remove(
@@ -161,17 +161,17 @@
     ) -> std::result::Result<Input, platform::Failure> {
         let (kind, name) = (key.kind.code(), key.name.as_str());
         let written = self.platform.delete(kind, name, base.0)?;
-        self.written(key, written)
+        self.write_result(key, written)
     }
 
-    fn written(
+    fn write_result(
         &self,
         key: &ObjectKey,
         written: platform::Written,
     ) -> std::result::Result<Input, platform::Failure> {
         let written = match written {
             platform::Written::Done(version) => Written::Version(Version(version)),
-            platform::Written::Conflict(Some(object)) => Written::Refused(current(object)),
+            platform::Written::Conflict(Some(object)) => Written::Refused(live_object(object)),
             // The refusal did not say what stands there, and nothing must not be taken for it.
             platform::Written::Conflict(None) => Written::Refused(self.fetch(key)?),
         };
@@ -182,13 +182,13 @@
         &self,
         mut call: impl FnMut() -> std::result::Result<T, platform::Failure>,
     ) -> Result<T> {
-        let mut pause = FIRST_PAUSE;
+        let mut pause = INITIAL_RETRY_DELAY;
         loop {
             let failure = match call() {
                 Ok(value) => return Ok(value),
                 Err(failure) => failure,
             };
-            let wait = match transient(failure) {
+            let wait = match publish_failure(failure) {
                 Some(Failure::Busy { after }) => after,
                 Some(_) => pause,
                 None => return Err(Error::Platform(failure)),
@@ -197,7 +197,7 @@
                 return Err(Error::Unavailable);
             }
             thread::sleep(wait);
-            pause = pause.saturating_mul(2).min(LAST_PAUSE);
+            pause = pause.saturating_mul(2).min(MAX_RETRY_DELAY);
         }
     }
 
@@ -207,10 +207,10 @@
 }
 
 /// What a failure means to a publisher; none when trying again cannot help.
-fn transient(failure: platform::Failure) -> Option<Failure> {
+fn publish_failure(failure: platform::Failure) -> Option<Failure> {
     match failure {
         platform::Failure::Throttled(after) => Some(Failure::Busy {
-            after: after.unwrap_or(THROTTLED_PAUSE),
+            after: after.unwrap_or(THROTTLED_RETRY_DELAY),
         }),
         platform::Failure::Down | platform::Failure::Slow => Some(Failure::Unreached),
         platform::Failure::Unknown => Some(Failure::Lost),
@@ -219,7 +219,7 @@
 }
 
 /// An object that is no tombstone.
-fn current(object: Object) -> Option<Current> {
+fn live_object(object: Object) -> Option<Current> {
     let body = object.body?;
     let version = Version(object.version);
     Some(Current { version, body })
--- a/crates/peppercrank-cli/src/report.rs
+++ b/crates/peppercrank-cli/src/report.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 use crate::exit::Exit;
-use crate::words::Form;
+use crate::words::OutputFormat;
 
 /// `Report` is the result of a verb.
 #[derive(Debug, Clone)]
@@ -19,27 +19,27 @@
 impl Report {
     /// Makes the report of a verb that did as asked.
     pub(crate) fn done(text: String, json: Value) -> Self {
-        Self::ending(Exit::Done, text, json)
+        Self::with_exit(Exit::Done, text, json)
     }
 
     /// Makes a report with another exit code.
-    pub(crate) const fn ending(exit: Exit, text: String, json: Value) -> Self {
+    pub(crate) const fn with_exit(exit: Exit, text: String, json: Value) -> Self {
         Self { exit, text, json }
     }
 
     /// Adds one more fact.
-    pub(crate) fn with(mut self, name: &str, value: &Value) -> Self {
+    pub(crate) fn with_field(mut self, name: &str, value: &Value) -> Self {
         self.text = format!("{}\n{name}: {value}", self.text.trim_end());
         self.json[name] = value.clone();
         self
     }
 
     /// Shows the report, with one line's end after it.
-    pub(crate) fn show(&self, form: Form) -> String {
+    pub(crate) fn render(&self, form: OutputFormat) -> String {
         match form {
-            Form::Text if self.text.is_empty() => String::new(),
-            Form::Text => format!("{}\n", self.text.trim_end()),
-            Form::Json => format!("{}\n", self.json),
+            OutputFormat::Text if self.text.is_empty() => String::new(),
+            OutputFormat::Text => format!("{}\n", self.text.trim_end()),
+            OutputFormat::Json => format!("{}\n", self.json),
         }
     }
 }
--- a/crates/peppercrank-cli/src/run.rs
+++ b/crates/peppercrank-cli/src/run.rs
@@ -14,7 +14,7 @@
 use crate::flags::Peppercrank;
 use crate::help;
 use crate::verbs;
-use crate::words::Form;
+use crate::words::OutputFormat;
 
 /// `run` carries out one command line, without the program's name.
 ///
@@ -25,44 +25,44 @@
     out: &mut dyn Write,
     err: &mut dyn Write,
 ) -> Exit {
-    let verb = verb_of(&args);
-    let form = form_of(&args);
+    let verb = find_subcommand(&args);
+    let form = error_format(&args);
     let flags = match Peppercrank::from_vec(args) {
         Ok(flags) => flags,
         Err(e) if e.is_help() => {
-            let text = help::of_verb(&e.to_string(), verb.as_deref());
+            let text = help::help_for(&e.to_string(), verb.as_deref());
             return write(out, err, &text, Exit::Done);
         }
-        Err(e) => return fail(err, &Error::Flags(e), form),
+        Err(e) => return print_error(err, &Error::Arguments(e), form),
     };
-    match carry(&flags, environment, out) {
+    match execute(&flags, environment, out) {
         Ok((exit, text)) => write(out, err, &text, exit),
-        Err(e) => fail(err, &e, form),
+        Err(e) => print_error(err, &e, form),
     }
 }
 
-fn carry(
+fn execute(
     flags: &Peppercrank,
     environment: &Environment,
     out: &mut dyn Write,
 ) -> Result<(Exit, String)> {
     let access = Access::new(flags, environment)?;
-    let report = verbs::carry(&access, &flags.subcommand, out)?;
-    Ok((report.exit, report.show(access.form)))
+    let report = verbs::dispatch(&access, &flags.subcommand, out)?;
+    Ok((report.exit, report.render(access.format)))
 }
 
 fn write(out: &mut dyn Write, err: &mut dyn Write, text: &str, exit: Exit) -> Exit {
     let written = out.write_all(text.as_bytes()).and_then(|()| out.flush());
     match written {
         Ok(()) => exit,
-        Err(e) => fail(err, &Error::Output(e), Form::Text),
+        Err(e) => print_error(err, &Error::Output(e), OutputFormat::Text),
     }
 }
 
-fn fail(err: &mut dyn Write, error: &Error, form: Form) -> Exit {
+fn print_error(err: &mut dyn Write, error: &Error, form: OutputFormat) -> Exit {
     let text = match form {
-        Form::Text => error.to_string(),
-        Form::Json => error.json().to_string(),
+        OutputFormat::Text => error.to_string(),
+        OutputFormat::Json => error.json().to_string(),
     };
     // There is nowhere left to tell of it.
     let _unwritten = writeln!(err, "{text}");
@@ -70,18 +70,22 @@
 }
 
 /// The verb, for its help: the first argument that is a verb's name.
-fn verb_of(args: &[OsString]) -> Option<String> {
+fn find_subcommand(args: &[OsString]) -> Option<String> {
     let words = args.iter().filter_map(|a| a.to_str());
     words
         .into_iter()
-        .find(|word| verbs::NAMES.contains(word))
+        .find(|word| verbs::SUBCOMMANDS.contains(word))
         .map(str::to_owned)
 }
 
 /// The form of errors, which must be known before the arguments are known to parse.
-fn form_of(args: &[OsString]) -> Form {
+fn error_format(args: &[OsString]) -> OutputFormat {
     let json = args
         .windows(2)
         .any(|pair| pair[0] == "--output" && pair[1] == "json");
-    if json { Form::Json } else { Form::Text }
+    if json {
+        OutputFormat::Json
+    } else {
+        OutputFormat::Text
+    }
 }
--- a/crates/peppercrank-cli/src/verbs/batch.rs
+++ b/crates/peppercrank-cli/src/verbs/batch.rs
@@ -30,11 +30,11 @@
 use crate::flags;
 use crate::in_force::Wait;
 use crate::object;
-use crate::remote::Remote;
+use crate::remote::PlatformClient;
 use crate::report::Report;
 
 /// The kinds in an order in which no object names one that is not there yet.
-const ORDER: [ObjectKind; 4] = [
+const PUBLISH_ORDER: [ObjectKind; 4] = [
     ObjectKind::Pool,
     ObjectKind::Template,
     ObjectKind::Organisation,
@@ -42,7 +42,7 @@
 ];
 
 /// Endings of files that hold objects.
-const ENDINGS: [&str; 2] = ["json", "jsonc"];
+const EXTENSIONS: [&str; 2] = ["json", "jsonc"];
 
 /// One file's object.
 struct Entry {
@@ -51,15 +51,15 @@
 }
 
 /// What became of an object.
-struct Outcome {
+struct ObjectResult {
     key: ObjectKey,
     version: u64,
-    how: How,
+    how: PublishOutcome,
     differences: Vec<Difference>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum How {
+enum PublishOutcome {
     Created,
     Revised,
     Unchanged,
@@ -67,8 +67,8 @@
     Differs,
 }
 
-impl How {
-    const fn word(self) -> &'static str {
+impl PublishOutcome {
+    const fn as_str(self) -> &'static str {
         match self {
             Self::Created => "created",
             Self::Revised => "revised",
@@ -85,18 +85,25 @@
     let mut outcomes = Vec::new();
     for entry in &entries {
         // Each object has the verb's whole time: there may be many.
-        outcomes.push(put(&Remote::new(access)?, entry, flags.revise)?);
+        outcomes.push(publish_entry(
+            &PlatformClient::new(access)?,
+            entry,
+            flags.revise,
+        )?);
     }
     let mut daemons = None;
     for outcome in &outcomes {
-        if matches!(outcome.how, How::Created | How::Revised) {
-            daemons = wait.carry(access, &outcome.key, outcome.version)?;
+        if matches!(
+            outcome.how,
+            PublishOutcome::Created | PublishOutcome::Revised
+        ) {
+            daemons = wait.wait_for(access, &outcome.key, outcome.version)?;
         }
     }
     Ok(report(&outcomes, daemons))
 }
 
-fn report(outcomes: &[Outcome], daemons: Option<usize>) -> Report {
+fn report(outcomes: &[ObjectResult], daemons: Option<usize>) -> Report {
     let mut text = outcomes.iter().map(outcome_text).collect::<String>();
     if let Some(daemons) = daemons {
         text.push_str("in force on all ");
@@ -108,42 +115,44 @@
             "kind": o.key.kind,
             "name": o.key.name,
             "version": o.version,
-            "how": o.how.word(),
+            "how": o.how.as_str(),
             "differences": object::differences_json(&o.differences),
         })
     });
     let json = json!({ "objects": objects.collect::<Value>(), "daemons": daemons });
-    let left = outcomes.iter().any(|o| o.how == How::Differs);
+    let left = outcomes.iter().any(|o| o.how == PublishOutcome::Differs);
     let exit = if left { Exit::Differs } else { Exit::Done };
-    Report::ending(exit, text, json)
+    Report::with_exit(exit, text, json)
 }
 
-fn outcome_text(outcome: &Outcome) -> String {
-    let title = object::title(&outcome.key);
-    let (version, how) = (outcome.version, outcome.how.word());
+fn outcome_text(outcome: &ObjectResult) -> String {
+    let title = object::display_name(&outcome.key);
+    let (version, how) = (outcome.version, outcome.how.as_str());
     let lines = object::differences_text(&outcome.differences);
     format!("{title} is at version {version} ({how})\n{lines}")
 }
 
 /// Creates or revises one object, or leaves it alone.
-fn put(remote: &Remote, entry: &Entry, revise: bool) -> Result<Outcome> {
+fn publish_entry(remote: &PlatformClient, entry: &Entry, revise: bool) -> Result<ObjectResult> {
     let current = remote.read(&entry.key)?;
     let differences = current
         .as_ref()
         .map(|c| diff(&entry.spec, &object::spec(&c.body)));
-    let outcome = |version, how, differences| Outcome {
+    let outcome = |version, how, differences| ObjectResult {
         key: entry.key.clone(),
         version,
         how,
         differences,
     };
     let (base, how, differences) = match (current, differences.unwrap_or_default()) {
-        (None, none) => (Base::Absent, How::Created, none),
+        (None, none) => (Base::Absent, PublishOutcome::Created, none),
         (Some(c), none) if none.is_empty() => {
-            return Ok(outcome(c.version.0, How::Unchanged, none));
+            return Ok(outcome(c.version.0, PublishOutcome::Unchanged, none));
         }
-        (Some(c), some) if !revise => return Ok(outcome(c.version.0, How::Differs, some)),
-        (Some(c), some) => (Base::Version(c.version), How::Revised, some),
+        (Some(c), some) if !revise => {
+            return Ok(outcome(c.version.0, PublishOutcome::Differs, some));
+        }
+        (Some(c), some) => (Base::Version(c.version), PublishOutcome::Revised, some),
     };
     let id = PublishId(rand::random());
     let change = Change::Put(entry.spec.clone());
@@ -155,9 +164,9 @@
 /// Reads and checks all files before the first is sent.
 fn read_all(directory: &Path) -> Result<Vec<Entry>> {
     let mut entries = Vec::new();
-    for kind in ORDER {
-        for path in files(&directory.join(kind.code()))? {
-            entries.push(read(kind, &path)?);
+    for kind in PUBLISH_ORDER {
+        for path in object_files(&directory.join(kind.code()))? {
+            entries.push(read_entry(kind, &path)?);
         }
     }
     if entries.is_empty() {
@@ -166,12 +175,12 @@
     Ok(entries)
 }
 
-fn read(kind: ObjectKind, path: &Path) -> Result<Entry> {
+fn read_entry(kind: ObjectKind, path: &Path) -> Result<Entry> {
     let stem = path.file_stem().and_then(OsStr::to_str).unwrap_or_default();
     let name = ObjectName::new(stem).map_err(|e| errors::file(path, e))?;
     let spec = object::read(path)?;
     let checked = checks::validate_spec(kind, &name, spec.clone());
-    checked.map_err(|fault| Error::FileFault {
+    checked.map_err(|fault| Error::InvalidObjectFile {
         path: path.to_path_buf(),
         fault,
     })?;
@@ -180,7 +189,7 @@
 }
 
 /// The files of one kind, by name; a kind without a directory has none.
-fn files(directory: &Path) -> Result<Vec<PathBuf>> {
+fn object_files(directory: &Path) -> Result<Vec<PathBuf>> {
     let entries = match fs::read_dir(directory) {
         Ok(entries) => entries,
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(Vec::new()),
@@ -191,7 +200,7 @@
     let mut paths = paths.map_err(|e| errors::directory(directory, e))?;
     paths.retain(|path| {
         let ending = path.extension().and_then(OsStr::to_str);
-        ending.is_some_and(|e| ENDINGS.contains(&e))
+        ending.is_some_and(|e| EXTENSIONS.contains(&e))
     });
     paths.sort();
     Ok(paths)
--- a/crates/peppercrank-cli/src/verbs/explain.rs
+++ b/crates/peppercrank-cli/src/verbs/explain.rs
@@ -26,17 +26,17 @@
     let mut story = RequestTrace::new(&flags.id);
     if flags.files.is_empty() {
         let read = story.read(io::stdin().lock());
-        read.map_err(|e| unreadable(Path::new("standard input"), e))?;
+        read.map_err(|e| read_error(Path::new("standard input"), e))?;
     }
     for path in &flags.files {
-        let log = File::open(path).map_err(|e| unreadable(path, e))?;
+        let log = File::open(path).map_err(|e| read_error(path, e))?;
         let read = story.read(BufReader::new(log));
-        read.map_err(|e| unreadable(path, e))?;
+        read.map_err(|e| read_error(path, e))?;
     }
     Ok(report(&flags.id, &story))
 }
 
-fn unreadable(path: &Path, e: io::Error) -> Error {
+fn read_error(path: &Path, e: io::Error) -> Error {
     Error::Settings(peppercrank_settings::errors::unreadable_file(path, e))
 }
 
@@ -46,7 +46,7 @@
     if steps.is_empty() {
         let text = format!("no line of these logs tells of {id}\nlikely cause: {cause}");
         let json = json!({ "id": id, "steps": [], "cause": cause });
-        return Report::ending(Exit::NotFound, text, json);
+        return Report::with_exit(Exit::NotFound, text, json);
     }
     let mut text = String::new();
     for step in &steps {
--- a/crates/peppercrank-cli/src/verbs/local.rs
+++ b/crates/peppercrank-cli/src/verbs/local.rs
@@ -56,16 +56,16 @@
 use crate::verbs::daemon;
 
 /// Time for the fleet to come together.
-const TOGETHER: Duration = Duration::from_secs(20);
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Pause between two looks at whether it has.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The operators' token of a local fleet; it guards nothing but this process.
-pub(crate) const TOKEN: &str = "local-operators-token";
+pub(crate) const LOCAL_TOKEN: &str = "local-operators-token";
 
 /// `Local` is a fleet that runs.
-struct Local {
+struct AgentFleet {
     stopper: Stopper,
     platform: Running,
     targets: Vec<Running>,
@@ -74,7 +74,7 @@
 }
 
 /// How many of each part, and where.
-struct Plan {
+struct AgentFleetOptions {
     port: u16,
     routers: u16,
     engines: u16,
@@ -82,14 +82,14 @@
     platform: u16,
 }
 
-impl Plan {
-    fn of(flags: &flags::Local) -> Self {
+impl AgentFleetOptions {
+    fn from_flags(flags: &flags::Local) -> Self {
         let direct::LocalOptions {
             port,
             routers,
             engines,
             services,
-        } = direct::plan(flags);
+        } = direct::options(flags);
         Self {
             port,
             routers,
@@ -108,8 +108,8 @@
     let runtime = Runtime::new().map_err(Error::Process)?;
     let (signal, mut signalled) = stop::stop();
     daemon::on_signal(signal)?;
-    let local = runtime.block_on(Local::start(&Plan::of(flags)))?;
-    let told = writeln!(out, "{}", local.show(access.form)).and_then(|()| out.flush());
+    let local = runtime.block_on(AgentFleet::start(&AgentFleetOptions::from_flags(flags)))?;
+    let told = writeln!(out, "{}", local.render(access.format)).and_then(|()| out.flush());
     told.map_err(Error::Output)?;
     runtime.block_on(async {
         match &flags.run_time {
@@ -117,7 +117,7 @@
             Some(span) => drop(timeout(span.0, signalled.wait()).await),
             None => signalled.wait().await,
         }
-        local.end().await
+        local.shutdown().await
     })?;
     Ok(Report::done(
         "local fleet stopped".to_owned(),
@@ -125,10 +125,10 @@
     ))
 }
 
-impl Local {
-    async fn start(plan: &Plan) -> Result<Self> {
+impl AgentFleet {
+    async fn start(plan: &AgentFleetOptions) -> Result<Self> {
         let set = PlatformSettings {
-            listen: at(plan.platform),
+            listen: loopback(plan.platform),
             vms_lag_ms: 0,
             ..PlatformSettings::default()
         };
@@ -157,7 +157,7 @@
             local.add_router(number, port, &stop).await?;
         }
         local.list_vms().await?;
-        local.come_together().await?;
+        local.wait_until_converged().await?;
         Ok(local)
     }
 
@@ -191,15 +191,15 @@
         stop: &Stop,
     ) -> Result<()> {
         let target_settings = TargetSettings {
-            name: named::<TargetName>(name),
-            pool: named::<PoolName>(pool),
+            name: parse_name::<TargetName>(name),
+            pool: parse_name::<PoolName>(pool),
             weight: 100,
             kind,
             address: target.addr,
             checks_orders: false,
         };
         let fleet = self.fleet(&format!("vm-{name}"));
-        let settings = AgentSettings::new(fleet, at(0), target_settings);
+        let settings = AgentSettings::new(fleet, loopback(0), target_settings);
         let started = agent::start(settings, Log::disabled(), stop.clone()).await;
         self.agents
             .push(started.map_err(|e| Error::Daemon(e.into()))?);
@@ -209,8 +209,8 @@
 
     async fn add_router(&mut self, number: u16, port: u16, stop: &Stop) -> Result<()> {
         let fleet = self.fleet(&format!("vm-router-{number}"));
-        let mut settings = RouterSettings::new(fleet, at(port));
-        settings.anonymous = Some(named::<OrganisationName>("guest"));
+        let mut settings = RouterSettings::new(fleet, loopback(port));
+        settings.anonymous = Some(parse_name::<OrganisationName>("guest"));
         let started = router::start(settings, Log::disabled(), stop.clone()).await;
         self.routers
             .push(started.map_err(|e| Error::Daemon(e.into()))?);
@@ -220,11 +220,11 @@
     fn fleet(&self, vm: &str) -> FleetSettings {
         let url = format!("http://{}", self.platform.addr);
         FleetSettings {
-            vm: named::<VmName>(vm),
-            zone: named::<ZoneName>("local"),
-            gossip: at(0),
-            control: at(0),
-            operators: at(0),
+            vm: parse_name::<VmName>(vm),
+            zone: parse_name::<ZoneName>("local"),
+            gossip: loopback(0),
+            control: loopback(0),
+            operators: loopback(0),
             platform: PlatformApiSettings {
                 url: BaseUrl::new(&url).expect("an IP address makes an address"),
                 token: None,
@@ -235,7 +235,7 @@
                 secret: vec![7; 32],
             }],
             keys_file: None,
-            tokens: vec![Secret::new(TOKEN).expect("a constant that is long enough")],
+            tokens: vec![Secret::new(LOCAL_TOKEN).expect("a constant that is long enough")],
             touch: ContactLimits::default(),
             log: LogLevel::Info,
         }
@@ -243,7 +243,7 @@
 
     /// Writes the first configuration.
     async fn publish(&self) -> Result<()> {
-        for (kind, name, spec) in objects::first() {
+        for (kind, name, spec) in objects::initial_objects() {
             self.put(&format!("objects/{kind}/{name}"), &json!({ "spec": spec }))
                 .await?;
         }
@@ -280,23 +280,23 @@
     }
 
     /// Waits until each router is ready and knows all targets.
-    async fn come_together(&self) -> Result<()> {
+    async fn wait_until_converged(&self) -> Result<()> {
         let targets = self.targets.len();
         let ready = |r: &router::Running| {
             r.router.fleet.is_ready() && r.router.fleet.board().targets.len() == targets
         };
         let all = async {
             while !self.routers.iter().all(ready) {
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         };
         let late = std::io::Error::from(std::io::ErrorKind::TimedOut);
-        timeout(TOGETHER, all)
+        timeout(CONVERGENCE_TIMEOUT, all)
             .await
             .map_err(|_late| Error::Process(late))
     }
 
-    async fn end(self) -> Result<()> {
+    async fn shutdown(self) -> Result<()> {
         self.stopper.stop();
         for router in self.routers {
             router
@@ -320,12 +320,12 @@
 }
 
 /// A loopback address.
-fn at(port: u16) -> SocketAddr {
+fn loopback(port: u16) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port)
 }
 
 /// A name of this file, which are all valid.
-fn named<T: std::str::FromStr>(text: &str) -> T
+fn parse_name<T: std::str::FromStr>(text: &str) -> T
 where
     T::Err: std::fmt::Debug,
 {
--- a/crates/peppercrank-cli/src/verbs/local/direct.rs
+++ b/crates/peppercrank-cli/src/verbs/local/direct.rs
@@ -13,12 +13,12 @@
 
 use crate::access::Access;
 use crate::errors::Error;
-use crate::errors::Misuse;
 use crate::errors::Result;
+use crate::errors::UsageError;
 use crate::flags;
 use crate::report::Report;
 use crate::verbs::daemon;
-use crate::words::Form;
+use crate::words::OutputFormat;
 
 pub(super) use peppercrank_local::LocalOptions;
 
@@ -26,11 +26,11 @@
 const DEFAULT_PORT: u16 = 8_080;
 
 /// The most of each part, so that a slip of the finger does not fill the machine.
-const MOST: u16 = 64;
+const MAX_INSTANCES: u16 = 64;
 
 /// How many of each part the flags ask for, and where.
-pub(super) fn plan(flags: &flags::Local) -> LocalOptions {
-    let some = |count: Option<u16>, default: u16| count.unwrap_or(default).min(MOST);
+pub(super) fn options(flags: &flags::Local) -> LocalOptions {
+    let some = |count: Option<u16>, default: u16| count.unwrap_or(default).min(MAX_INSTANCES);
     LocalOptions {
         port: flags.port.unwrap_or(DEFAULT_PORT),
         routers: some(flags.routers, 2).max(1),
@@ -42,14 +42,14 @@
 /// Serves the fleet until SIGTERM, SIGINT or the end of its run time.
 pub(super) fn local(access: &Access, flags: &flags::Local, out: &mut dyn Write) -> Result<Report> {
     if flags.platform_port.is_some() {
-        return Err(Error::Misuse(Misuse::PlatformPort));
+        return Err(Error::Usage(UsageError::PlatformPortWithoutAgents));
     }
     let runtime = Runtime::new().map_err(Error::Process)?;
     let (signal, mut signalled) = stop::stop();
     daemon::on_signal(signal)?;
-    let started = runtime.block_on(LocalFleet::start(&plan(flags)));
+    let started = runtime.block_on(LocalFleet::start(&options(flags)));
     let local = started.map_err(|e| Error::Daemon(e.into()))?;
-    let told = writeln!(out, "{}", show(&local, access.form)).and_then(|()| out.flush());
+    let told = writeln!(out, "{}", render(&local, access.format)).and_then(|()| out.flush());
     told.map_err(Error::Output)?;
     let ended = runtime.block_on(async {
         match &flags.run_time {
@@ -67,16 +67,16 @@
 }
 
 /// Tells where each part is.
-fn show(local: &LocalFleet, form: Form) -> String {
+fn render(local: &LocalFleet, form: OutputFormat) -> String {
     let (store, routers) = (local.store_address(), local.router_addresses());
     match form {
-        Form::Json => {
+        OutputFormat::Json => {
             let targets = local.targets().iter();
             let targets = targets.map(|t| json!({ "name": t.name, "address": t.address }));
             let targets = targets.collect::<Vec<_>>();
             json!({ "routers": routers, "targets": targets, "store": store }).to_string()
         }
-        Form::Text => {
+        OutputFormat::Text => {
             let mut lines = vec![format!("store     http://{store}")];
             let targets = local.targets().iter();
             lines.extend(targets.map(|t| format!("target    http://{}  {}", t.address, t.name)));
--- a/crates/peppercrank-cli/src/verbs/local/objects.rs
+++ b/crates/peppercrank-cli/src/verbs/local/objects.rs
@@ -10,7 +10,7 @@
 const DEMO_DIGEST: &str = "c48a01f49fd0f2cc404bc3cbbc80e91457a3d41bb429a695243de4c61794155c";
 
 /// Its objects: kind, name and content.
-pub(super) fn first() -> [(&'static str, &'static str, Value); 5] {
+pub(super) fn initial_objects() -> [(&'static str, &'static str, Value); 5] {
     let policy = json!({
         "cap": 1.25, "floor": 20_000, "queue": 64, "wait_ms": 2_000,
         "prefix": 1_024, "tries": 3, "retries": 0.2
--- a/crates/peppercrank-cli/src/verbs/local/show.rs
+++ b/crates/peppercrank-cli/src/verbs/local/show.rs
@@ -8,19 +8,19 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::access::DAEMONS;
-use crate::access::OPERATORS_TOKEN;
-use crate::access::PLATFORM;
-use crate::verbs::local::Local;
-use crate::verbs::local::TOKEN;
-use crate::words::Form;
+use crate::access::DAEMONS_VAR;
+use crate::access::OPERATORS_TOKEN_VAR;
+use crate::access::PLATFORM_VAR;
+use crate::verbs::local::AgentFleet;
+use crate::verbs::local::LOCAL_TOKEN;
+use crate::words::OutputFormat;
 
-impl Local {
+impl AgentFleet {
     /// Tells where each part is.
-    pub(super) fn show(&self, form: Form) -> String {
+    pub(super) fn render(&self, form: OutputFormat) -> String {
         match form {
-            Form::Json => self.json().to_string(),
-            Form::Text => self.lines().join("\n"),
+            OutputFormat::Json => self.json().to_string(),
+            OutputFormat::Text => self.lines().join("\n"),
         }
     }
 
@@ -38,7 +38,7 @@
         json!({
             "routers": routers, "agents": agents, "targets": targets,
             "platform": self.platform.addr, "operators": self.operators(),
-            "operators_token": TOKEN
+            "operators_token": LOCAL_TOKEN
         })
     }
 
@@ -61,7 +61,7 @@
         lines.push("for the other verbs, in another terminal:".to_owned());
         // One line, so that it is pasted whole.
         lines.push(format!(
-            "export {PLATFORM}=http://{platform} {OPERATORS_TOKEN}={TOKEN} {DAEMONS}={}",
+            "export {PLATFORM_VAR}=http://{platform} {OPERATORS_TOKEN_VAR}={LOCAL_TOKEN} {DAEMONS_VAR}={}",
             daemons.join(",")
         ));
         lines.push("ready".to_owned());
--- a/crates/peppercrank-cli/src/verbs/mark.rs
+++ b/crates/peppercrank-cli/src/verbs/mark.rs
@@ -10,17 +10,17 @@
 use peppercrank_core::objects::ObjectKind;
 use serde_json::json;
 
-use super::organisation::key;
-use super::write::Act;
-use super::write::base_of_removal;
-use super::write::carry;
+use super::organisation::object_key;
+use super::write::PublishRequest;
+use super::write::publish_and_report;
+use super::write::removal_base;
 use crate::access::Access;
 use crate::drain;
-use crate::errors::Misuse;
 use crate::errors::Result;
+use crate::errors::UsageError;
 use crate::flags;
 use crate::in_force::Wait;
-use crate::remote::Remote;
+use crate::remote::PlatformClient;
 use crate::report::Report;
 
 /// Marks a target, or changes its mark.
@@ -28,21 +28,21 @@
     let action = match (flags.remove, flags.shutdown) {
         (true, false) => MarkAction::Remove,
         (false, true) => MarkAction::Shutdown,
-        _ => return Err(Misuse::MarkAction.into()),
+        _ => return Err(UsageError::MissingMarkAction.into()),
     };
     if flags.grace.is_some() && action == MarkAction::Shutdown {
-        return Err(Misuse::Grace.into());
+        return Err(UsageError::GraceWithoutRemove.into());
     }
     let grace = flags.grace.map_or(0, |g| g.0.as_millis());
-    let key = key(ObjectKind::Mark, flags.target.as_str())?;
+    let key = object_key(ObjectKind::Mark, flags.target.as_str())?;
     let mark = Mark {
         target: flags.target.clone(),
         action,
         grace_ms: u64::try_from(grace).unwrap_or(u64::MAX),
     };
-    let remote = Remote::new(access)?;
+    let remote = PlatformClient::new(access)?;
     let current = remote.read(&key)?;
-    let act = Act {
+    let act = PublishRequest {
         key,
         base: current
             .as_ref()
@@ -52,20 +52,20 @@
         wait: Wait::new(flags.wait, flags.within),
         replaced: current,
     };
-    let report = carry(access, &remote, &act)?;
+    let report = publish_and_report(access, &remote, &act)?;
     if !flags.drained {
         return Ok(report);
     }
     drain::wait(access, &flags.target, flags.drained_within)?;
-    Ok(report.with("drained", &json!(true)))
+    Ok(report.with_field("drained", &json!(true)))
 }
 
 /// Takes a target's mark back.
 pub(super) fn unmark(access: &Access, flags: &flags::Unmark) -> Result<Report> {
-    let key = key(ObjectKind::Mark, flags.target.as_str())?;
-    let remote = Remote::new(access)?;
-    let base = base_of_removal(&remote, &key, flags.publish_id)?;
-    let act = Act {
+    let key = object_key(ObjectKind::Mark, flags.target.as_str())?;
+    let remote = PlatformClient::new(access)?;
+    let base = removal_base(&remote, &key, flags.publish_id)?;
+    let act = PublishRequest {
         key,
         base,
         change: Change::Delete,
@@ -73,5 +73,5 @@
         wait: Wait::new(flags.wait, flags.within),
         replaced: None,
     };
-    carry(access, &remote, &act)
+    publish_and_report(access, &remote, &act)
 }
--- a/crates/peppercrank-cli/src/verbs/mod.rs
+++ b/crates/peppercrank-cli/src/verbs/mod.rs
@@ -25,7 +25,7 @@
 use crate::report::Report;
 
 /// The names of all verbs.
-pub(crate) const NAMES: &[&str] = &[
+pub(crate) const SUBCOMMANDS: &[&str] = &[
     "publish",
     "publish-all",
     "revise",
@@ -50,7 +50,11 @@
 ];
 
 /// Carries a verb out.
-pub(crate) fn carry(access: &Access, verb: &PeppercrankCmd, out: &mut dyn Write) -> Result<Report> {
+pub(crate) fn dispatch(
+    access: &Access,
+    verb: &PeppercrankCmd,
+    out: &mut dyn Write,
+) -> Result<Report> {
     match verb {
         PeppercrankCmd::Publish(flags) => write::publish(access, flags),
         PeppercrankCmd::PublishAll(flags) => batch::publish_all(access, flags),
--- a/crates/peppercrank-cli/src/verbs/objects.rs
+++ b/crates/peppercrank-cli/src/verbs/objects.rs
@@ -20,18 +20,18 @@
 use crate::errors::Result;
 use crate::exit::Exit;
 use crate::object;
-use crate::remote::Remote;
+use crate::remote::PlatformClient;
 use crate::report::Report;
 
 /// Reads all objects, as a daemon would, and tells what is invalid or refers to nothing.
 pub(super) fn check(access: &Access) -> Result<Report> {
-    let remote = Remote::new(access)?;
+    let remote = PlatformClient::new(access)?;
     let mut store = Store::new();
     for kind in ObjectKind::ALL {
         let listing = remote.list(*kind)?;
         for named in &listing.objects {
             // The platform holds other kinds of names too; none of ours looks so.
-            if let Some(object) = own(*kind, named) {
+            if let Some(object) = parse_object(*kind, named) {
                 store.merge(&object);
             }
         }
@@ -39,7 +39,7 @@
     Ok(report(&store))
 }
 
-fn own(kind: ObjectKind, named: &Named) -> Option<Object> {
+fn parse_object(kind: ObjectKind, named: &Named) -> Option<Object> {
     let name = ObjectName::new(&named.name).ok()?;
     let body = named.body.as_ref().map(|b| Arc::from(b.to_string()));
     Some(Object {
@@ -53,7 +53,7 @@
     let warnings = cross::warnings(store);
     let held = store.all_held().collect::<Vec<_>>();
     let invalid = held.iter().map(|(key, held)| {
-        let title = object::title(key);
+        let title = object::display_name(key);
         format!(
             "invalid: {title}, version {}: {}\n",
             held.version, held.fault
@@ -78,5 +78,5 @@
     } else {
         Exit::Invalid
     };
-    Report::ending(exit, text, json)
+    Report::with_exit(exit, text, json)
 }
--- a/crates/peppercrank-cli/src/verbs/order.rs
+++ b/crates/peppercrank-cli/src/verbs/order.rs
@@ -35,44 +35,44 @@
 
 use crate::access::Access;
 use crate::daemons;
-use crate::daemons::Pages;
+use crate::daemons::PageClient;
 use crate::errors::Error;
-use crate::errors::Misuse;
 use crate::errors::Result;
-use crate::fate::Fate;
+use crate::errors::UsageError;
+use crate::fate::OrderOutcome;
 use crate::flags;
 use crate::holder::Holder;
-use crate::remote::Remote;
+use crate::remote::PlatformClient;
 use crate::report::Report;
 use crate::report::row;
 use crate::report::table;
-use crate::words::OrderWord;
+use crate::words::OrderIdArg;
 
 /// Longest wait for the lease and for numbers that pass, unless set: another's lease that has
 /// lapsed is free after 21 s.
-const DEFAULT_WITHIN: Duration = Duration::from_secs(60);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Time for giving the lease back; after it the lease lapses by itself.
-const GIVE_BACK: Duration = Duration::from_secs(5);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Time for one order: an agent that has just started may hold it for 17 s, its engine for 5 s.
-const CALL: Duration = Duration::from_secs(25);
+const CALL_TIMEOUT: Duration = Duration::from_secs(25);
 
 /// Orders under way at once; the lease is renewed between two such lots.
-const LANES: usize = 16;
+const MAX_CONCURRENCY: usize = 16;
 
 /// The only order of a run to each agent.
 const SEQ: u64 = 1;
 
 /// `Found` is whom an order goes to.
-struct Found {
+struct OrderTargets {
     pool: PoolName,
     /// Where each target's agent takes control calls, if it is known.
     targets: Vec<(TargetName, Option<SocketAddr>)>,
 }
 
 /// `Giver` sends one order to many agents.
-struct Giver<C> {
+struct OrderSender<C> {
     holder: Holder<C>,
     client: ControlClient,
     runtime: Runtime,
@@ -84,9 +84,9 @@
 pub(super) fn order(access: &Access, flags: &flags::Order) -> Result<Report> {
     let command = command(flags)?;
     let ring = ring_of(&keys::load(&flags.keys)?).map_err(|e| Error::Daemon(e.into()))?;
-    let remote = Remote::new(access)?;
-    let found = find(access, flags.name.as_str())?;
-    let id = flags.order_id.unwrap_or_else(|| OrderWord(rand::random()));
+    let remote = PlatformClient::new(access)?;
+    let found = find_targets(access, flags.name.as_str())?;
+    let id = flags.order_id.unwrap_or_else(|| OrderIdArg(rand::random()));
     let start = StdInstant::now();
     let clock = move || Instant::from_origin(start.elapsed());
     let session = Session(rand::random());
@@ -100,7 +100,7 @@
         session,
         clock,
     );
-    let mut giver = Giver {
+    let mut giver = OrderSender {
         holder: holder.map_err(|e| Error::Daemon(e.into()))?,
         client,
         runtime: Builder::new_current_thread()
@@ -110,13 +110,13 @@
         id: id.0,
         order: json!(command).to_string(),
     };
-    let end = Instant::from_origin(flags.within.map_or(DEFAULT_WITHIN, |s| s.0));
-    let Some(fence) = giver.holder.seek(end) else {
-        giver.holder.give_back(end + GIVE_BACK);
-        return Err(unheld(giver.holder.other()));
+    let end = Instant::from_origin(flags.within.map_or(DEFAULT_TIMEOUT, |s| s.0));
+    let Some(fence) = giver.holder.acquire(end) else {
+        giver.holder.release(end + RELEASE_TIMEOUT);
+        return Err(lease_error(giver.holder.other_holder()));
     };
-    let fates = giver.give_all(&found.targets, end);
-    let back = giver.holder.give_back(clock() + GIVE_BACK);
+    let fates = giver.send_all(&found.targets, end);
+    let back = giver.holder.release(clock() + RELEASE_TIMEOUT);
     Ok(report(&found, &command, id, fence, &fates, back))
 }
 
@@ -129,7 +129,7 @@
     let mut given = commands.into_iter().flatten();
     match (given.next(), given.next()) {
         (Some(command), None) => Ok(command),
-        _ => Err(Misuse::OrderCommand.into()),
+        _ => Err(UsageError::AmbiguousOrderCommand.into()),
     }
 }
 
@@ -138,13 +138,13 @@
     let boot = u64::try_from(since.unwrap_or_default().as_micros()).unwrap_or(u64::MAX);
     let sender = SenderId::of(vm);
     let times = ControlTimes {
-        call: CALL,
+        call: CALL_TIMEOUT,
         ..ControlTimes::default()
     };
     ControlClient::new(Identity { sender, boot }, ring, times)
 }
 
-fn unheld(other: Option<&VmName>) -> Error {
+fn lease_error(other: Option<&VmName>) -> Error {
     match other {
         Some(holder) => Error::LeaseHeld(holder.clone()),
         None => Error::Unavailable,
@@ -152,9 +152,10 @@
 }
 
 /// Finds the targets by their daemons' status pages; a pool goes before a target of its name.
-fn find(access: &Access, name: &str) -> Result<Found> {
-    let asked = daemons::find(access)?;
-    let answers = Pages::new(access.operators.as_ref()).ask::<Status>(&asked, STATUS_PATH);
+fn find_targets(access: &Access, name: &str) -> Result<OrderTargets> {
+    let asked = daemons::discover(access)?;
+    let answers =
+        PageClient::new(access.operators.as_ref()).fetch_all::<Status>(&asked, STATUS_PATH);
     let mut known = BTreeMap::new();
     for status in answers.into_iter().flatten() {
         for target in status.targets {
@@ -175,51 +176,51 @@
         .ok_or_else(|| Error::NoSuchTarget(name.to_owned()))?;
     let pool = first.1.0.clone();
     let targets = chosen.iter().map(|(t, (_, at))| ((*t).clone(), *at));
-    Ok(Found {
+    Ok(OrderTargets {
         pool,
         targets: targets.collect(),
     })
 }
 
-impl<C: Fn() -> Instant> Giver<C> {
+impl<C: Fn() -> Instant> OrderSender<C> {
     /// Gives the order to all, and again under a higher number to those whose agents want one.
-    fn give_all(
+    fn send_all(
         &mut self,
         targets: &[(TargetName, Option<SocketAddr>)],
         end: Instant,
-    ) -> Vec<Fate> {
-        let mut fates = vec![Fate::NoAgent; targets.len()];
+    ) -> Vec<OrderOutcome> {
+        let mut fates = vec![OrderOutcome::NoAgent; targets.len()];
         let mut open = (0..targets.len()).collect::<Vec<_>>();
         loop {
-            for lot in open.chunks(LANES) {
+            for lot in open.chunks(MAX_CONCURRENCY) {
                 self.holder.renew();
-                let sends = lot.iter().map(|at| self.give(targets[*at].1));
+                let sends = lot.iter().map(|at| self.send(targets[*at].1));
                 let told = self.runtime.block_on(join_all(sends));
                 lot.iter()
                     .zip(told)
                     .for_each(|(at, fate)| fates[*at] = fate);
             }
-            open.retain(|at| matches!(fates[*at], Fate::Stale { .. }));
+            open.retain(|at| matches!(fates[*at], OrderOutcome::Stale { .. }));
             let least = open.iter().filter_map(|at| match fates[*at] {
-                Fate::Stale { least } => Some(Version(least)),
+                OrderOutcome::Stale { least } => Some(Version(least)),
                 _ => None,
             });
             let Some(least) = least.max() else {
                 return fates;
             };
-            if !self.holder.reach(least, end) {
+            if !self.holder.wait_for_fence(least, end) {
                 return fates;
             }
         }
     }
 
     /// Gives the order to one agent, under the lease as it is at that moment.
-    async fn give(&self, to: Option<SocketAddr>) -> Fate {
+    async fn send(&self, to: Option<SocketAddr>) -> OrderOutcome {
         let Some(to) = to else {
-            return Fate::NoAgent;
+            return OrderOutcome::NoAgent;
         };
         let Some(fence) = self.holder.fence() else {
-            return Fate::Lapsed;
+            return OrderOutcome::Lapsed;
         };
         let order = Order {
             fence: fence.0,
@@ -227,16 +228,16 @@
             seq: SEQ,
             order: self.order.clone(),
         };
-        Fate::of(self.client.order(to, order).await)
+        OrderOutcome::from_reply(self.client.order(to, order).await)
     }
 }
 
 fn report(
-    found: &Found,
+    found: &OrderTargets,
     command: &Command,
-    id: OrderWord,
+    id: OrderIdArg,
     fence: Version,
-    fates: &[Fate],
+    fates: &[OrderOutcome],
     back: bool,
 ) -> Report {
     let pairs = || found.targets.iter().zip(fates);
@@ -262,5 +263,5 @@
         "order": id.to_string(), "command": command, "pool": found.pool, "fence": fence.0,
         "given_back": back, "targets": targets.collect::<Vec<Value>>(),
     });
-    Report::ending(Fate::worst(fates.iter().copied()), text, json)
+    Report::with_exit(OrderOutcome::worst_exit(fates.iter().copied()), text, json)
 }
--- a/crates/peppercrank-cli/src/verbs/organisation.rs
+++ b/crates/peppercrank-cli/src/verbs/organisation.rs
@@ -22,32 +22,32 @@
 use serde_json::Value;
 use serde_json::json;
 
-use super::write::Act;
-use super::write::carry;
+use super::write::PublishRequest;
+use super::write::publish_and_report;
 use crate::access::Access;
 use crate::errors;
 use crate::errors::Error;
-use crate::errors::Misuse;
 use crate::errors::Result;
+use crate::errors::UsageError;
 use crate::flags;
 use crate::in_force::Wait;
 use crate::object;
-use crate::remote::Remote;
+use crate::remote::PlatformClient;
 use crate::report::Report;
 use crate::report::row;
 use crate::report::table;
 use crate::words::Assignment;
 
 /// The value that stands for a list of all, where an empty one takes the template's back.
-const ALL: &str = "*";
+const ALL_ITEMS: &str = "*";
 
 /// Sets parameters.
 pub(super) fn set(access: &Access, flags: &flags::SetOrganisation) -> Result<Report> {
     if flags.parameters.is_empty() {
-        return Err(Misuse::NoParameter.into());
+        return Err(UsageError::MissingParameter.into());
     }
-    let key = key(ObjectKind::Organisation, flags.name.as_str())?;
-    let remote = Remote::new(access)?;
+    let key = object_key(ObjectKind::Organisation, flags.name.as_str())?;
+    let remote = PlatformClient::new(access)?;
     let current = remote.read(&key)?;
     let mut organisation = match &current {
         Some(current) => read(&key, current)?,
@@ -60,7 +60,7 @@
         .as_ref()
         .map_or(Base::Absent, |c| Base::Version(c.version));
     let named = flags.if_version.map(|v| Base::Version(Version(v)));
-    let act = Act {
+    let act = PublishRequest {
         key,
         base: named.unwrap_or(found),
         change: Change::Put(json!(organisation)),
@@ -68,15 +68,15 @@
         wait: Wait::new(flags.wait, flags.within),
         replaced: current,
     };
-    carry(access, &remote, &act)
+    publish_and_report(access, &remote, &act)
 }
 
 /// Prints the parameters in force and where each comes from.
 pub(super) fn get(access: &Access, flags: &flags::GetOrganisation) -> Result<Report> {
-    let remote = Remote::new(access)?;
+    let remote = PlatformClient::new(access)?;
     let (own_key, current, organisation) = fetch(&remote, &flags.name)?;
-    let template_key = key(ObjectKind::Template, organisation.template.as_str())?;
-    let template = remote.need(&template_key)?;
+    let template_key = object_key(ObjectKind::Template, organisation.template.as_str())?;
+    let template = remote.read_existing(&template_key)?;
     let spec = object::spec(&template.body);
     let checked = checks::validate_spec(ObjectKind::Template, &template_key.name, spec)?;
     let Spec::Template(Template { parameters }) = checked else {
@@ -87,11 +87,11 @@
     if let (Some(all), Some(own)) = (merged.as_object_mut(), own.as_object()) {
         all.extend(own.clone());
     }
-    let title = object::title(&own_key);
+    let title = object::display_name(&own_key);
     let head = format!(
         "{title}, version {}: {}, version {}\n",
         current.version,
-        object::title(&template_key),
+        object::display_name(&template_key),
         template.version
     );
     let text = head + &parameters_table(&merged, &own);
@@ -119,9 +119,12 @@
     table(&rows)
 }
 
-fn fetch(remote: &Remote, name: &OrganisationName) -> Result<(ObjectKey, Current, Organisation)> {
-    let key = key(ObjectKind::Organisation, name.as_str())?;
-    let current = remote.need(&key)?;
+fn fetch(
+    remote: &PlatformClient,
+    name: &OrganisationName,
+) -> Result<(ObjectKey, Current, Organisation)> {
+    let key = object_key(ObjectKind::Organisation, name.as_str())?;
+    let current = remote.read_existing(&key)?;
     let organisation = read(&key, &current)?;
     Ok((key, current, organisation))
 }
@@ -137,7 +140,7 @@
 /// A new organisation, with the template that the parameters must name.
 fn new(parameters: &[Assignment]) -> Result<Organisation> {
     let template = parameters.iter().find(|a| a.key == "template");
-    let template = template.ok_or(Misuse::NoTemplate)?;
+    let template = template.ok_or(UsageError::MissingTemplate)?;
     Ok(Organisation {
         template: parse(template)?,
         overrides: Overrides::default(),
@@ -157,7 +160,7 @@
         "deadline_ms" => own.deadline_ms = optional(a)?,
         "models" => own.models = list(a)?,
         "services" => own.services = list(a)?,
-        _ => return Err(Misuse::Parameter(a.key.clone()).into()),
+        _ => return Err(UsageError::UnknownParameter(a.key.clone()).into()),
     }
     Ok(())
 }
@@ -172,22 +175,24 @@
 fn list<T: FromStr>(a: &Assignment) -> Result<Option<Vec<T>>> {
     match a.value.as_str() {
         "" => Ok(None),
-        ALL => Ok(Some(Vec::new())),
+        ALL_ITEMS => Ok(Some(Vec::new())),
         value => {
             let items = value.split(',').map(str::parse);
             let items = items.collect::<std::result::Result<_, _>>();
-            items.map(Some).map_err(|_e| errors::value(&a.key, value))
+            items
+                .map(Some)
+                .map_err(|_e| errors::invalid_value(&a.key, value))
         }
     }
 }
 
 fn parse<T: FromStr>(a: &Assignment) -> Result<T> {
     let parsed = a.value.parse();
-    parsed.map_err(|_e| errors::value(&a.key, &a.value))
+    parsed.map_err(|_e| errors::invalid_value(&a.key, &a.value))
 }
 
 /// The key of an object whose own name type has the same form as object names.
-pub(super) fn key(kind: ObjectKind, name: &str) -> Result<ObjectKey> {
-    let name = ObjectName::new(name).map_err(|_e| errors::value(kind.code(), name))?;
+pub(super) fn object_key(kind: ObjectKind, name: &str) -> Result<ObjectKey> {
+    let name = ObjectName::new(name).map_err(|_e| errors::invalid_value(kind.code(), name))?;
     Ok(ObjectKey { kind, name })
 }
--- a/crates/peppercrank-cli/src/verbs/read.rs
+++ b/crates/peppercrank-cli/src/verbs/read.rs
@@ -14,7 +14,7 @@
 use crate::exit::Exit;
 use crate::flags;
 use crate::object;
-use crate::remote::Remote;
+use crate::remote::PlatformClient;
 use crate::report::Report;
 use crate::report::row;
 use crate::report::table;
@@ -22,9 +22,9 @@
 /// Prints an object, as a file that `revise` takes.
 pub(super) fn get(access: &Access, flags: &flags::Get) -> Result<Report> {
     let key = key(flags.kind, &flags.name);
-    let current = Remote::new(access)?.need(&key)?;
+    let current = PlatformClient::new(access)?.read_existing(&key)?;
     let spec = object::spec(&current.body);
-    let title = object::title(&key);
+    let title = object::display_name(&key);
     let text = format!("// {title}, version {}\n{spec:#}", current.version);
     let json = json!({
         "kind": key.kind,
@@ -38,7 +38,7 @@
 /// Lists a kind.
 pub(super) fn list(access: &Access, flags: &flags::List) -> Result<Report> {
     let kind = flags.kind.0;
-    let listing = Remote::new(access)?.list(kind)?;
+    let listing = PlatformClient::new(access)?.list(kind)?;
     let live = listing.objects.iter();
     let live = live.filter_map(|o| Some((o, o.body.as_ref()?)));
     let live = live.collect::<Vec<_>>();
@@ -62,7 +62,7 @@
 pub(super) fn diff(access: &Access, flags: &flags::Diff) -> Result<Report> {
     let key = key(flags.kind, &flags.name);
     let ours = object::read(&flags.file)?;
-    let current = Remote::new(access)?.need(&key)?;
+    let current = PlatformClient::new(access)?.read_existing(&key)?;
     let differences = diff::diff(&ours, &object::spec(&current.body));
     let json = json!({
         "kind": key.kind,
@@ -79,7 +79,7 @@
         "the file (ours) differs from version {} (theirs):\n{lines}",
         current.version
     );
-    Ok(Report::ending(Exit::Differs, text, json))
+    Ok(Report::with_exit(Exit::Differs, text, json))
 }
 
 /// Checks a file.
@@ -87,7 +87,7 @@
     let key = key(flags.kind, &flags.name);
     let spec = object::read(&flags.file)?;
     checks::validate_spec(key.kind, &key.name, spec)?;
-    let text = format!("{} is valid", object::title(&key));
+    let text = format!("{} is valid", object::display_name(&key));
     Ok(Report::done(
         text,
         json!({ "kind": key.kind, "name": key.name, "valid": true }),
--- a/crates/peppercrank-cli/src/verbs/settings.rs
+++ b/crates/peppercrank-cli/src/verbs/settings.rs
@@ -17,7 +17,7 @@
 use crate::errors::Result;
 use crate::flags;
 use crate::report::Report;
-use crate::words::Daemon;
+use crate::words::DaemonKind;
 
 /// Checks one file.
 pub(super) fn check(flags: &flags::CheckSettings) -> Result<Report> {
@@ -25,35 +25,35 @@
     let text = file::read(path)?;
     let daemon = match flags.daemon_kind {
         Some(daemon) => daemon,
-        None => guess(path, &text)?,
+        None => guess_daemon(path, &text)?,
     };
     let checked = match daemon {
-        Daemon::Router => RouterSettings::parse(&text).map(drop),
-        Daemon::Agent => AgentSettings::parse(&text).map(drop),
-        Daemon::Gateway => GatewaySettings::parse(&text).map(drop),
+        DaemonKind::Router => RouterSettings::parse(&text).map(drop),
+        DaemonKind::Agent => AgentSettings::parse(&text).map(drop),
+        DaemonKind::Gateway => GatewaySettings::parse(&text).map(drop),
     };
-    checked.map_err(|e| named(path, e))?;
-    let word = daemon.word();
+    checked.map_err(|e| with_path(path, e))?;
+    let word = daemon.name();
     let text = format!("{}: valid settings of the {word}", path.display());
     Ok(Report::done(text, json!({ "valid": true, "daemon": word })))
 }
 
 /// Only an agent's settings name a target, and only a gateway's a store.
-fn guess(path: &Path, text: &str) -> Result<Daemon> {
+fn guess_daemon(path: &Path, text: &str) -> Result<DaemonKind> {
     let value = peppercrank_core::settings::parse::<Value>(text);
     let value = value.map_err(|e| errors::file(path, e))?;
     let names = |field| value.get(field).is_some();
     Ok(if names("target") {
-        Daemon::Agent
+        DaemonKind::Agent
     } else if names("store") {
-        Daemon::Gateway
+        DaemonKind::Gateway
     } else {
-        Daemon::Router
+        DaemonKind::Router
     })
 }
 
 /// Names the file beside the place in it.
-fn named(path: &Path, e: peppercrank_settings::Error) -> Error {
+fn with_path(path: &Path, e: peppercrank_settings::Error) -> Error {
     match e {
         peppercrank_settings::Error::Text(source) => errors::file(path, source),
         e => Error::Settings(e),
--- a/crates/peppercrank-cli/src/verbs/standin.rs
+++ b/crates/peppercrank-cli/src/verbs/standin.rs
@@ -23,8 +23,8 @@
 use crate::errors::Result;
 use crate::flags;
 use crate::report::Report;
-use crate::words::Form;
-use crate::words::Part;
+use crate::words::OutputFormat;
+use crate::words::StandinKind;
 
 /// Serves a stand-in until SIGTERM or SIGINT.
 pub(super) fn standin(
@@ -36,10 +36,10 @@
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(Error::Process)?;
     let runtime = Runtime::new().map_err(Error::Process)?;
     let running = start(&runtime, flags)?;
-    let kind = flags.kind.word();
-    let line = match access.form {
-        Form::Text => format!("{kind} stand-in listens on {}", running.addr),
-        Form::Json => json!({ "standin": kind, "address": running.addr }).to_string(),
+    let kind = flags.kind.name();
+    let line = match access.format {
+        OutputFormat::Text => format!("{kind} stand-in listens on {}", running.addr),
+        OutputFormat::Json => json!({ "standin": kind, "address": running.addr }).to_string(),
     };
     let told = writeln!(out, "{line}").and_then(|()| out.flush());
     told.map_err(Error::Output)?;
@@ -54,9 +54,9 @@
 
 fn start(runtime: &Runtime, flags: &flags::Standin) -> Result<Running> {
     let running = match flags.kind {
-        Part::Engine => runtime.block_on(engine::start(settings(flags)?)),
-        Part::Service => runtime.block_on(service::start(settings(flags)?)),
-        Part::Platform => runtime.block_on(platform::start(settings(flags)?)),
+        StandinKind::Engine => runtime.block_on(engine::start(settings(flags)?)),
+        StandinKind::Service => runtime.block_on(service::start(settings(flags)?)),
+        StandinKind::Platform => runtime.block_on(platform::start(settings(flags)?)),
     };
     running.map_err(Error::Standin)
 }
--- a/crates/peppercrank-cli/src/verbs/status.rs
+++ b/crates/peppercrank-cli/src/verbs/status.rs
@@ -16,8 +16,8 @@
 use crate::access::Access;
 use crate::daemons;
 use crate::daemons::Daemon;
-use crate::daemons::Pages;
-use crate::daemons::Silence;
+use crate::daemons::PageClient;
+use crate::daemons::PageError;
 use crate::errors::Result;
 use crate::exit::Exit;
 use crate::report::Report;
@@ -25,13 +25,13 @@
 use crate::report::table;
 
 /// Digits of a configuration's digest that people are shown.
-const DIGITS: usize = 8;
+const DIGEST_DIGITS: usize = 8;
 
 /// Asks every daemon.
 pub(super) fn status(access: &Access) -> Result<Report> {
-    let daemons = daemons::find(access)?;
-    let pages = Pages::new(access.operators.as_ref());
-    let answers = pages.ask::<Status>(&daemons, STATUS_PATH);
+    let daemons = daemons::discover(access)?;
+    let pages = PageClient::new(access.operators.as_ref());
+    let answers = pages.fetch_all::<Status>(&daemons, STATUS_PATH);
     let mut known = Vec::new();
     let mut silent = Vec::new();
     for (daemon, answer) in daemons.iter().zip(answers) {
@@ -40,7 +40,7 @@
             Err(silence) => silent.push((daemon, silence)),
         }
     }
-    let view = View::new(&known);
+    let view = TargetView::new(&known);
     let sections = [
         daemons_text(&known),
         view.text(),
@@ -60,15 +60,15 @@
     } else {
         Exit::Failure
     };
-    Ok(Report::ending(exit, text, json))
+    Ok(Report::with_exit(exit, text, json))
 }
 
 /// `View` is all targets: as their own agents see them, else as routers do.
-struct View<'a> {
+struct TargetView<'a> {
     targets: BTreeMap<&'a TargetName, &'a TargetStatus>,
 }
 
-impl<'a> View<'a> {
+impl<'a> TargetView<'a> {
     fn new(known: &'a [Status]) -> Self {
         let mut targets = BTreeMap::new();
         let all = known.iter().flat_map(|s| &s.targets);
@@ -159,7 +159,7 @@
         let age = held
             .age_ms
             .map_or_else(|| "-".to_owned(), |ms| format!("{ms}ms"));
-        let digest = short(&held.digest);
+        let digest = short_digest(&held.digest);
         rows.push(row(&[
             status.vm.as_str(),
             &role,
@@ -201,18 +201,18 @@
         .collect()
 }
 
-fn short(digest: &str) -> String {
-    digest.chars().take(DIGITS).collect()
+fn short_digest(digest: &str) -> String {
+    digest.chars().take(DIGEST_DIGITS).collect()
 }
 
-fn silent_text(silent: &[(&Daemon, Silence)]) -> String {
+fn silent_text(silent: &[(&Daemon, PageError)]) -> String {
     let lines = silent
         .iter()
         .map(|(daemon, silence)| format!("{} ({}) {silence}\n", daemon.name, daemon.address));
     lines.collect()
 }
 
-fn silent_json(silent: &[(&Daemon, Silence)]) -> Value {
+fn silent_json(silent: &[(&Daemon, PageError)]) -> Value {
     let all = silent
         .iter()
         .map(|(daemon, silence)| json!({ "daemon": daemon.name, "why": silence }));
--- a/crates/peppercrank-cli/src/verbs/write.rs
+++ b/crates/peppercrank-cli/src/verbs/write.rs
@@ -24,13 +24,13 @@
 use crate::flags;
 use crate::in_force::Wait;
 use crate::object;
-use crate::remote::Remote;
+use crate::remote::PlatformClient;
 use crate::report::Report;
-use crate::words::KindWord;
+use crate::words::KindArg;
 
 /// `Act` is one act of publishing.
 #[derive(Debug)]
-pub(super) struct Act {
+pub(super) struct PublishRequest {
     pub(super) key: ObjectKey,
     pub(super) base: Base,
     pub(super) change: Change,
@@ -44,7 +44,7 @@
 /// Creates an object.
 pub(super) fn publish(access: &Access, flags: &flags::Publish) -> Result<Report> {
     let key = key(flags.kind, &flags.name);
-    let act = Act {
+    let act = PublishRequest {
         change: Change::Put(object::read(&flags.file)?),
         key,
         base: Base::Absent,
@@ -52,23 +52,23 @@
         wait: Wait::new(flags.wait, flags.within),
         replaced: None,
     };
-    carry(access, &Remote::new(access)?, &act)
+    publish_and_report(access, &PlatformClient::new(access)?, &act)
 }
 
 /// Changes an object.
 pub(super) fn revise(access: &Access, flags: &flags::Revise) -> Result<Report> {
     let key = key(flags.kind, &flags.name);
     let spec = object::read(&flags.file)?;
-    let remote = Remote::new(access)?;
+    let remote = PlatformClient::new(access)?;
     let named = flags.if_version.map(|v| Base::Version(Version(v)));
     // Only a version that the operator did not name is looked up, and shown.
     let replaced = match named {
         Some(_) => None,
-        None => Some(remote.need(&key)?),
+        None => Some(remote.read_existing(&key)?),
     };
     let found = replaced.as_ref().map(|c| Base::Version(c.version));
     let base = named.or(found).unwrap_or(Base::Absent);
-    let act = Act {
+    let act = PublishRequest {
         key,
         base,
         change: Change::Put(spec),
@@ -76,18 +76,18 @@
         wait: Wait::new(flags.wait, flags.within),
         replaced,
     };
-    carry(access, &remote, &act)
+    publish_and_report(access, &remote, &act)
 }
 
 /// Deletes an object.
 pub(super) fn delete(access: &Access, flags: &flags::Delete) -> Result<Report> {
     let key = key(flags.kind, &flags.name);
-    let remote = Remote::new(access)?;
+    let remote = PlatformClient::new(access)?;
     let base = match (flags.if_version, flags.publish_id) {
         (Some(version), _) => Base::Version(Version(version)),
-        (None, id) => base_of_removal(&remote, &key, id)?,
+        (None, id) => removal_base(&remote, &key, id)?,
     };
-    let act = Act {
+    let act = PublishRequest {
         key,
         base,
         change: Change::Delete,
@@ -95,12 +95,12 @@
         wait: Wait::new(flags.wait, flags.within),
         replaced: None,
     };
-    carry(access, &remote, &act)
+    publish_and_report(access, &remote, &act)
 }
 
 /// The version that a deletion means; only one that is carried through again may find nothing.
-pub(super) fn base_of_removal(
-    remote: &Remote,
+pub(super) fn removal_base(
+    remote: &PlatformClient,
     key: &ObjectKey,
     id: Option<PublishId>,
 ) -> Result<Base> {
@@ -112,7 +112,11 @@
 }
 
 /// Carries an act through, waits for it to be in force, and reports.
-pub(super) fn carry(access: &Access, remote: &Remote, act: &Act) -> Result<Report> {
+pub(super) fn publish_and_report(
+    access: &Access,
+    remote: &PlatformClient,
+    act: &PublishRequest,
+) -> Result<Report> {
     let id = act.id.unwrap_or_else(|| PublishId(rand::random()));
     let changes = changes(act);
     let publish = Publish::new(
@@ -122,16 +126,16 @@
         act.change.clone(),
         remote.deadline(),
     );
-    let done = match standing(act, &changes) {
+    let done = match already_published(act, &changes) {
         Some(done) => done,
         None => remote.publish(&act.key, publish)?,
     };
-    let daemons = act.wait.carry(access, &act.key, done.version.0)?;
+    let daemons = act.wait.wait_for(access, &act.key, done.version.0)?;
     let mut json = json!({
         "kind": act.key.kind,
         "name": act.key.name,
         "version": done.version.0,
-        "how": how(done),
+        "how": outcome_text(done),
         "publish": id,
     });
     if let Some(current) = &act.replaced {
@@ -141,11 +145,14 @@
     if let Some(daemons) = daemons {
         json["daemons"] = json!(daemons);
     }
-    Ok(Report::done(text(act, done, &changes, daemons), json))
+    Ok(Report::done(
+        report_text(act, done, &changes, daemons),
+        json,
+    ))
 }
 
 /// What stands already needs no write; an earlier run's act is still looked for by its id.
-fn standing(act: &Act, changes: &[Difference]) -> Option<Done> {
+fn already_published(act: &PublishRequest, changes: &[Difference]) -> Option<Done> {
     let current = act.replaced.as_ref()?;
     let same = act.id.is_none() && changes.is_empty();
     same.then_some(Done {
@@ -154,9 +161,14 @@
     })
 }
 
-fn text(act: &Act, done: Done, changes: &[Difference], daemons: Option<usize>) -> String {
-    let title = object::title(&act.key);
-    let how = how(done);
+fn report_text(
+    act: &PublishRequest,
+    done: Done,
+    changes: &[Difference],
+    daemons: Option<usize>,
+) -> String {
+    let title = object::display_name(&act.key);
+    let how = outcome_text(done);
     let mut lines = vec![match act.change {
         Change::Put(_) => format!("{title} is at version {} ({how})", done.version),
         Change::Delete => format!("{title} is deleted ({how})"),
@@ -180,14 +192,14 @@
 }
 
 /// The fields in which the act's content differs from what it replaces.
-fn changes(act: &Act) -> Vec<Difference> {
+fn changes(act: &PublishRequest) -> Vec<Difference> {
     match (&act.change, &act.replaced) {
         (Change::Put(spec), Some(current)) => diff(spec, &object::spec(&current.body)),
         _ => Vec::new(),
     }
 }
 
-const fn how(done: Done) -> &'static str {
+const fn outcome_text(done: Done) -> &'static str {
     match done.how {
         How::Written => "written",
         How::Recognised => "written before, recognised",
@@ -196,7 +208,7 @@
 }
 
 /// The key of an object on the command line.
-pub(super) fn key(kind: KindWord, name: &ObjectName) -> ObjectKey {
+pub(super) fn key(kind: KindArg, name: &ObjectName) -> ObjectKey {
     let name = name.clone();
     ObjectKey { kind: kind.0, name }
 }
--- a/crates/peppercrank-cli/src/words.rs
+++ b/crates/peppercrank-cli/src/words.rs
@@ -9,23 +9,25 @@
 
 use peppercrank_core::objects::ObjectKind;
 
-use crate::errors::Word;
+use crate::errors::ArgumentError;
 
 /// `KindWord` is the kind of an object as an argument.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KindWord(pub ObjectKind);
+pub struct KindArg(pub ObjectKind);
 
-impl FromStr for KindWord {
-    type Err = Word;
+impl FromStr for KindArg {
+    type Err = ArgumentError;
 
-    fn from_str(s: &str) -> Result<Self, Word> {
-        ObjectKind::from_code(s).map(Self).ok_or(Word::Kind)
+    fn from_str(s: &str) -> Result<Self, ArgumentError> {
+        ObjectKind::from_code(s)
+            .map(Self)
+            .ok_or(ArgumentError::ObjectKind)
     }
 }
 
 /// `Form` is the form of the output.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Form {
+pub enum OutputFormat {
     /// For people.
     #[default]
     Text,
@@ -33,23 +35,23 @@
     Json,
 }
 
-impl FromStr for Form {
-    type Err = Word;
+impl FromStr for OutputFormat {
+    type Err = ArgumentError;
 
-    fn from_str(s: &str) -> Result<Self, Word> {
+    fn from_str(s: &str) -> Result<Self, ArgumentError> {
         match s {
             "text" => Ok(Self::Text),
             "json" => Ok(Self::Json),
-            _ => Err(Word::Form),
+            _ => Err(ArgumentError::OutputFormat),
         }
     }
 }
 
 /// `Span` is a duration with its unit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Span(pub Duration);
+pub struct DurationArg(pub Duration);
 
-impl FromStr for Span {
+impl FromStr for DurationArg {
     type Err = peppercrank_settings::Error;
 
     fn from_str(s: &str) -> Result<Self, Self::Err> {
@@ -59,19 +61,19 @@
 
 /// `OrderWord` is the id of an order, hexadecimal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OrderWord(pub u128);
+pub struct OrderIdArg(pub u128);
 
-impl FromStr for OrderWord {
-    type Err = Word;
+impl FromStr for OrderIdArg {
+    type Err = ArgumentError;
 
-    fn from_str(s: &str) -> Result<Self, Word> {
+    fn from_str(s: &str) -> Result<Self, ArgumentError> {
         let plain = s.len() == 32 && s.bytes().all(|b| b.is_ascii_hexdigit());
-        let id = u128::from_str_radix(s, 16).map_err(|_e| Word::Order)?;
-        plain.then_some(Self(id)).ok_or(Word::Order)
+        let id = u128::from_str_radix(s, 16).map_err(|_e| ArgumentError::OrderId)?;
+        plain.then_some(Self(id)).ok_or(ArgumentError::OrderId)
     }
 }
 
-impl fmt::Display for OrderWord {
+impl fmt::Display for OrderIdArg {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:032x}", self.0)
     }
@@ -79,7 +81,7 @@
 
 /// `Daemon` is which daemon a settings file is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Daemon {
+pub enum DaemonKind {
     /// The router.
     Router,
     /// The agent.
@@ -88,10 +90,10 @@
     Gateway,
 }
 
-impl Daemon {
+impl DaemonKind {
     /// `word` is the daemon's verb.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn name(self) -> &'static str {
         match self {
             Self::Router => "router",
             Self::Agent => "agent",
@@ -100,22 +102,22 @@
     }
 }
 
-impl FromStr for Daemon {
-    type Err = Word;
+impl FromStr for DaemonKind {
+    type Err = ArgumentError;
 
-    fn from_str(s: &str) -> Result<Self, Word> {
+    fn from_str(s: &str) -> Result<Self, ArgumentError> {
         match s {
             "router" => Ok(Self::Router),
             "agent" => Ok(Self::Agent),
             "gateway" => Ok(Self::Gateway),
-            _ => Err(Word::Daemon),
+            _ => Err(ArgumentError::DaemonKind),
         }
     }
 }
 
 /// `Part` is which system a stand-in stands in for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
+pub enum StandinKind {
     /// A model engine.
     Engine,
     /// A plain service.
@@ -124,10 +126,10 @@
     Platform,
 }
 
-impl Part {
+impl StandinKind {
     /// `word` is the part's word.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn name(self) -> &'static str {
         match self {
             Self::Engine => "engine",
             Self::Service => "service",
@@ -136,15 +138,15 @@
     }
 }
 
-impl FromStr for Part {
-    type Err = Word;
+impl FromStr for StandinKind {
+    type Err = ArgumentError;
 
-    fn from_str(s: &str) -> Result<Self, Word> {
+    fn from_str(s: &str) -> Result<Self, ArgumentError> {
         match s {
             "engine" => Ok(Self::Engine),
             "service" => Ok(Self::Service),
             "platform" => Ok(Self::Platform),
-            _ => Err(Word::Part),
+            _ => Err(ArgumentError::StandinKind),
         }
     }
 }
@@ -159,10 +161,10 @@
 }
 
 impl FromStr for Assignment {
-    type Err = Word;
+    type Err = ArgumentError;
 
-    fn from_str(s: &str) -> Result<Self, Word> {
-        let (key, value) = s.split_once('=').ok_or(Word::Assignment)?;
+    fn from_str(s: &str) -> Result<Self, ArgumentError> {
+        let (key, value) = s.split_once('=').ok_or(ArgumentError::Assignment)?;
         Ok(Self {
             key: key.to_owned(),
             value: value.to_owned(),
--- a/crates/peppercrank-cli/tests/support/mod.rs
+++ b/crates/peppercrank-cli/tests/support/mod.rs
@@ -28,13 +28,13 @@
 
 /// How one run of the command ended.
 #[derive(Debug)]
-pub struct Ended {
+pub struct RunResult {
     pub exit: Exit,
     pub out: String,
     pub err: String,
 }
 
-impl Ended {
+impl RunResult {
     /// What a run that was asked for JSON printed.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.out).unwrap_or_else(|e| panic!("{e}: {self:?}"))
@@ -47,12 +47,12 @@
 }
 
 /// Runs the command with these words.
-pub fn run(environment: &Environment, words: &[&str]) -> Ended {
+pub fn run(environment: &Environment, words: &[&str]) -> RunResult {
     let args = words.iter().map(OsString::from).collect();
     let (mut out, mut err) = (Vec::new(), Vec::new());
     let exit = peppercrank_cli::run(args, environment, &mut out, &mut err);
     let text = |bytes| String::from_utf8(bytes).expect("text");
-    Ended {
+    RunResult {
         exit,
         out: text(out),
         err: text(err),
@@ -61,14 +61,14 @@
 
 /// A platform stand-in with the command set up for it.
 #[derive(Debug)]
-pub struct Bench {
+pub struct TestPlatform {
     pub environment: Environment,
     pub address: SocketAddr,
     _running: Running,
     _runtime: Runtime,
 }
 
-impl Bench {
+impl TestPlatform {
     pub fn new() -> Self {
         Self::with(PlatformSettings::default())
     }
@@ -92,13 +92,13 @@
     }
 
     /// Runs the command against the stand-in.
-    pub fn run(&self, line: &str) -> Ended {
+    pub fn run(&self, line: &str) -> RunResult {
         run(&self.environment, &line.split(' ').collect::<Vec<_>>())
     }
 
     /// Runs the command, which must end with `exit`.
     #[track_caller]
-    pub fn expect(&self, exit: Exit, line: &str) -> Ended {
+    pub fn expect(&self, exit: Exit, line: &str) -> RunResult {
         let ended = self.run(line);
         assert_eq!(ended.exit, exit, "{line}: {ended:?}");
         ended
@@ -141,7 +141,7 @@
 }
 
 /// An HTTP server that answers every request by one function, as a daemon's pages would.
-pub fn pages<F>(answer: F) -> SocketAddr
+pub fn http_server<F>(answer: F) -> SocketAddr
 where
     F: Fn(&Request) -> Response + Send + Sync + 'static,
 {
@@ -152,14 +152,14 @@
 }
 
 /// A free port of loopback.
-pub fn any() -> SocketAddr {
+pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
 /// The part of the settings that all daemons of a test share.
-pub fn fleet(bench: &Bench, vm: &str) -> FleetSettings {
+pub fn fleet(bench: &TestPlatform, vm: &str) -> FleetSettings {
     let settings = json!({
-        "vm": vm, "zone": "rae", "gossip": any(), "control": any(), "operators": any(),
+        "vm": vm, "zone": "rae", "gossip": any_port(), "control": any_port(), "operators": any_port(),
         "platform": { "url": format!("http://{}", bench.address) },
         "keys": [{ "id": 1, "secret": "0f".repeat(16) }],
         "tokens": [TOKEN],
--- a/crates/peppercrank-cli/tests/verify_daemons.rs
+++ b/crates/peppercrank-cli/tests/verify_daemons.rs
@@ -28,10 +28,10 @@
 use peppercrank_wire::stop;
 use serde_json::Value;
 use serde_json::json;
-use support::Bench;
-use support::Ended;
+use support::RunResult;
 use support::TOKEN;
-use support::any;
+use support::TestPlatform;
+use support::any_port;
 use support::fleet;
 use support::run;
 use support::template;
@@ -67,7 +67,7 @@
 
 /// A platform, an engine with its agent, and a router, on loopback.
 struct Fleet {
-    bench: Bench,
+    bench: TestPlatform,
     operators: [SocketAddr; 2],
     agent: agent::Running,
     log: Lines,
@@ -79,7 +79,7 @@
 
 impl Fleet {
     fn new() -> Self {
-        let bench = Bench::new();
+        let bench = TestPlatform::new();
         let pool = concat!(
             env!("CARGO_MANIFEST_DIR"),
             "/../../deploy/pardikivi/pool/galley-llm.jsonc"
@@ -98,10 +98,10 @@
                 "name": "e-1", "pool": "galley-llm", "kind": "engine", "address": engine.addr
             });
             let target = serde_json::from_value(target).expect("a target");
-            let settings = AgentSettings::new(fleet(&bench, "vm-1"), any(), target);
+            let settings = AgentSettings::new(fleet(&bench, "vm-1"), any_port(), target);
             let out = Log::to_writer(log.clone(), Level::Info, "vm-1");
             let agent = agent::start(settings, out, signal.clone()).await;
-            let settings = RouterSettings::new(fleet(&bench, "entry-1"), any());
+            let settings = RouterSettings::new(fleet(&bench, "entry-1"), any_port());
             let router = router::start(settings, Log::disabled(), signal).await;
             (engine, agent.expect("an agent"), router.expect("a router"))
         });
@@ -125,7 +125,7 @@
         }
     }
 
-    fn run(&self, line: &str, token: &str) -> Ended {
+    fn run(&self, line: &str, token: &str) -> RunResult {
         let addresses = self.operators.map(|a| a.to_string());
         let mut words = line.split(' ').collect::<Vec<_>>();
         words.extend(["--operators-token", token, "--output", "json"]);
@@ -136,7 +136,7 @@
     }
 
     #[track_caller]
-    fn expect(&self, exit: Exit, line: &str) -> Ended {
+    fn expect(&self, exit: Exit, line: &str) -> RunResult {
         let ended = self.run(line, TOKEN);
         assert_eq!(ended.exit, exit, "{line}: {ended:?}");
         ended
@@ -209,7 +209,7 @@
 fn verify_a_message_that_is_not_authentic_is_logged() {
     let fleet = Fleet::new();
     let to = fleet.agent.agent.fleet.gossip_address();
-    let socket = UdpSocket::bind(any()).expect("a socket");
+    let socket = UdpSocket::bind(any_port()).expect("a socket");
     socket.send_to(&[7; 100], to).expect("a datagram");
     until(|| fleet.log.has(Event::ControlMessageRefused, " x 1"));
 }
--- a/crates/peppercrank-cli/tests/verify_deploy.rs
+++ b/crates/peppercrank-cli/tests/verify_deploy.rs
@@ -26,7 +26,7 @@
 use peppercrank_standin::platform::PlatformSettings;
 use peppercrank_standin::service::ServiceSettings;
 use serde_json::Value;
-use support::Bench;
+use support::TestPlatform;
 
 const ZONES: &[(&str, [&str; 4])] = &[
     ("pardikivi", ["ulemiste", "muuga", "lasnamae", "rae"]),
@@ -303,7 +303,7 @@
 }
 
 /// What `publish-all` did, counted by its word.
-fn counts(bench: &Bench, exit: Exit, line: &str) -> BTreeMap<String, usize> {
+fn counts(bench: &TestPlatform, exit: Exit, line: &str) -> BTreeMap<String, usize> {
     let json = bench.expect(exit, &format!("{line} --output json")).json();
     let objects = json["objects"].as_array().expect("objects").clone();
     let mut counts = BTreeMap::new();
@@ -318,7 +318,7 @@
 fn verify_a_deployment_is_published_whole_and_again() {
     let of = |word: &str, count| BTreeMap::from([(word.to_owned(), count)]);
     for (deployment, _) in ZONES {
-        let bench = Bench::new();
+        let bench = TestPlatform::new();
         let directory = root().join(deployment);
         let line = format!("publish-all {}", directory.display());
         assert_eq!(counts(&bench, Exit::Done, &line), of("created", 15));
@@ -349,7 +349,7 @@
 
 #[test]
 fn verify_one_faulty_file_holds_a_directory_back() {
-    let bench = Bench::new();
+    let bench = TestPlatform::new();
     let base =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-faulty", std::process::id()));
     for kind in ["pool", "template"] {
--- a/crates/peppercrank-cli/tests/verify_fleet.rs
+++ b/crates/peppercrank-cli/tests/verify_fleet.rs
@@ -16,8 +16,8 @@
 use rouille::Response;
 use serde_json::Value;
 use serde_json::json;
-use support::Bench;
-use support::pages;
+use support::TestPlatform;
+use support::http_server;
 use support::run;
 
 const TOKEN: &str = "an-operators-token";
@@ -25,7 +25,7 @@
 /// A daemon's pages: the object is in force from the `after`th look on.
 fn daemon(status: Value, after: u64) -> SocketAddr {
     let looks = AtomicU64::new(0);
-    pages(move |request| {
+    http_server(move |request| {
         if request.header("authorization") != Some("Bearer an-operators-token") {
             return Response::text("").with_status_code(401);
         }
@@ -53,7 +53,7 @@
     json!({ "name": "e-1", "pool": "p", "zone": "rae", "state": state, "load": load, "drain": drain })
 }
 
-fn ask(environment: &Environment, daemons: &[SocketAddr], line: &str) -> support::Ended {
+fn ask(environment: &Environment, daemons: &[SocketAddr], line: &str) -> support::RunResult {
     let addresses = daemons.iter().map(ToString::to_string).collect::<Vec<_>>();
     let mut words = line.split(' ').collect::<Vec<_>>();
     for address in &addresses {
@@ -107,8 +107,8 @@
 fn verify_status_tells_who_differs_and_who_is_silent() {
     let one = daemon(status_of("entry-1", "router", "aaaa", &json!([])), 0);
     let two = daemon(status_of("entry-2", "router", "bbbb", &json!([])), 0);
-    let garbled = pages(|_| Response::text("hello"));
-    let closed = pages(|_| Response::text("").with_status_code(401));
+    let garbled = http_server(|_| Response::text("hello"));
+    let closed = http_server(|_| Response::text("").with_status_code(401));
     let gone = nobody();
     let ended = ask(
         &Environment::default(),
@@ -128,7 +128,7 @@
 
 #[test]
 fn verify_wait_ends_when_the_last_daemon_has_it() {
-    let bench = Bench::new();
+    let bench = TestPlatform::new();
     let quick = daemon(Value::Null, 0);
     let slow = daemon(Value::Null, 2);
     let ended = ask(
@@ -142,7 +142,7 @@
 
 #[test]
 fn verify_wait_that_is_too_short_names_who_is_behind() {
-    let bench = Bench::new();
+    let bench = TestPlatform::new();
     let quick = daemon(Value::Null, 0);
     let never = daemon(Value::Null, u64::MAX);
     let gone = nobody();
@@ -167,14 +167,14 @@
 fn verify_daemons_are_found_in_the_vm_list() {
     let asked = Arc::new(AtomicU64::new(0));
     let count = Arc::clone(&asked);
-    let page = pages(move |_: &Request| {
+    let page = http_server(move |_: &Request| {
         count.fetch_add(1, Ordering::SeqCst);
         Response::json(&status_of("entry-1", "router", "aaaa", &json!([])))
     });
     let vm = |name: &str, leaving: bool| json!({ "name": name, "zone": "rae", "address": "127.0.0.1:1", "role": "router", "leaving": leaving });
     let vms = json!([vm("entry-1", false), vm("entry-2", true)]);
     let settings = serde_json::from_value(json!({ "vms": vms, "vms_lag_ms": 0 }));
-    let bench = Bench::with(settings.expect("settings"));
+    let bench = TestPlatform::with(settings.expect("settings"));
     let line = format!("status --operators-port {}", page.port());
     bench.expect(Exit::Done, &line);
     assert_eq!(asked.load(Ordering::SeqCst), 1, "a leaving VM is not asked");
@@ -182,9 +182,9 @@
 
 #[test]
 fn verify_mark_waits_until_the_target_is_drained() {
-    let bench = Bench::new();
+    let bench = TestPlatform::new();
     let looks = AtomicU64::new(0);
-    let agent = pages(move |_| {
+    let agent = http_server(move |_| {
         let done = looks.fetch_add(1, Ordering::SeqCst) >= 2;
         let load = json!({ "cost": 5, "cap": 9, "running": u64::from(!done), "waiting": 0 });
         let drain = json!({ "action": "shutdown", "drained": done });
@@ -209,7 +209,7 @@
 
 #[test]
 fn verify_mark_that_is_not_drained_in_time_says_what_runs() {
-    let bench = Bench::new();
+    let bench = TestPlatform::new();
     let load = json!({ "cost": 5, "cap": 9, "running": 3, "waiting": 0 });
     let drain = json!({ "action": "shutdown", "drained": false });
     let own = json!([target("Leaving", &load, &drain)]);
--- a/crates/peppercrank-cli/tests/verify_local.rs
+++ b/crates/peppercrank-cli/tests/verify_local.rs
@@ -64,7 +64,7 @@
     Environment {
         platform: value("PEPPERCRANK_PLATFORM"),
         token: None,
-        operators: value("PEPPERCRANK_OPERATORS_TOKEN"),
+        operators_token: value("PEPPERCRANK_OPERATORS_TOKEN"),
         daemons: value("PEPPERCRANK_DAEMONS"),
     }
 }
--- a/crates/peppercrank-cli/tests/verify_orders.rs
+++ b/crates/peppercrank-cli/tests/verify_orders.rs
@@ -10,7 +10,7 @@
 use std::time::Instant as StdInstant;
 
 use peppercrank_cli::Exit;
-use peppercrank_cli::fate::Fate;
+use peppercrank_cli::fate::OrderOutcome;
 use peppercrank_cli::holder::Holder;
 use peppercrank_core::names::PoolName;
 use peppercrank_core::names::VmName;
@@ -27,10 +27,10 @@
 use peppercrank_wire::stop;
 use serde_json::Value;
 use serde_json::json;
-use support::Bench;
-use support::Ended;
+use support::RunResult;
 use support::TOKEN;
-use support::any;
+use support::TestPlatform;
+use support::any_port;
 use support::file;
 use support::fleet;
 use support::run;
@@ -38,7 +38,7 @@
 
 /// A platform, and engines that check fencing numbers, each with its agent.
 struct Fleet {
-    bench: Bench,
+    bench: TestPlatform,
     engines: Vec<peppercrank_standin::Running>,
     agents: Vec<agent::Running>,
     keys: String,
@@ -48,11 +48,11 @@
 
 impl Fleet {
     fn new() -> Self {
-        let bench = Bench::new();
+        let bench = TestPlatform::new();
         Self::on(bench)
     }
 
-    fn on(bench: Bench) -> Self {
+    fn on(bench: TestPlatform) -> Self {
         let runtime = Runtime::new().expect("a runtime");
         let (stopper, signal) = stop::stop();
         let (mut engines, mut agents) = (Vec::new(), Vec::new());
@@ -67,7 +67,7 @@
                 "checks_orders": true,
             });
             let target = serde_json::from_value(target).expect("a target");
-            let settings = AgentSettings::new(fleet(&bench, name), any(), target);
+            let settings = AgentSettings::new(fleet(&bench, name), any_port(), target);
             let agent = agent::start(settings, Log::disabled(), signal.clone());
             agents.push(runtime.block_on(agent).expect("an agent"));
             engines.push(engine);
@@ -91,7 +91,7 @@
     }
 
     /// Runs `order` with these words, by the file of keys given.
-    fn order_by(&self, keys: &str, line: &str) -> Ended {
+    fn order_by(&self, keys: &str, line: &str) -> RunResult {
         let daemons = self.agents.iter().map(|a| a.operators.to_string());
         let daemons = daemons.collect::<Vec<_>>();
         let mut words = vec!["order"];
@@ -111,7 +111,7 @@
     }
 
     #[track_caller]
-    fn order(&self, exit: Exit, line: &str) -> Ended {
+    fn order(&self, exit: Exit, line: &str) -> RunResult {
         let ended = self.order_by(&self.keys, line);
         assert_eq!(ended.exit, exit, "{line}: {ended:?}");
         ended
@@ -140,7 +140,7 @@
     }
 }
 
-fn outcomes(ended: &Ended) -> Vec<String> {
+fn outcomes(ended: &RunResult) -> Vec<String> {
     let told = ended.json();
     let targets = told["targets"].as_array().expect("targets").clone();
     let words = targets.iter().filter_map(|t| t["outcome"].as_str());
@@ -228,7 +228,7 @@
 
 #[test]
 fn verify_an_agent_that_reads_the_lease_late_gets_a_renewed_number() {
-    let bench = Bench::new();
+    let bench = TestPlatform::new();
     bench.faults(r#"{"only": "get", "outage": true}"#);
     let fleet = Fleet::on(bench);
     let tries = || fleet.bench.calls()["calls"]["get"].as_u64().unwrap_or(0);
@@ -266,7 +266,7 @@
 
 /// A holder of the lease of a pool, on a clock that the test moves.
 fn holder<'a>(
-    bench: &Bench,
+    bench: &TestPlatform,
     session: u64,
     clock: &'a Cell<u64>,
 ) -> Holder<impl Fn() -> Instant + use<'a>> {
@@ -279,12 +279,12 @@
 
 #[test]
 fn verify_a_holder_paused_past_its_lease_does_not_act() {
-    let bench = Bench::new();
+    let bench = TestPlatform::new();
     let (clock, other_clock) = (Cell::new(0), Cell::new(0));
     let mut holder = holder(&bench, 1, &clock);
     // The clocks stand still unless the test moves them, so nothing may wait.
     let end = Instant::ZERO;
-    let first = holder.seek(end).expect("the lease");
+    let first = holder.acquire(end).expect("the lease");
     clock.set(13_999);
     assert_eq!(
         holder.fence(),
@@ -299,8 +299,8 @@
     );
     // Another takes over by its own clock, 16 s after it saw the lease.
     let mut other = self::holder(&bench, 2, &other_clock);
-    assert_eq!(other.seek(end), None);
-    assert_eq!(other.other().map(VmName::as_str), Some("operator-1"));
+    assert_eq!(other.acquire(end), None);
+    assert_eq!(other.other_holder().map(VmName::as_str), Some("operator-1"));
     let mut second = None;
     while second.is_none() && other_clock.get() < 30_000 {
         other_clock.set(other_clock.get() + 5_000);
@@ -312,42 +312,67 @@
     // The first wakes: no renewal brings it back, and what it owes is nothing of the other's.
     holder.renew();
     assert_eq!(holder.fence(), None);
-    assert!(holder.give_back(end));
+    assert!(holder.release(end));
     assert_eq!(other.fence(), second, "the other holds on");
-    assert!(other.give_back(end));
+    assert!(other.release(end));
 }
 
 #[test]
 fn verify_fates_and_their_exit_codes() {
-    let told = |text: &str| Fate::of(Ok(text.to_owned()));
+    let told = |text: &str| OrderOutcome::from_reply(Ok(text.to_owned()));
     let cases = [
-        (told(r#"{"Passed":"Obeyed"}"#), Fate::Obeyed, 0),
-        (told(r#"{"Passed":"Refused"}"#), Fate::Refused, 1),
-        (told(r#"{"Passed":"Unknown"}"#), Fate::Unknown, 8),
+        (told(r#"{"Passed":"Obeyed"}"#), OrderOutcome::Obeyed, 0),
+        (told(r#"{"Passed":"Refused"}"#), OrderOutcome::Refused, 1),
+        (told(r#"{"Passed":"Unknown"}"#), OrderOutcome::Unknown, 8),
         (
             told(r#"{"Stale":{"least":7}}"#),
-            Fate::Stale { least: 7 },
+            OrderOutcome::Stale { least: 7 },
             3,
         ),
-        (told(r#""Unread""#), Fate::Unread, 1),
-        (told(r#""Busy""#), Fate::Busy, 1),
-        (told(r#""no_target""#), Fate::NoEngine, 1),
-        (told(r#""malformed""#), Fate::Malformed, 1),
+        (told(r#""Unread""#), OrderOutcome::Unread, 1),
+        (told(r#""Busy""#), OrderOutcome::Busy, 1),
+        (told(r#""no_target""#), OrderOutcome::NoEngine, 1),
+        (told(r#""malformed""#), OrderOutcome::Malformed, 1),
         // A newer agent's word may mean anything.
-        (told(r#""Deferred""#), Fate::Unknown, 8),
-        (Fate::of(Err(ControlError::Timeout)), Fate::Unknown, 8),
-        (Fate::of(Err(ControlError::Closed)), Fate::Unknown, 8),
-        (Fate::of(Err(ControlError::Busy)), Fate::Busy, 1),
+        (told(r#""Deferred""#), OrderOutcome::Unknown, 8),
+        (
+            OrderOutcome::from_reply(Err(ControlError::Timeout)),
+            OrderOutcome::Unknown,
+            8,
+        ),
+        (
+            OrderOutcome::from_reply(Err(ControlError::Closed)),
+            OrderOutcome::Unknown,
+            8,
+        ),
+        (
+            OrderOutcome::from_reply(Err(ControlError::Busy)),
+            OrderOutcome::Busy,
+            1,
+        ),
     ];
     for (seen, fate, code) in cases {
         assert_eq!((seen, seen.exit().code()), (fate, code));
     }
-    let worst = |fates: &[Fate]| Fate::worst(fates.iter().copied());
-    assert_eq!(worst(&[Fate::Obeyed, Fate::Obeyed]), Exit::Done);
-    assert_eq!(worst(&[Fate::Obeyed, Fate::Busy]), Exit::Failure);
-    assert_eq!(worst(&[Fate::Lapsed, Fate::Busy]), Exit::Conflict);
+    let worst = |fates: &[OrderOutcome]| OrderOutcome::worst_exit(fates.iter().copied());
+    assert_eq!(
+        worst(&[OrderOutcome::Obeyed, OrderOutcome::Obeyed]),
+        Exit::Done
+    );
+    assert_eq!(
+        worst(&[OrderOutcome::Obeyed, OrderOutcome::Busy]),
+        Exit::Failure
+    );
+    assert_eq!(
+        worst(&[OrderOutcome::Lapsed, OrderOutcome::Busy]),
+        Exit::Conflict
+    );
     assert_eq!(
-        worst(&[Fate::Lapsed, Fate::Unknown, Fate::Obeyed]),
+        worst(&[
+            OrderOutcome::Lapsed,
+            OrderOutcome::Unknown,
+            OrderOutcome::Obeyed
+        ]),
         Exit::Unknown
     );
 }
--- a/crates/peppercrank-cli/tests/verify_pages.rs
+++ b/crates/peppercrank-cli/tests/verify_pages.rs
@@ -32,8 +32,8 @@
 use rouille::Response;
 use serde_json::Value;
 use serde_json::json;
-use support::Bench;
-use support::pages;
+use support::TestPlatform;
+use support::http_server;
 use support::run;
 use tokio::runtime::Runtime;
 
@@ -94,7 +94,7 @@
 
 /// A stand-in and one daemon's pages, on which all is in force at once.
 struct Fleet {
-    bench: Bench,
+    bench: TestPlatform,
     port: String,
     _stopper: Stopper,
     _runtime: Runtime,
@@ -133,14 +133,14 @@
                 "drain": { "action": "shutdown", "drained": true },
             }],
         });
-        let address = pages(move |request| match request.url().as_str() {
+        let address = http_server(move |request| match request.url().as_str() {
             "/status" => Response::json(&status),
             _ => Response::json(&json!({ "version": 1_000_000 })),
         });
         let vm = json!({ "name": "entry-1", "zone": "rae", "address": "127.0.0.1:7000", "role": "router" });
         let settings = serde_json::from_value(json!({ "vms": [vm], "vms_lag_ms": 0 }));
         Self {
-            bench: Bench::with(settings.expect("settings")),
+            bench: TestPlatform::with(settings.expect("settings")),
             port: address.port().to_string(),
             _stopper: stopper,
             _runtime: runtime,
--- a/crates/peppercrank-cli/tests/verify_races.rs
+++ b/crates/peppercrank-cli/tests/verify_races.rs
@@ -9,13 +9,13 @@
 
 use peppercrank_cli::Exit;
 use serde_json::json;
-use support::Bench;
+use support::TestPlatform;
 use support::run;
 use support::template;
 
 #[test]
 fn verify_create_of_what_is_there_shows_it() {
-    let bench = Bench::new();
+    let bench = TestPlatform::new();
     let [one, two] = [1, 2].map(template);
     bench.expect(Exit::Done, &format!("publish template t {one}"));
     let ended = bench.expect(
@@ -44,7 +44,7 @@
 
 #[test]
 fn verify_stale_version_is_a_conflict_for_every_writing_verb() {
-    let bench = Bench::new();
+    let bench = TestPlatform::new();
     let [one, two, three] = [1, 2, 3].map(template);
     bench.expect(Exit::Done, &format!("publish template t {one}"));
     bench.expect(
@@ -74,7 +74,7 @@
 
 #[test]
 fn verify_one_of_eight_racing_operators_wins() {
-    let bench = Bench::new();
+    let bench = TestPlatform::new();
     bench.expect(Exit::Done, &format!("publish template t {}", template(100)));
     let racers = (1..=8).map(|weight| {
         let (environment, path) = (bench.environment.clone(), template(weight));
@@ -106,7 +106,7 @@
         r#"{ "only": "put", "times": 1, "cut_after": 5 }"#,
     ];
     for (at, fault) in faults.iter().enumerate() {
-        let bench = Bench::new();
+        let bench = TestPlatform::new();
         bench.faults(fault);
         let line = format!(
             "publish template t {} --timeout 12s --output json",
@@ -121,7 +121,7 @@
 
 #[test]
 fn verify_lost_deletion_is_done_once() {
-    let bench = Bench::new();
+    let bench = TestPlatform::new();
     bench.expect(Exit::Done, "mark e-1 --shutdown");
     bench.faults(r#"{ "only": "delete", "times": 1, "drop_after": true }"#);
     bench.expect(Exit::Done, "unmark e-1");
@@ -131,7 +131,7 @@
 
 #[test]
 fn verify_unknown_fate_is_told_and_carried_through_by_id() {
-    let bench = Bench::new();
+    let bench = TestPlatform::new();
     let one = template(1);
     // The first read passes; the write takes effect, and nothing is heard of it nor after it.
     bench.faults(r#"{ "skip": 1, "drop_after": true }"#);
@@ -159,7 +159,7 @@
         r#"{ "delay_ms": 60000, "only": "get" }"#,
     ];
     for fault in cases {
-        let bench = Bench::new();
+        let bench = TestPlatform::new();
         bench.faults(fault);
         let one = template(1);
         let publish = format!("publish template t {one} --timeout 500ms");
@@ -180,7 +180,7 @@
         r#"{ "times": 2, "drop_before": true }"#,
         r#"{ "times": 1, "throttle": true }"#,
     ] {
-        let bench = Bench::new();
+        let bench = TestPlatform::new();
         bench.faults(fault);
         bench.expect(Exit::Done, &format!("publish template t {}", template(1)));
         assert_eq!(bench.calls()["writes"], 1, "{fault}");
--- a/crates/peppercrank-cli/tests/verify_usage.rs
+++ b/crates/peppercrank-cli/tests/verify_usage.rs
@@ -8,7 +8,7 @@
 use peppercrank_cli::Environment;
 use peppercrank_cli::Exit;
 use support::file;
-use support::pages;
+use support::http_server;
 use support::run;
 
 /// The verbs and a word that the help of each must hold.
@@ -112,7 +112,7 @@
 fn verify_exit_codes_are_the_documented_ones() {
     let page = include_str!("../../../docs/operators/command-line.md");
     for exit in Exit::ALL {
-        let row = format!("| {} | `{}` |", exit.code(), exit.word());
+        let row = format!("| {} | `{}` |", exit.code(), exit.name());
         assert!(page.contains(&row), "no row {row}");
     }
     let rows = page
@@ -124,7 +124,7 @@
 #[test]
 fn verify_platform_that_refuses_is_no_outage() {
     for status in [400, 401, 403] {
-        let address = pages(move |_| rouille::Response::text("no").with_status_code(status));
+        let address = http_server(move |_| rouille::Response::text("no").with_status_code(status));
         let environment = Environment {
             platform: Some(format!("http://{address}")),
             ..Environment::default()
--- a/crates/peppercrank-cli/tests/verify_verbs.rs
+++ b/crates/peppercrank-cli/tests/verify_verbs.rs
@@ -7,13 +7,13 @@
 
 use peppercrank_cli::Exit;
 use serde_json::json;
-use support::Bench;
+use support::TestPlatform;
 use support::file;
 use support::template;
 
 #[test]
 fn verify_object_goes_through_its_life() {
-    let bench = Bench::new();
+    let bench = TestPlatform::new();
     let [one, two] = [1, 2].map(template);
     let done = bench.expect(
         Exit::Done,
@@ -70,7 +70,7 @@
 
 #[test]
 fn verify_what_is_not_there_is_not_found() {
-    let bench = Bench::new();
+    let bench = TestPlatform::new();
     let one = template(1);
     let lines = [
         "get pool p",
@@ -88,7 +88,7 @@
 
 #[test]
 fn verify_faulty_file_is_not_sent() {
-    let bench = Bench::new();
+    let bench = TestPlatform::new();
     let broken = file("broken.jsonc", "{\n  \"parameters\": {,}\n}");
     let heavy = template(1001);
     for verb in ["publish", "validate"] {
@@ -110,7 +110,7 @@
 
 #[test]
 fn verify_organisation_parameters_stand_over_the_template() {
-    let bench = Bench::new();
+    let bench = TestPlatform::new();
     bench.expect(Exit::Done, &format!("publish template t {}", template(1)));
     bench.expect(Exit::Usage, "set-organisation o weight=3");
     bench.expect(
@@ -152,7 +152,7 @@
 
 #[test]
 fn verify_marks_are_set_changed_and_taken_back() {
-    let bench = Bench::new();
+    let bench = TestPlatform::new();
     bench.expect(Exit::Done, "mark e-1 --shutdown");
     let got = bench
         .expect(Exit::Done, "get mark e-1 --output json")
@@ -184,7 +184,7 @@
 
 #[test]
 fn verify_objects_are_checked_together() {
-    let bench = Bench::new();
+    let bench = TestPlatform::new();
     bench.expect(Exit::Done, "set-organisation o template=gone");
     let told = bench
         .expect(Exit::Done, "check-objects --output json")
