--- a/crates/peppercrank-bench/src/cache.rs
+++ b/crates/peppercrank-bench/src/cache.rs
@@ -6,31 +6,31 @@
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
-use crate::trace::DOCUMENT;
+use crate::trace::DOCUMENT_TOKENS;
 use crate::trace::Turn;
 
 /// `Cache` is the memory of one engine, counted in tokens.
 #[derive(Debug)]
 pub struct Cache {
-    room: u64,
+    capacity: u64,
     used: u64,
-    stamp: u64,
+    use_counter: u64,
     /// Tokens and stamp by key.
-    held: HashMap<u64, (u64, u64)>,
+    entries: HashMap<u64, (u64, u64)>,
     /// Keys in the order of their use.
-    order: BTreeMap<u64, u64>,
+    by_last_use: BTreeMap<u64, u64>,
 }
 
 impl Cache {
     /// `new` is an empty memory of `room` tokens.
     #[must_use]
-    pub fn new(room: u64) -> Self {
+    pub fn new(capacity: u64) -> Self {
         Self {
-            room,
+            capacity,
             used: 0,
-            stamp: 0,
-            held: HashMap::new(),
-            order: BTreeMap::new(),
+            use_counter: 0,
+            entries: HashMap::new(),
+            by_last_use: BTreeMap::new(),
         }
     }
 
@@ -39,42 +39,43 @@
     /// A chat's own tokens follow its document: without that they are of no use.
     #[must_use]
     pub fn reuse(&self, turn: &Turn) -> u64 {
-        let own = self.held.get(&turn.chat);
-        let own = own.map_or(0, |(tokens, _)| u64::from(turn.prior).min(*tokens));
+        let chat_tokens = self.entries.get(&turn.chat);
+        let chat_tokens =
+            chat_tokens.map_or(0, |(tokens, _)| u64::from(turn.prior_tokens).min(*tokens));
         match turn.document {
-            None => own,
-            Some(key) if self.held.contains_key(&key) => own + DOCUMENT,
+            None => chat_tokens,
+            Some(key) if self.entries.contains_key(&key) => chat_tokens + DOCUMENT_TOKENS,
             Some(_) => 0,
         }
     }
 
     /// `store` keeps the context of a turn and lists the keys that had to go.
     pub fn store(&mut self, turn: &Turn) -> Vec<u64> {
-        let mut gone = Vec::new();
-        let own = u64::from(turn.prior + turn.fresh + turn.output);
-        self.put(turn.chat, own, &mut gone);
+        let mut evicted = Vec::new();
+        let chat_tokens = u64::from(turn.prior_tokens + turn.new_tokens + turn.output_tokens);
+        self.put(turn.chat, chat_tokens, &mut evicted);
         if let Some(key) = turn.document {
-            self.put(key, DOCUMENT, &mut gone);
+            self.put(key, DOCUMENT_TOKENS, &mut evicted);
         }
-        gone
+        evicted
     }
 
     fn put(&mut self, key: u64, tokens: u64, gone: &mut Vec<u64>) {
-        if let Some((old, stamp)) = self.held.remove(&key) {
-            self.order.remove(&stamp);
+        if let Some((old, stamp)) = self.entries.remove(&key) {
+            self.by_last_use.remove(&stamp);
             self.used -= old;
         }
-        while self.used + tokens > self.room {
-            let Some((_, oldest)) = self.order.pop_first() else {
+        while self.used + tokens > self.capacity {
+            let Some((_, oldest)) = self.by_last_use.pop_first() else {
                 return;
             };
-            let freed = self.held.remove(&oldest);
+            let freed = self.entries.remove(&oldest);
             self.used -= freed.map_or(0, |(tokens, _)| tokens);
             gone.push(oldest);
         }
-        self.stamp += 1;
-        self.held.insert(key, (tokens, self.stamp));
-        self.order.insert(self.stamp, key);
+        self.use_counter += 1;
+        self.entries.insert(key, (tokens, self.use_counter));
+        self.by_last_use.insert(self.use_counter, key);
         self.used += tokens;
     }
 }
--- a/crates/peppercrank-bench/src/churn.rs
+++ b/crates/peppercrank-bench/src/churn.rs
@@ -4,10 +4,10 @@
 //! What happens to engines and routers in a run.
 
 /// Milliseconds after which agents and routers know of a change.
-pub const VIEW_MS: u64 = 2_000;
+pub const VIEW_DELAY_MS: u64 = 2_000;
 
 /// Milliseconds by which half of the routers know later, where views are apart.
-pub const APART_MS: u64 = 5_000;
+pub const LATE_VIEW_MS: u64 = 5_000;
 
 /// Availability zones; engine `n` is in zone `n % ZONES`.
 const ZONES: usize = 4;
@@ -35,7 +35,7 @@
 
 /// `Step` is one change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Step {
+pub enum ChurnStep {
     /// An engine starts with nothing cached.
     Up(usize),
     /// An engine fails.
@@ -62,28 +62,28 @@
 
     /// `steps` lists the changes with their times, in milliseconds after the middle.
     #[must_use]
-    pub fn steps(self, engines: usize) -> Vec<(u64, Step)> {
+    pub fn steps(self, engines: usize) -> Vec<(u64, ChurnStep)> {
         match self {
             Self::Nothing => Vec::new(),
-            Self::Join => vec![(0, Step::Up(engines))],
-            Self::Leave => vec![(0, Step::Mark(0))],
-            Self::Fail => vec![(0, Step::Down(0))],
+            Self::Join => vec![(0, ChurnStep::Up(engines))],
+            Self::Leave => vec![(0, ChurnStep::Mark(0))],
+            Self::Fail => vec![(0, ChurnStep::Down(0))],
             Self::Flap => {
-                let cycle = |at| [(at, Step::Down(0)), (at + 20_000, Step::Up(0))];
+                let cycle = |at| [(at, ChurnStep::Down(0)), (at + 20_000, ChurnStep::Up(0))];
                 [0, 40_000, 80_000].into_iter().flat_map(cycle).collect()
             }
-            Self::Routers => vec![(0, Step::Routers)],
+            Self::Routers => vec![(0, ChurnStep::Routers)],
             Self::Zone => {
                 let lost = (0..engines).step_by(ZONES);
-                lost.map(|n| (0, Step::Down(n))).collect()
+                lost.map(|n| (0, ChurnStep::Down(n))).collect()
             }
-            Self::Apart => vec![(0, Step::Mark(0)), (60_000, Step::Unmark(0))],
+            Self::Apart => vec![(0, ChurnStep::Mark(0)), (60_000, ChurnStep::Unmark(0))],
         }
     }
 
     /// `lag` is how much later every second router knows, in milliseconds.
     #[must_use]
-    pub fn lag(self) -> u64 {
-        if self == Self::Apart { APART_MS } else { 0 }
+    pub fn late_view_ms(self) -> u64 {
+        if self == Self::Apart { LATE_VIEW_MS } else { 0 }
     }
 }
--- a/crates/peppercrank-bench/src/engine.rs
+++ b/crates/peppercrank-bench/src/engine.rs
@@ -21,28 +21,28 @@
 use slotmap::KeyData;
 
 use crate::cache::Cache;
-use crate::trace::CEILING;
+use crate::trace::ENGINE_CEILING;
 use crate::trace::ORGANISATIONS;
 use crate::trace::SHARES;
-use crate::ways::Way;
+use crate::ways::Strategy;
 
 /// Multiple of the mean that an engine admits up to.
-pub const MULTIPLE: f64 = 1.25;
+pub const CAP_FACTOR: f64 = 1.25;
 
 /// Work that an engine may always carry.
-pub const FLOOR: u64 = CEILING / 4;
+pub const CAP_FLOOR: u64 = ENGINE_CEILING / 4;
 
 /// Longest wait in an engine's queue, in milliseconds.
-pub const WAIT_MS: u64 = 10_000;
+pub const MAX_QUEUE_WAIT_MS: u64 = 10_000;
 
 /// How long a request waits at an engine before it goes on to another.
-pub const PATIENCE: Duration = Duration::from_secs(2);
+pub const QUEUE_PATIENCE: Duration = Duration::from_secs(2);
 
 /// Requests that may wait at one engine.
-const QUEUE: u32 = 64;
+const QUEUE_LIMIT: u32 = 64;
 
 /// Bytes of an agent's pointer table.
-const POINTERS: usize = 1 << 18;
+const POINTER_TABLE_BYTES: usize = 1 << 18;
 
 /// `Engine` is one engine and what its agent knows.
 #[derive(Debug)]
@@ -58,7 +58,7 @@
     /// How often it has started.
     pub incarnation: u64,
     /// Work that waits.
-    pub waiting: u64,
+    pub waiting_cost: u64,
     seq: u64,
 }
 
@@ -69,35 +69,36 @@
     ///
     /// Panics if the bench's own settings are out of range.
     #[must_use]
-    pub fn new(now: Instant, n: usize, way: Way, memory: u64, incarnation: u64) -> Self {
-        let capped = way.is_capped();
+    pub fn new(now: Instant, n: usize, strategy: Strategy, memory: u64, incarnation: u64) -> Self {
+        let capped = strategy.is_capped();
         let policy = PoolPolicy {
-            cap: if capped { MULTIPLE } else { 10.0 },
-            floor: Cost(if capped { FLOOR } else { CEILING }),
-            queue: QUEUE,
-            wait_ms: WAIT_MS,
+            cap: if capped { CAP_FACTOR } else { 10.0 },
+            floor: Cost(if capped { CAP_FLOOR } else { ENGINE_CEILING }),
+            queue: QUEUE_LIMIT,
+            wait_ms: MAX_QUEUE_WAIT_MS,
             prefix: 1_024,
-            tries: crate::ways::TRIES,
+            tries: crate::ways::MAX_ATTEMPTS,
             retries: 0.3,
         };
         let settings = Settings {
-            ceiling: Cost(CEILING),
-            patience: PATIENCE,
+            ceiling: Cost(ENGINE_CEILING),
+            patience: QUEUE_PATIENCE,
             ..Settings::default()
         };
         let mut admission = Admission::new(now, settings, policy).expect("settings in range");
         admission.on(now, Input::TargetsHeard(1));
         for of in 0..ORGANISATIONS {
-            let parameters = Input::ParametersChanged(organisation(of), Some(parameters(of)));
+            let parameters =
+                Input::ParametersChanged(organisation_name(of), Some(organisation_parameters(of)));
             admission.on(now, parameters);
         }
         Self {
             admission,
-            pointers: Pointers::new(key(n), POINTERS),
+            pointers: Pointers::new(target_key(n), POINTER_TABLE_BYTES),
             cache: Cache::new(memory),
             up: true,
             incarnation,
-            waiting: 0,
+            waiting_cost: 0,
             seq: 0,
         }
     }
@@ -105,11 +106,11 @@
     /// `load` is what runs and waits.
     #[must_use]
     pub fn load(&self) -> u64 {
-        self.admission.status().reserved.0 + self.waiting
+        self.admission.status().reserved.0 + self.waiting_cost
     }
 
     /// `event` is the engine's next cache event.
-    pub fn event(&mut self, change: Change, key: u64) -> CacheEvent {
+    pub fn next_cache_event(&mut self, change: Change, key: u64) -> CacheEvent {
         self.seq += 1;
         CacheEvent {
             incarnation: self.incarnation,
@@ -126,31 +127,31 @@
 ///
 /// Never: the names are well formed.
 #[must_use]
-pub fn organisation(of: usize) -> OrganisationName {
+pub fn organisation_name(of: usize) -> OrganisationName {
     OrganisationName::new(&format!("organisation-{of}")).expect("well formed")
 }
 
 /// `key` is the key of an engine.
 #[must_use]
-pub fn key(n: usize) -> TargetKey {
+pub fn target_key(n: usize) -> TargetKey {
     TargetKey::from(KeyData::from_ffi(1 << 32 | (n as u64 + 1)))
 }
 
 /// `index` is the engine of a key.
 #[must_use]
-pub fn index(target: TargetKey) -> usize {
+pub fn engine_index(target: TargetKey) -> usize {
     let low = slotmap::Key::data(&target).as_ffi() & 0xffff_ffff;
     low as usize - 1
 }
 
 /// `hash` is the hash of an engine's name.
 #[must_use]
-pub fn hash(n: usize) -> TargetHash {
+pub fn target_hash(n: usize) -> TargetHash {
     TargetHash::of(&format!("engine-{n}"))
 }
 
 /// Operators weigh organisations by their usual shares.
-fn parameters(of: usize) -> Parameters {
+fn organisation_parameters(of: usize) -> Parameters {
     Parameters {
         weight: SHARES[of],
         priority: 5,
--- a/crates/peppercrank-bench/src/lib.rs
+++ b/crates/peppercrank-bench/src/lib.rs
@@ -30,7 +30,7 @@
 
 pub use churn::Churn;
 pub use report::Report;
-pub use trace::Shape;
 pub use trace::Trace;
-pub use ways::Way;
-pub use world::World;
+pub use trace::Workload;
+pub use ways::Strategy;
+pub use world::Simulation;
--- a/crates/peppercrank-bench/src/report.rs
+++ b/crates/peppercrank-bench/src/report.rs
@@ -16,9 +16,9 @@
     /// Prompt tokens that were cached.
     pub reused: u64,
     /// Prompt tokens that one memory of the size of all would have held.
-    pub bound: u64,
+    pub reuse_bound: u64,
     /// Prompt tokens that the best engine held.
-    pub held: u64,
+    pub best_held: u64,
     /// Greatest mean load of an engine over the mean of all.
     pub skew: f64,
 }
@@ -27,9 +27,9 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Report {
     /// Requests that came, in the whole run.
-    pub came: u64,
+    pub arrived: u64,
     /// Requests answered in full, in the whole run.
-    pub done: u64,
+    pub completed: u64,
     /// Requests refused or cut, by reason, in the whole run.
     pub failed: BTreeMap<&'static str, u64>,
     /// Attempts refused, by reason.
@@ -37,9 +37,9 @@
     /// Requests that came.
     pub requests: u64,
     /// Attempts sent.
-    pub sends: u64,
+    pub attempts_sent: u64,
     /// Bytes of notes, of routers and of changes of ranking.
-    pub bytes: u64,
+    pub note_bytes: u64,
     /// The minutes.
     pub windows: Vec<Window>,
     /// Waits of those that ran or were refused for load, by organisation, in milliseconds.
@@ -47,27 +47,27 @@
     /// Requests admitted.
     pub admitted: u64,
     /// Admissions above the cap of the mean known then.
-    pub above: u64,
+    pub above_known_cap: u64,
     /// Admissions above the cap of the true mean of what runs and waits.
-    pub over: u64,
+    pub above_true_cap: u64,
     /// Admissions above the cap of the true mean of what runs.
-    pub over_running: u64,
+    pub above_running_cap: u64,
     /// The greatest load just admitted to, over the cap of the true mean of what runs.
-    pub most_running: f64,
+    pub max_running_cap_ratio: f64,
     /// The greatest load just admitted to, over the cap of the true mean of what runs and waits.
-    pub most: f64,
+    pub max_cap_ratio: f64,
 }
 
 impl Report {
     /// `share` is the reuse over the bound in some minutes, and over what the best engine held.
     #[must_use]
-    pub fn share(&self, from: usize, to: usize) -> (f64, f64) {
+    pub fn reuse_ratios(&self, from: usize, to: usize) -> (f64, f64) {
         let windows = &self.windows[from.min(self.windows.len())..to.min(self.windows.len())];
         let sum = |of: fn(&Window) -> u64| windows.iter().map(of).sum::<u64>();
         let reused = sum(|w| w.reused);
         (
-            ratio(reused, sum(|w| w.bound)),
-            ratio(reused, sum(|w| w.held)),
+            ratio(reused, sum(|w| w.reuse_bound)),
+            ratio(reused, sum(|w| w.best_held)),
         )
     }
 
@@ -82,7 +82,7 @@
 
     /// `wait` is the wait that so many in a hundred of some organisations do not exceed, in seconds.
     #[must_use]
-    pub fn wait(&self, of: std::ops::Range<usize>, percent: usize) -> f64 {
+    pub fn wait_percentile(&self, of: std::ops::Range<usize>, percent: usize) -> f64 {
         let mut waits: Vec<u64> = self.waits[of].iter().flatten().copied().collect();
         waits.sort_unstable();
         let rank = (waits.len() * percent).div_ceil(100);
@@ -92,13 +92,13 @@
 
     /// `lost` is how many requests failed, in the whole run.
     #[must_use]
-    pub fn lost(&self) -> u64 {
+    pub fn failed_count(&self) -> u64 {
         self.failed.values().sum()
     }
 
     /// `each` is a count over the requests.
     #[must_use]
-    pub fn each(&self, count: u64) -> f64 {
+    pub fn per_request(&self, count: u64) -> f64 {
         ratio(count, self.requests)
     }
 }
--- a/crates/peppercrank-bench/src/router.rs
+++ b/crates/peppercrank-bench/src/router.rs
@@ -24,47 +24,47 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::trace::Turn;
-use crate::ways::Sight;
-use crate::ways::TRIES;
-use crate::ways::Way;
+use crate::ways::LoadView;
+use crate::ways::MAX_ATTEMPTS;
+use crate::ways::Strategy;
 
 /// Time allowed a request.
-const DEADLINE: Duration = Duration::from_secs(120);
+const REQUEST_DEADLINE: Duration = Duration::from_secs(120);
 
 /// What a router remembers.
-const ROOM: Room = Room {
+const ROUTE_CAPACITY: Room = Room {
     chats: 4_000,
     prefixes: 256,
 };
 
 /// Retries as a share of a router's requests.
-const RETRIES: f64 = 0.3;
+const RETRY_SHARE: f64 = 0.3;
 
 /// `Course` is one request on its way.
 #[derive(Debug)]
-pub enum Course {
+pub enum RequestState {
     /// By our way.
-    Ours(Trip),
+    Peppercrank(Trip),
     /// By a baseline.
-    Plain(Request),
+    Baseline(Request),
 }
 
-impl Course {
+impl RequestState {
     /// `is_spilled` tells whether the latest attempt goes to another target than the home.
     #[must_use]
     pub fn is_spilled(&self) -> bool {
         match self {
-            Self::Ours(trip) => trip.is_spilled(),
-            Self::Plain(_) => false,
+            Self::Peppercrank(trip) => trip.is_spilled(),
+            Self::Baseline(_) => false,
         }
     }
 
     /// `tries` is the number of attempts sent.
     #[must_use]
-    pub fn tries(&self) -> u32 {
+    pub fn attempts(&self) -> u32 {
         match self {
-            Self::Ours(trip) => trip.request.tries(),
-            Self::Plain(request) => request.tries(),
+            Self::Peppercrank(trip) => trip.request.tries(),
+            Self::Baseline(request) => request.tries(),
         }
     }
 }
@@ -74,7 +74,7 @@
 pub struct Router {
     routes: Routes,
     live: Rc<Vec<usize>>,
-    turn: usize,
+    round_robin_index: usize,
     rng: ChaCha8Rng,
 }
 
@@ -82,18 +82,18 @@
     /// `new` is a router that knows the ranking and nothing else.
     #[must_use]
     pub fn new(seed: u64, ranking: &Ranking, live: &Rc<Vec<usize>>) -> Self {
-        let mut routes = Routes::new(RETRIES, seed, ROOM);
+        let mut routes = Routes::new(RETRY_SHARE, seed, ROUTE_CAPACITY);
         routes.ranking = ranking.clone();
         Self {
             routes,
             live: Rc::clone(live),
-            turn: seed as usize,
+            round_robin_index: seed as usize,
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
     /// `see` takes a changed ranking in.
-    pub fn see(&mut self, ranking: &Ranking, live: &Rc<Vec<usize>>) {
+    pub fn set_ranking(&mut self, ranking: &Ranking, live: &Rc<Vec<usize>>) {
         self.routes.ranking = ranking.clone();
         self.live = Rc::clone(live);
     }
@@ -101,49 +101,49 @@
     /// `begin` begins a request.
     pub fn begin(
         &mut self,
-        way: Way,
+        strategy: Strategy,
         now: Instant,
         turn: &Turn,
-        reports: &[u64],
-    ) -> (Course, Next) {
+        reported_loads: &[u64],
+    ) -> (RequestState, Next) {
         let chat = ChatKey(turn.chat);
         let prefix = turn.document.map(PrefixKey);
-        let id = hash64(turn.chat, &turn.prior.to_be_bytes());
+        let id = hash64(turn.chat, &turn.prior_tokens.to_be_bytes());
         let terms = Terms {
             id: RequestId(u128::from(id) << 64 | u128::from(turn.chat)),
             repeatable: true,
-            deadline: now + DEADLINE,
-            tries: TRIES,
+            deadline: now + REQUEST_DEADLINE,
+            tries: MAX_ATTEMPTS,
         };
-        if way == Way::Ours {
+        if strategy == Strategy::Peppercrank {
             let (trip, next) = self.routes.begin(now, chat, prefix, terms);
-            return (Course::Ours(trip), next);
+            return (RequestState::Peppercrank(trip), next);
         }
-        let mut sight = Sight {
-            live: &self.live,
-            reports,
-            turn: &mut self.turn,
+        let mut view = LoadView {
+            live_engines: &self.live,
+            reported_loads,
+            round_robin_index: &mut self.round_robin_index,
             rng: &mut self.rng,
         };
-        let targets = way.candidates(chat, prefix, &self.routes.ranking, &mut sight);
+        let targets = strategy.candidates(chat, prefix, &self.routes.ranking, &mut view);
         let mut request = Request::new(terms);
         let next = request.on(now, Event::Ranked(targets), &mut self.routes.retries);
-        (Course::Plain(request), next)
+        (RequestState::Baseline(request), next)
     }
 
     /// `on` takes in an event of a request.
-    pub fn on(&mut self, now: Instant, course: &mut Course, event: Event) -> Next {
-        match course {
-            Course::Ours(trip) => self.routes.on(now, trip, event),
-            Course::Plain(request) => request.on(now, event, &mut self.routes.retries),
+    pub fn handle(&mut self, now: Instant, state: &mut RequestState, event: Event) -> Next {
+        match state {
+            RequestState::Peppercrank(trip) => self.routes.on(now, trip, event),
+            RequestState::Baseline(request) => request.on(now, event, &mut self.routes.retries),
         }
     }
 
     /// `notes` is what is to be told of a request that was answered.
-    pub fn notes(&mut self, now: Instant, course: &Course) -> Vec<Addressed> {
-        match course {
-            Course::Ours(trip) => self.routes.notes(now, trip),
-            Course::Plain(_) => Vec::new(),
+    pub fn notes(&mut self, now: Instant, state: &RequestState) -> Vec<Addressed> {
+        match state {
+            RequestState::Peppercrank(trip) => self.routes.notes(now, trip),
+            RequestState::Baseline(_) => Vec::new(),
         }
     }
 }
--- a/crates/peppercrank-bench/src/shapes.rs
+++ b/crates/peppercrank-bench/src/shapes.rs
@@ -3,79 +3,82 @@
 
 //! The shapes of the traces that are reported.
 
-use crate::trace::Shape;
+use crate::trace::Workload;
 
 /// Long documents, the top one asked for by a fifth; chats mostly return within minutes.
-pub const AUTHORITIES: Shape = Shape {
+pub const AUTHORITIES: Workload = Workload {
     engines: 9,
     routers: 4,
-    seconds: 3_600,
-    warm: 1_200,
-    load: 0.8,
+    arrival_seconds: 3_600,
+    warm_up_seconds: 1_200,
+    target_load: 0.8,
     surge: None,
     documents: 2_000,
-    lead: 0.8,
-    pause: 120.0,
-    hours: 0.1,
-    memory: 300_000,
+    document_chat_share: 0.8,
+    mean_pause_seconds: 120.0,
+    long_pause_share: 0.1,
+    cache_tokens: 300_000,
 };
 
 /// Chats with few documents that return after minutes and hours to little memory.
-pub const RETURNING: Shape = Shape {
-    seconds: 7_200,
-    warm: 3_600,
+pub const RETURNING: Workload = Workload {
+    arrival_seconds: 7_200,
+    warm_up_seconds: 3_600,
     documents: 200,
-    lead: 0.2,
-    hours: 0.4,
-    memory: 150_000,
+    document_chat_share: 0.2,
+    long_pause_share: 0.4,
+    cache_tokens: 150_000,
     ..AUTHORITIES
 };
 
 /// Manifests; one organisation surges for two hours of the night.
-pub const NIGHT: Shape = Shape {
-    seconds: 7_200,
-    warm: 1_800,
-    load: 0.6,
+pub const NIGHT: Workload = Workload {
+    arrival_seconds: 7_200,
+    warm_up_seconds: 1_800,
+    target_load: 0.6,
     surge: Some((1_800, 7_200)),
     documents: 200,
-    lead: 0.5,
-    hours: 0.2,
+    document_chat_share: 0.5,
+    long_pause_share: 0.2,
     ..AUTHORITIES
 };
 
 /// Authorities through churn at the half, where eight engines can carry what nine did.
-pub const CHURN: Shape = Shape {
-    seconds: 2_400,
-    load: 0.6,
+pub const CHURN: Workload = Workload {
+    arrival_seconds: 2_400,
+    target_load: 0.6,
     ..AUTHORITIES
 };
 
 /// The same where they cannot.
-pub const FULL: Shape = Shape { load: 0.8, ..CHURN };
+pub const FULL: Workload = Workload {
+    target_load: 0.8,
+    ..CHURN
+};
 
 /// Authorities at the size of two years from now, for as long as is affordable.
-pub const LARGE: Shape = Shape {
+pub const LARGE: Workload = Workload {
     engines: 1_300,
     routers: 370,
-    seconds: 240,
-    warm: 120,
+    arrival_seconds: 240,
+    warm_up_seconds: 120,
     documents: 20_000,
-    pause: 30.0,
-    hours: 0.0,
+    mean_pause_seconds: 30.0,
+    long_pause_share: 0.0,
     ..AUTHORITIES
 };
 
 /// A short one for tests.
-pub const QUICK: Shape = Shape {
-    seconds: 900,
-    warm: 300,
-    pause: 60.0,
+pub const QUICK: Workload = Workload {
+    arrival_seconds: 900,
+    warm_up_seconds: 300,
+    mean_pause_seconds: 60.0,
     ..AUTHORITIES
 };
 
 /// A short one in which an organisation surges.
-pub const QUICK_NIGHT: Shape = Shape {
-    load: 0.6,
+pub const QUICK_NIGHT: Workload = Workload {
+    target_load: 0.6,
     surge: Some((300, 900)),
     ..QUICK
 };
--- a/crates/peppercrank-bench/src/surge/callers.rs
+++ b/crates/peppercrank-bench/src/surge/callers.rs
@@ -11,32 +11,32 @@
 
 /// `Class` is one kind of request.
 #[derive(Debug, Clone, Copy)]
-pub struct Class {
+pub struct RequestClass {
     /// Its name.
     pub name: &'static str,
     /// Requests a second, in all, outside of a surge.
     pub rate: f64,
     /// The time within which the first token is wanted.
-    pub goal: Duration,
+    pub first_token_goal: Duration,
     /// How long a caller waits for the whole answer.
     pub deadline: Duration,
     /// What an answer in time is worth.
-    pub worth: f64,
+    pub value: f64,
     /// What a late answer is worth.
-    pub late: f64,
+    pub late_value: f64,
     /// Prompts that requests share, and tokens of one.
-    pub shared: (u64, u64),
+    pub shared_prompts: (u64, u64),
     /// Mean tokens of a request's own prompt.
-    pub own: f64,
+    pub mean_own_tokens: f64,
     /// Mean tokens of an answer.
-    pub output: f64,
+    pub mean_output_tokens: f64,
 }
 
 /// `Outcome` is what became of a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// Not known yet.
-    Open,
+    Pending,
     /// Answered, the first token in time.
     InTime,
     /// Answered, the first token late.
@@ -44,7 +44,7 @@
     /// Refused, on its return too.
     Refused,
     /// Admitted, and not finished at its deadline.
-    Died,
+    Expired,
     /// Lost with the engine that ran it.
     Lost,
 }
@@ -55,34 +55,39 @@
     /// The place of its class, which is its rank too.
     pub class: usize,
     /// When it called first.
-    pub begun: Instant,
+    pub first_call: Instant,
     /// Tokens of its own prompt.
-    pub own: u64,
+    pub own_tokens: u64,
     /// Tokens of its answer.
-    pub output: u64,
+    pub output_tokens: u64,
     /// The shared prompt that goes before its own.
-    pub shared: u64,
+    pub shared_prompt: u64,
     /// Whether it was refused and came back.
-    pub returned: bool,
+    pub has_retried: bool,
     /// When the first token came.
-    pub first: Option<Instant>,
+    pub first_token_at: Option<Instant>,
     /// What became of it.
     pub outcome: Outcome,
 }
 
 impl Caller {
     /// `draw` is a caller of a class.
-    pub fn draw(rng: &mut ChaCha8Rng, class: usize, of: &Class, begun: Instant) -> Self {
+    pub fn draw(
+        rng: &mut ChaCha8Rng,
+        class: usize,
+        of: &RequestClass,
+        first_call: Instant,
+    ) -> Self {
         let kind = class as u64 * 1_000_000;
         Self {
             class,
-            begun,
-            own: spread(rng, of.own),
-            output: spread(rng, of.output),
-            shared: kind + rng.random_range(0..of.shared.0.max(1)),
-            returned: false,
-            first: None,
-            outcome: Outcome::Open,
+            first_call,
+            own_tokens: heavy_tailed(rng, of.mean_own_tokens),
+            output_tokens: heavy_tailed(rng, of.mean_output_tokens),
+            shared_prompt: kind + rng.random_range(0..of.shared_prompts.0.max(1)),
+            has_retried: false,
+            first_token_at: None,
+            outcome: Outcome::Pending,
         }
     }
 
@@ -91,12 +96,12 @@
     pub const fn size(&self) -> u64 {
         /// Tokens of a prompt that one token of an answer weighs.
         const OUTPUT_WEIGHT: u64 = 10;
-        self.own + self.output * OUTPUT_WEIGHT
+        self.own_tokens + self.output_tokens * OUTPUT_WEIGHT
     }
 }
 
 /// A heavy-tailed number: half of it from a few large ones.
-fn spread(rng: &mut ChaCha8Rng, mean: f64) -> u64 {
+fn heavy_tailed(rng: &mut ChaCha8Rng, mean: f64) -> u64 {
     let even: f64 = rng.random_range(0.01..1.0);
     // Its mean over the range above is one.
     let factor = even.powf(-0.5) * 0.55;
@@ -107,7 +112,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Summary {
     /// Callers.
-    pub asked: u32,
+    pub total: u32,
     /// Answered in time.
     pub in_time: u32,
     /// Answered late.
@@ -115,31 +120,31 @@
     /// Refused, on their return too.
     pub refused: u32,
     /// Not finished at their deadline.
-    pub died: u32,
+    pub expired: u32,
     /// Lost with an engine.
     pub lost: u32,
     /// What they earned.
-    pub earned: f64,
+    pub earned_value: f64,
     /// What they would have earned if all were in time.
-    pub owed: f64,
+    pub max_value: f64,
 }
 
 impl Summary {
     /// `add` counts a caller.
-    pub fn add(&mut self, caller: &Caller, class: &Class) {
-        self.asked += 1;
-        self.owed += class.worth;
+    pub fn add(&mut self, caller: &Caller, class: &RequestClass) {
+        self.total += 1;
+        self.max_value += class.value;
         match caller.outcome {
             Outcome::InTime => {
                 self.in_time += 1;
-                self.earned += class.worth;
+                self.earned_value += class.value;
             }
             Outcome::Late => {
                 self.late += 1;
-                self.earned += class.late;
+                self.earned_value += class.late_value;
             }
             Outcome::Refused => self.refused += 1,
-            Outcome::Died | Outcome::Open => self.died += 1,
+            Outcome::Expired | Outcome::Pending => self.expired += 1,
             Outcome::Lost => self.lost += 1,
         }
     }
@@ -147,6 +152,6 @@
     /// `served` is the share that got an answer.
     #[must_use]
     pub fn served(&self) -> f64 {
-        f64::from(self.in_time + self.late) / f64::from(self.asked.max(1))
+        f64::from(self.in_time + self.late) / f64::from(self.total.max(1))
     }
 }
--- a/crates/peppercrank-bench/src/surge/engine.rs
+++ b/crates/peppercrank-bench/src/surge/engine.rs
@@ -8,51 +8,51 @@
 
 /// `Speed` is how fast an engine works.
 #[derive(Debug, Clone, Copy)]
-pub struct Speed {
+pub struct EngineSpeed {
     /// Requests that it runs at once.
     pub slots: u32,
     /// Time of a step of an empty batch, in milliseconds.
-    pub step: f64,
+    pub step_ms: f64,
     /// Time that each running request adds to a step, in milliseconds.
-    pub place: f64,
+    pub per_request_ms: f64,
     /// Prompt tokens that it reads in a millisecond.
-    pub read: f64,
+    pub prefill_tokens_per_ms: f64,
     /// Prompt tokens that it reads in one step at most.
-    pub chunk: u64,
+    pub prefill_chunk_tokens: u64,
 }
 
 /// `Run` is one request at an engine.
 #[derive(Debug, Clone, Copy)]
-pub struct Run {
+pub struct EngineRequest {
     /// The number of its flight.
-    pub flight: usize,
+    pub attempt: usize,
     /// Its place among the ranks; 0 is the most urgent.
     pub rank: u8,
     /// Prompt tokens that it has yet to read.
-    pub unread: u64,
+    pub unread_tokens: u64,
     /// Tokens of its answer that it has yet to write.
-    pub output: u64,
+    pub output_left: u64,
     /// Whether its answer has begun.
-    pub begun: bool,
+    pub has_started: bool,
 }
 
 /// `Made` is what a step made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Made {
+pub enum StepOutput {
     /// The first token of a flight's answer.
-    First(usize),
+    FirstToken(usize),
     /// The last token of a flight's answer.
-    Last(usize),
+    LastToken(usize),
 }
 
 /// `Engine` is one engine.
 #[derive(Debug)]
 pub struct Engine {
-    speed: Speed,
-    waiting: Vec<Run>,
-    running: Vec<Run>,
+    speed: EngineSpeed,
+    waiting: Vec<EngineRequest>,
+    running: Vec<EngineRequest>,
     /// The shared prompts that it holds.
-    pub held: HashSet<u64>,
+    pub cached_prompts: HashSet<u64>,
     /// Whether it works.
     pub up: bool,
     /// Whether a step is going on.
@@ -64,12 +64,12 @@
 impl Engine {
     /// `new` is an engine that holds nothing.
     #[must_use]
-    pub fn new(speed: Speed) -> Self {
+    pub fn new(speed: EngineSpeed) -> Self {
         Self {
             speed,
             waiting: Vec::new(),
             running: Vec::new(),
-            held: HashSet::new(),
+            cached_prompts: HashSet::new(),
             up: true,
             busy: false,
             incarnation: 0,
@@ -84,14 +84,14 @@
     }
 
     /// `arrive` takes a request in.
-    pub fn arrive(&mut self, run: Run) {
+    pub fn arrive(&mut self, run: EngineRequest) {
         self.waiting.push(run);
     }
 
     /// `cancel` drops a request whose caller has left.
     pub fn cancel(&mut self, flight: usize) {
-        self.waiting.retain(|r| r.flight != flight);
-        self.running.retain(|r| r.flight != flight);
+        self.waiting.retain(|r| r.attempt != flight);
+        self.running.retain(|r| r.attempt != flight);
     }
 
     /// `crash` drops all, and lists the flights that were lost.
@@ -99,21 +99,23 @@
         self.up = false;
         self.busy = false;
         self.incarnation += 1;
-        self.held.clear();
+        self.cached_prompts.clear();
         let lost = self.waiting.drain(..).chain(self.running.drain(..));
-        lost.map(|r| r.flight).collect()
+        lost.map(|r| r.attempt).collect()
     }
 
     /// `step` begins a step, if there is work: its time in milliseconds, and what it makes.
-    pub fn step(&mut self) -> Option<(f64, Vec<Made>)> {
+    pub fn begin_step(&mut self) -> Option<(f64, Vec<StepOutput>)> {
         self.admit();
         if self.running.is_empty() {
             return None;
         }
-        let read = self.read();
+        let read = self.prefill();
         let batch = f64::from(u32::try_from(self.running.len()).unwrap_or(u32::MAX));
-        let time = self.speed.step + self.speed.place * batch + read as f64 / self.speed.read;
-        Some((time, self.write()))
+        let time = self.speed.step_ms
+            + self.speed.per_request_ms * batch
+            + read as f64 / self.speed.prefill_tokens_per_ms;
+        Some((time, self.decode()))
     }
 
     /// Fills free places, the most urgent first.
@@ -126,30 +128,31 @@
     }
 
     /// Reads a chunk of prompts, and tells how many tokens.
-    fn read(&mut self) -> u64 {
-        let mut left = self.speed.chunk;
+    fn prefill(&mut self) -> u64 {
+        let mut left = self.speed.prefill_chunk_tokens;
         for run in &mut self.running {
-            let read = run.unread.min(left);
-            run.unread -= read;
+            let read = run.unread_tokens.min(left);
+            run.unread_tokens -= read;
             left -= read;
         }
-        self.speed.chunk - left
+        self.speed.prefill_chunk_tokens - left
     }
 
     /// Writes one token of each answer whose prompt is read.
-    fn write(&mut self) -> Vec<Made> {
+    fn decode(&mut self) -> Vec<StepOutput> {
         let mut made = Vec::new();
-        for run in self.running.iter_mut().filter(|r| r.unread == 0) {
-            if !run.begun {
-                run.begun = true;
-                made.push(Made::First(run.flight));
+        for run in self.running.iter_mut().filter(|r| r.unread_tokens == 0) {
+            if !run.has_started {
+                run.has_started = true;
+                made.push(StepOutput::FirstToken(run.attempt));
             }
-            run.output = run.output.saturating_sub(1);
-            if run.output == 0 {
-                made.push(Made::Last(run.flight));
+            run.output_left = run.output_left.saturating_sub(1);
+            if run.output_left == 0 {
+                made.push(StepOutput::LastToken(run.attempt));
             }
         }
-        self.running.retain(|r| r.unread > 0 || r.output > 0);
+        self.running
+            .retain(|r| r.unread_tokens > 0 || r.output_left > 0);
         made
     }
 }
--- a/crates/peppercrank-bench/src/surge/fleet.rs
+++ b/crates/peppercrank-bench/src/surge/fleet.rs
@@ -25,140 +25,143 @@
 use crate::surge::Caller;
 use crate::surge::Engine;
 use crate::surge::Outcome;
-use crate::surge::Scene;
+use crate::surge::Scenario;
 use crate::surge::Summary;
-use crate::surge::engine::Made;
-use crate::surge::engine::Run;
+use crate::surge::engine::EngineRequest;
+use crate::surge::engine::StepOutput;
 use crate::surge::router::Router;
-use crate::surge::router::View;
+use crate::surge::router::RouterView;
 
 /// `What` happens at a moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum FleetEvent {
     Arrive(usize),
-    Return(usize),
-    Stepped(usize, u32),
+    Retry(usize),
+    StepDone(usize, u32),
     Deadline(usize),
-    Tell(usize),
-    Pass(usize),
-    Lose,
-    Regain,
+    ShareWork(usize),
+    RelayReports(usize),
+    OutageStart,
+    OutageEnd,
 }
 
 /// One attempt on its way.
 #[derive(Debug, Clone, Copy)]
-struct Flight {
+struct ActiveAttempt {
     caller: usize,
     router: usize,
     engine: usize,
-    counted: InFlight,
-    open: bool,
+    in_flight: InFlight,
+    is_open: bool,
 }
 
 /// What was sent in one second.
 #[derive(Debug, Clone, Copy, Default)]
-struct Sent {
-    all: u32,
+struct SentCounts {
+    total: u32,
     /// Requests whose engine held over twice the mean and three.
-    over: u32,
+    overloaded: u32,
 }
 
 /// `Fleet` plays a scene.
 #[derive(Debug)]
 pub struct Fleet {
-    scene: Scene,
+    scenario: Scenario,
     rng: ChaCha8Rng,
     now: Instant,
-    queue: BinaryHeap<Reverse<(Instant, u64, What)>>,
+    queue: BinaryHeap<Reverse<(Instant, u64, FleetEvent)>>,
     /// Events so far, which orders those of one moment.
-    count: u64,
+    event_count: u64,
     keys: Vec<TargetKey>,
     engines: Vec<Engine>,
-    made: Vec<Vec<Made>>,
+    step_outputs: Vec<Vec<StepOutput>>,
     routers: Vec<Router>,
-    flights: Vec<Flight>,
-    told: Instant,
+    attempts: Vec<ActiveAttempt>,
+    last_shared: Instant,
     /// What each router told last of its work on each engine.
-    work: Vec<Vec<PeerWork>>,
+    router_work: Vec<Vec<PeerWork>>,
     /// The callers, in the order of their coming.
     pub callers: Vec<Caller>,
     /// What was sent in each second.
-    sent: Vec<Sent>,
+    sent: Vec<SentCounts>,
     /// Returns after a refusal, and those of them that were refused again.
-    pub returns: (u32, u32),
+    pub retries: (u32, u32),
 }
 
 impl Fleet {
     /// `play` plays a scene to its end.
     #[must_use]
-    pub fn play(scene: &Scene) -> Self {
-        let mut fleet = Self::new(scene);
+    pub fn simulate(scenario: &Scenario) -> Self {
+        let mut fleet = Self::new(scenario);
         fleet.run();
         fleet
     }
 
-    fn new(scene: &Scene) -> Self {
-        let keys = keys(scene);
-        let engines = keys.iter().map(|_| Engine::new(scene.speed));
+    fn new(scenario: &Scenario) -> Self {
+        let keys = keys(scenario);
+        let engines = keys.iter().map(|_| Engine::new(scenario.speed));
         Self {
-            rng: ChaCha8Rng::seed_from_u64(scene.seed),
+            rng: ChaCha8Rng::seed_from_u64(scenario.seed),
             now: Instant::ZERO,
             queue: BinaryHeap::new(),
-            count: 0,
+            event_count: 0,
             engines: engines.collect(),
-            made: vec![Vec::new(); keys.len()],
+            step_outputs: vec![Vec::new(); keys.len()],
             keys,
-            routers: (0..scene.routers).map(|_| Router::default()).collect(),
-            flights: Vec::new(),
-            told: Instant::ZERO,
-            work: vec![vec![PeerWork::default(); scene.engines]; scene.routers],
+            routers: (0..scenario.routers).map(|_| Router::default()).collect(),
+            attempts: Vec::new(),
+            last_shared: Instant::ZERO,
+            router_work: vec![vec![PeerWork::default(); scenario.engines]; scenario.routers],
             callers: Vec::new(),
             sent: Vec::new(),
-            returns: (0, 0),
-            scene: scene.clone(),
+            retries: (0, 0),
+            scenario: scenario.clone(),
         }
     }
 
     fn run(&mut self) {
-        for class in 0..self.scene.classes.len() {
-            self.at(Duration::ZERO, What::Arrive(class));
+        for class in 0..self.scenario.classes.len() {
+            self.schedule(Duration::ZERO, FleetEvent::Arrive(class));
         }
         for router in 0..self.routers.len() {
             let part = router as f64 / self.routers.len() as f64;
-            self.at(self.scene.lag.mul_f64(part), What::Tell(router));
-            if let Some(pause) = self.scene.passing {
-                self.at(pause.mul_f64(part), What::Pass(router));
+            self.schedule(
+                self.scenario.share_interval.mul_f64(part),
+                FleetEvent::ShareWork(router),
+            );
+            if let Some(pause) = self.scenario.relay_interval {
+                self.schedule(pause.mul_f64(part), FleetEvent::RelayReports(router));
             }
         }
-        if let Some((from, to, _)) = self.scene.outage {
-            self.at(from, What::Lose);
-            self.at(to, What::Regain);
+        if let Some((from, to, _)) = self.scenario.outage {
+            self.schedule(from, FleetEvent::OutageStart);
+            self.schedule(to, FleetEvent::OutageEnd);
         }
         while let Some(Reverse((now, _, what))) = self.queue.pop() {
             self.now = now;
-            self.happen(what);
+            self.handle(what);
         }
     }
 
-    fn at(&mut self, after: Duration, what: What) {
-        self.count += 1;
+    fn schedule(&mut self, after: Duration, what: FleetEvent) {
+        self.event_count += 1;
         let at = self.now + after;
-        self.queue.push(Reverse((at, self.count, what)));
+        self.queue.push(Reverse((at, self.event_count, what)));
     }
 
-    fn happen(&mut self, what: What) {
+    fn handle(&mut self, what: FleetEvent) {
         match what {
-            What::Arrive(class) => self.arrive(class),
-            What::Return(caller) => {
-                self.returns.0 += 1;
+            FleetEvent::Arrive(class) => self.arrive(class),
+            FleetEvent::Retry(caller) => {
+                self.retries.0 += 1;
                 self.call(caller);
             }
-            What::Stepped(engine, incarnation) => self.stepped(engine, incarnation),
-            What::Deadline(flight) => self.expire(flight),
-            What::Tell(router) => self.tell(router),
-            What::Pass(router) => self.pass_on(router),
-            What::Lose => self.lose(),
-            What::Regain => {
+            FleetEvent::StepDone(engine, incarnation) => self.finish_step(engine, incarnation),
+            FleetEvent::Deadline(flight) => self.expire(flight),
+            FleetEvent::ShareWork(router) => self.share_work(router),
+            FleetEvent::RelayReports(router) => self.relay_reports(router),
+            FleetEvent::OutageStart => self.fail_engines(),
+            FleetEvent::OutageEnd => {
                 for engine in &mut self.engines {
                     engine.up = true;
                 }
@@ -168,20 +171,20 @@
 
     /// A caller comes, and the next of its class is drawn.
     fn arrive(&mut self, class: usize) {
-        let of = self.scene.classes[class];
+        let of = self.scenario.classes[class];
         let since = self.now.since_origin();
-        if since > self.scene.length {
+        if since > self.scenario.duration {
             return;
         }
-        let (from, to) = self.scene.surge;
+        let (from, to) = self.scenario.surge;
         let times = if since >= from && since < to {
-            self.scene.times
+            self.scenario.surge_factor
         } else {
             1.0
         };
         let even: f64 = self.rng.random_range(f64::EPSILON..1.0);
         let pause = -even.ln() / (of.rate * times);
-        self.at(Duration::from_secs_f64(pause), What::Arrive(class));
+        self.schedule(Duration::from_secs_f64(pause), FleetEvent::Arrive(class));
         let caller = Caller::draw(&mut self.rng, class, &of, self.now);
         self.callers.push(caller);
         self.call(self.callers.len() - 1);
@@ -190,10 +193,10 @@
     /// A caller calls a router, which decides.
     fn call(&mut self, caller: usize) {
         let router = self.rng.random_range(0..self.routers.len());
-        let of = self.scene.classes[self.callers[caller].class];
+        let of = self.scenario.classes[self.callers[caller].class];
         let left = of
             .deadline
-            .saturating_sub(self.now.since(self.callers[caller].begun));
+            .saturating_sub(self.now.since(self.callers[caller].first_call));
         let decision = self.decide(caller, router, left);
         match decision {
             Decision::Send(choice) => self.send(caller, router, choice, left),
@@ -209,12 +212,12 @@
         let up = self.keys.iter().zip(&self.engines);
         let up = up.map(|(key, engine)| (*key, engine.up));
         let up = up.collect::<Vec<_>>();
-        let view = View {
+        let view = RouterView {
             now: self.now,
-            scene: &self.scene,
+            scenario: &self.scenario,
             engines: &up,
-            lag: self.now.since(self.told),
-            age: self.scene.lag / 2,
+            since_shared: self.now.since(self.last_shared),
+            mean_age: self.scenario.share_interval / 2,
         };
         self.routers[router].decide(&view, caller as u64, &asked, left)
     }
@@ -223,115 +226,117 @@
         let Some(engine) = self.keys.iter().position(|k| *k == choice.key) else {
             return;
         };
-        self.note_load(engine);
+        self.record_load(engine);
         let load = self.engines[engine].load();
-        if load >= self.scene.room {
-            self.routers[router].refused(self.now, choice, load);
+        if load >= self.scenario.max_requests {
+            self.routers[router].record_refusal(self.now, choice, load);
             self.refuse(caller, MIN_RETRY_AFTER.min(left / 3));
             return;
         }
         let asked = self.callers[caller];
-        let shared = self.scene.classes[asked.class].shared.1;
-        let flight = self.flights.len();
-        self.flights.push(Flight {
+        let shared = self.scenario.classes[asked.class].shared_prompts.1;
+        let flight = self.attempts.len();
+        self.attempts.push(ActiveAttempt {
             caller,
             router,
             engine,
-            counted: self.routers[router].send(self.now, choice, asked.shared),
-            open: true,
+            in_flight: self.routers[router].record_send(self.now, choice, asked.shared_prompt),
+            is_open: true,
         });
         let copied = choice
             .copy
-            .is_some_and(|(from, _)| self.holds(from, asked.shared));
-        let missing = self.engines[engine].held.insert(asked.shared);
+            .is_some_and(|(from, _)| self.holds(from, asked.shared_prompt));
+        let missing = self.engines[engine]
+            .cached_prompts
+            .insert(asked.shared_prompt);
         let unread = if missing && !copied { shared } else { 0 };
-        self.engines[engine].arrive(Run {
-            flight,
+        self.engines[engine].arrive(EngineRequest {
+            attempt: flight,
             rank: u8::try_from(asked.class).unwrap_or(u8::MAX),
-            unread: asked.own + unread,
-            output: asked.output,
-            begun: false,
+            unread_tokens: asked.own_tokens + unread,
+            output_left: asked.output_tokens,
+            has_started: false,
         });
-        self.at(left, What::Deadline(flight));
-        self.begin(engine);
+        self.schedule(left, FleetEvent::Deadline(flight));
+        self.begin_step(engine);
     }
 
     /// Counts a request that is sent to an engine, and whether that holds too much.
-    fn note_load(&mut self, engine: usize) {
+    fn record_load(&mut self, engine: usize) {
         let loads = self.engines.iter().map(|e| f64::from(e.load()));
         let mean = loads.sum::<f64>() / self.engines.len() as f64;
         let over = f64::from(self.engines[engine].load()) > 2.0 * mean + 3.0;
         let second = usize::try_from(self.now.since_origin().as_secs()).unwrap_or(usize::MAX);
         if self.sent.len() <= second {
-            self.sent.resize(second + 1, Sent::default());
+            self.sent.resize(second + 1, SentCounts::default());
         }
-        self.sent[second].all += 1;
-        self.sent[second].over += u32::from(over);
+        self.sent[second].total += 1;
+        self.sent[second].overloaded += u32::from(over);
     }
 
     fn holds(&self, key: TargetKey, shared: u64) -> bool {
         let engine = self.keys.iter().position(|k| *k == key);
-        engine.is_some_and(|e| self.engines[e].held.contains(&shared))
+        engine.is_some_and(|e| self.engines[e].cached_prompts.contains(&shared))
     }
 
     fn refuse(&mut self, caller: usize, after: Duration) {
         let asked = &mut self.callers[caller];
-        if asked.returned {
+        if asked.has_retried {
             asked.outcome = Outcome::Refused;
-            self.returns.1 += 1;
+            self.retries.1 += 1;
             return;
         }
-        asked.returned = true;
-        self.at(after, What::Return(caller));
+        asked.has_retried = true;
+        self.schedule(after, FleetEvent::Retry(caller));
     }
 
     /// Begins an engine's next step, if none goes on.
-    fn begin(&mut self, engine: usize) {
+    fn begin_step(&mut self, engine: usize) {
         let working = &mut self.engines[engine];
         if working.busy || !working.up {
             return;
         }
-        let Some((time, made)) = working.step() else {
+        let Some((time, made)) = working.begin_step() else {
             return;
         };
         working.busy = true;
         let incarnation = working.incarnation;
-        self.made[engine] = made;
+        self.step_outputs[engine] = made;
         let after = Duration::from_secs_f64(time / 1_000.0);
-        self.at(after, What::Stepped(engine, incarnation));
+        self.schedule(after, FleetEvent::StepDone(engine, incarnation));
     }
 
-    fn stepped(&mut self, engine: usize, incarnation: u32) {
+    fn finish_step(&mut self, engine: usize, incarnation: u32) {
         if self.engines[engine].incarnation != incarnation {
             return;
         }
         self.engines[engine].busy = false;
-        for made in std::mem::take(&mut self.made[engine]) {
+        for made in std::mem::take(&mut self.step_outputs[engine]) {
             match made {
-                Made::First(flight) => self.first(flight),
-                Made::Last(flight) => self.last(flight),
+                StepOutput::FirstToken(flight) => self.first_token(flight),
+                StepOutput::LastToken(flight) => self.last_token(flight),
             }
         }
-        self.begin(engine);
+        self.begin_step(engine);
     }
 
-    fn first(&mut self, flight: usize) {
-        let flight = &mut self.flights[flight];
-        if !flight.open {
+    fn first_token(&mut self, flight: usize) {
+        let flight = &mut self.attempts[flight];
+        if !flight.is_open {
             return;
         }
-        self.callers[flight.caller].first = Some(self.now);
+        self.callers[flight.caller].first_token_at = Some(self.now);
         let load = self.engines[flight.engine].load();
-        self.routers[flight.router].first(self.now, &mut flight.counted, load);
+        self.routers[flight.router].record_first_token(self.now, &mut flight.in_flight, load);
     }
 
-    fn last(&mut self, flight: usize) {
-        if !self.flights[flight].open {
+    fn last_token(&mut self, flight: usize) {
+        if !self.attempts[flight].is_open {
             return;
         }
-        let asked = &mut self.callers[self.flights[flight].caller];
-        let goal = self.scene.classes[asked.class].goal;
-        let first = asked.first.map(|at| at.since(asked.begun));
+        let asked = &mut self.callers[self.attempts[flight].caller];
+        let goal = self.scenario.classes[asked.class].first_token_goal;
+        let first = asked.first_token_at.map(|at| at.since(asked.first_call));
         asked.outcome = match first {
             Some(first) if first <= goal => Outcome::InTime,
             _ => Outcome::Late,
@@ -340,77 +345,85 @@
     }
 
     fn expire(&mut self, flight: usize) {
-        if !self.flights[flight].open {
+        if !self.attempts[flight].is_open {
             return;
         }
-        let Flight { caller, engine, .. } = self.flights[flight];
-        self.callers[caller].outcome = Outcome::Died;
+        let ActiveAttempt { caller, engine, .. } = self.attempts[flight];
+        self.callers[caller].outcome = Outcome::Expired;
         self.engines[engine].cancel(flight);
         self.end(flight);
     }
 
     fn end(&mut self, flight: usize) {
-        let flight = &mut self.flights[flight];
-        flight.open = false;
-        self.routers[flight.router].end(self.now, &mut flight.counted);
+        let flight = &mut self.attempts[flight];
+        flight.is_open = false;
+        self.routers[flight.router].record_end(self.now, &mut flight.in_flight);
     }
 
     /// A router tells the others its work and news.
-    fn tell(&mut self, router: usize) {
+    fn share_work(&mut self, router: usize) {
         for (engine, key) in self.keys.iter().enumerate() {
-            self.work[router][engine] = self.routers[router].work(*key);
-            let running = self.work.iter().map(|w| w[engine].in_flight).sum::<u64>();
+            self.router_work[router][engine] = self.routers[router].own_work(*key);
+            let running = self
+                .router_work
+                .iter()
+                .map(|w| w[engine].in_flight)
+                .sum::<u64>();
             let reading = self
-                .work
+                .router_work
                 .iter()
                 .map(|w| w[engine].prefill_tokens)
                 .sum::<u64>();
-            for (router, own) in self.routers.iter_mut().zip(&self.work) {
+            for (router, own) in self.routers.iter_mut().zip(&self.router_work) {
                 let others = PeerWork {
                     in_flight: running - own[engine].in_flight,
                     prefill_tokens: reading - own[engine].prefill_tokens,
                 };
-                router.hear(*key, others);
+                router.set_peer_work(*key, others);
             }
         }
-        let news = self.routers[router].news();
+        let news = self.routers[router].take_unshared_prompts();
         for router in &mut self.routers {
-            router.learn(self.now, &news);
+            router.record_peer_prompts(self.now, &news);
         }
-        self.told = self.now;
-        if self.goes_on() {
-            self.at(self.scene.lag, What::Tell(router));
+        self.last_shared = self.now;
+        if self.has_pending_work() {
+            self.schedule(self.scenario.share_interval, FleetEvent::ShareWork(router));
         }
     }
 
     /// A router passes load reports on to another one.
-    fn pass_on(&mut self, router: usize) {
-        let reports = self.routers[router].reports(self.now, &self.keys);
+    fn relay_reports(&mut self, router: usize) {
+        let reports = self.routers[router].load_reports(self.now, &self.keys);
         let to = self.rng.random_range(0..self.routers.len());
-        self.routers[to].relayed(self.now, &self.keys, &reports);
-        if let Some(pause) = self.scene.passing.filter(|_| self.goes_on()) {
-            self.at(pause, What::Pass(router));
+        self.routers[to].apply_relayed_reports(self.now, &self.keys, &reports);
+        if let Some(pause) = self
+            .scenario
+            .relay_interval
+            .filter(|_| self.has_pending_work())
+        {
+            self.schedule(pause, FleetEvent::RelayReports(router));
         }
     }
 
     /// Whether callers come or wait.
-    fn goes_on(&self) -> bool {
-        self.now.since_origin() < self.scene.length || self.flights.iter().any(|f| f.open)
+    fn has_pending_work(&self) -> bool {
+        self.now.since_origin() < self.scenario.duration || self.attempts.iter().any(|f| f.is_open)
     }
 
-    fn lose(&mut self) {
-        let Some((_, _, count)) = self.scene.outage else {
+    fn fail_engines(&mut self) {
+        let Some((_, _, count)) = self.scenario.outage else {
             return;
         };
         for engine in 0..count.min(self.engines.len()) {
             for flight in self.engines[engine].crash() {
-                let caller = self.flights[flight].caller;
+                let caller = self.attempts[flight].caller;
                 self.callers[caller].outcome = Outcome::Lost;
                 self.end(flight);
             }
             let key = self.keys[engine];
             for router in &mut self.routers {
-                router.forget(key);
+                router.remove_engine(key);
             }
         }
     }
@@ -418,11 +431,11 @@
     /// `worst` is the greatest share of requests that reached an engine which held over twice the mean and three, in any
     /// so many whole seconds after the first ones, in which routers know nothing yet.
     #[must_use]
-    pub fn worst(&self, first: usize, seconds: usize) -> f64 {
+    pub fn worst_overload_share(&self, first: usize, seconds: usize) -> f64 {
         let sent = self.sent.get(first..).unwrap_or_default();
-        let share = |window: &[Sent]| {
-            let all = window.iter().map(|s| s.all).sum::<u32>();
-            let over = window.iter().map(|s| s.over).sum::<u32>();
+        let share = |window: &[SentCounts]| {
+            let all = window.iter().map(|s| s.total).sum::<u32>();
+            let over = window.iter().map(|s| s.overloaded).sum::<u32>();
             f64::from(over) / f64::from(all.max(1))
         };
         sent.windows(seconds).map(share).fold(0.0, f64::max)
@@ -431,11 +444,11 @@
     /// `summaries` are what the callers of each class got that came in this time.
     #[must_use]
     pub fn summaries(&self, from: Duration, to: Duration) -> Vec<Summary> {
-        let mut all = vec![Summary::default(); self.scene.classes.len()];
+        let mut all = vec![Summary::default(); self.scenario.classes.len()];
         for caller in &self.callers {
-            let came = caller.begun.since_origin();
+            let came = caller.first_call.since_origin();
             if came >= from && came < to {
-                all[caller.class].add(caller, &self.scene.classes[caller.class]);
+                all[caller.class].add(caller, &self.scenario.classes[caller.class]);
             }
         }
         all
@@ -443,23 +456,23 @@
 
     /// `earned` is what all callers earned.
     #[must_use]
-    pub fn earned(&self) -> f64 {
+    pub fn earned_value(&self) -> f64 {
         let all = self.summaries(Duration::ZERO, Duration::MAX);
-        all.iter().map(|s| s.earned).sum()
+        all.iter().map(|s| s.earned_value).sum()
     }
 }
 
 /// A key for each engine.
-fn keys(scene: &Scene) -> Vec<TargetKey> {
+fn keys(scenario: &Scenario) -> Vec<TargetKey> {
     let mut directory = Directory::default();
-    for n in 0..scene.engines {
+    for n in 0..scenario.engines {
         let entry = Registration {
             instance: format!("engine-{n}").into(),
             start: Start::default(),
             pool: "pool".into(),
             address: ([127, 0, 0, 1], 1).into(),
             zone: "zone".into(),
-            slots: scene.speed.slots,
+            slots: scenario.speed.slots,
             leaving: false,
             cold_for: Duration::ZERO,
         };
--- a/crates/peppercrank-bench/src/surge/mod.rs
+++ b/crates/peppercrank-bench/src/surge/mod.rs
@@ -15,10 +15,10 @@
 pub mod scenes;
 
 pub use callers::Caller;
-pub use callers::Class;
 pub use callers::Outcome;
+pub use callers::RequestClass;
 pub use callers::Summary;
 pub use engine::Engine;
-pub use engine::Speed;
+pub use engine::EngineSpeed;
 pub use fleet::Fleet;
-pub use scenes::Scene;
+pub use scenes::Scenario;
--- a/crates/peppercrank-bench/src/surge/router.rs
+++ b/crates/peppercrank-bench/src/surge/router.rs
@@ -27,68 +27,68 @@
 use peppercrank_direct::stats::StatsMap;
 
 use crate::surge::Caller;
-use crate::surge::Class;
-use crate::surge::Scene;
+use crate::surge::RequestClass;
+use crate::surge::Scenario;
 
 /// Multiple of the mean load that an engine may hold, as the gateway's settings have it.
-const CAP: f64 = 2.0;
+const CAP_FACTOR: f64 = 2.0;
 
 /// `View` is what a router sees of its surroundings at one moment.
 #[derive(Debug, Clone, Copy)]
-pub struct View<'a> {
+pub struct RouterView<'a> {
     /// The moment.
     pub now: Instant,
     /// What is played.
-    pub scene: &'a Scene,
+    pub scenario: &'a Scenario,
     /// The engines, and which of them are up.
     pub engines: &'a [(TargetKey, bool)],
     /// Time since a router told of its work.
-    pub lag: Duration,
+    pub since_shared: Duration,
     /// How old what routers told of their work is on average.
-    pub age: Duration,
+    pub mean_age: Duration,
 }
 
 /// `Router` is what one router knows.
 #[derive(Debug, Default)]
 pub struct Router {
-    board: StatsMap,
+    stats: StatsMap,
     rates: Rates,
     admission: Admission,
     prefixes: PrefixIndex,
     /// Prompts sent since the others were told.
-    news: Vec<(TargetKey, u64)>,
+    unshared_prompts: Vec<(TargetKey, u64)>,
 }
 
 impl Router {
     /// `decide` decides about a call of a caller that waits for so much longer.
     pub fn decide(
         &mut self,
-        view: &View<'_>,
+        view: &RouterView<'_>,
         id: u64,
         caller: &Caller,
         left: Duration,
     ) -> Decision {
-        let classes = &view.scene.classes;
+        let classes = &view.scenario.classes;
         let of = classes[caller.class];
-        let parts = [part(caller, &of)];
+        let parts = [prompt_part(caller, &of)];
         let candidates = self.candidates(view, &parts);
-        let goals = classes.iter().map(|c| c.goal);
+        let goals = classes.iter().map(|c| c.first_token_goal);
         let attempt = Attempt {
             rank: rank(caller.class, classes),
-            pool_goal: goals.min().unwrap_or(of.goal),
+            pool_goal: goals.min().unwrap_or(of.first_token_goal),
             time_left: left,
             is_first: true,
         };
         let request = PlacementRequest {
             policy: Policy::Cost,
             id_hash: id,
-            home_hash: caller.shared,
-            latency_goal: of.goal,
-            cap_factor: CAP,
-            prompt_tokens: parts[0].tokens + caller.own,
+            home_hash: caller.shared_prompt,
+            latency_goal: of.first_token_goal,
+            cap_factor: CAP_FACTOR,
+            prompt_tokens: parts[0].tokens + caller.own_tokens,
             shared_tokens: parts[0].tokens,
             size: parts[0].tokens + caller.size(),
-            copy_rate: Some(view.scene.copying),
+            copy_rate: Some(view.scenario.copy_tokens_per_ms),
         };
         decide(
             view.now,
@@ -101,57 +101,57 @@
         )
     }
 
-    fn candidates(&self, view: &View<'_>, parts: &[PromptPart]) -> Vec<Candidate> {
+    fn candidates(&self, view: &RouterView<'_>, parts: &[PromptPart]) -> Vec<Candidate> {
         let up = view.engines.iter().enumerate();
         let up = up.filter(|(_, (_, up))| *up);
         let see = |(n, (key, _)): (usize, &(TargetKey, bool))| Candidate {
             key: *key,
             placement_id: u32::try_from(n).unwrap_or(u32::MAX),
-            slots: view.scene.speed.slots,
+            slots: view.scenario.speed.slots,
             same_zone: true,
             held_tokens: self.prefixes.held_tokens(*key, parts),
             recently_joined: false,
-            peers_lag: view.lag,
+            peers_lag: view.since_shared,
             stats: self
-                .board
+                .stats
                 .get(*key)
-                .as_of(view.now, view.age, self.rates.hold_ms()),
+                .as_of(view.now, view.mean_age, self.rates.hold_ms()),
         };
         up.map(see).collect()
     }
 
     /// `send` counts an attempt with such a shared prompt that is sent.
-    pub fn send(&mut self, now: Instant, choice: Choice, shared: u64) -> InFlight {
+    pub fn record_send(&mut self, now: Instant, choice: Choice, shared: u64) -> InFlight {
         if self.prefixes.record(now, choice.key, shared) {
-            self.news.push((choice.key, shared));
+            self.unshared_prompts.push((choice.key, shared));
         }
-        InFlight::begin(now, &mut self.board, choice)
+        InFlight::begin(now, &mut self.stats, choice)
     }
 
     /// `refused` notes that an engine is full, with which it tells its load.
-    pub fn refused(&mut self, now: Instant, choice: Choice, load: u32) {
-        if let Some(stats) = self.board.get_mut(choice.key) {
+    pub fn record_refusal(&mut self, now: Instant, choice: Choice, load: u32) {
+        if let Some(stats) = self.stats.get_mut(choice.key) {
             stats.record_report(now, load);
         }
     }
 
     /// `first` notes an attempt's first token, with which its engine tells its load.
-    pub fn first(&mut self, now: Instant, counted: &mut InFlight, load: u32) {
-        if let Some(stats) = self.board.get_mut(counted.choice.key) {
+    pub fn record_first_token(&mut self, now: Instant, counted: &mut InFlight, load: u32) {
+        if let Some(stats) = self.stats.get_mut(counted.choice.key) {
             stats.record_report(now, load);
         }
-        counted.record_first_part(now, &mut self.board, &mut self.rates);
+        counted.record_first_part(now, &mut self.stats, &mut self.rates);
     }
 
     /// `end` notes the end of an attempt.
-    pub fn end(&mut self, now: Instant, counted: &mut InFlight) {
-        counted.finish(now, &mut self.board, &mut self.rates);
+    pub fn record_end(&mut self, now: Instant, counted: &mut InFlight) {
+        counted.finish(now, &mut self.stats, &mut self.rates);
     }
 
     /// `work` is its own work on an engine.
     #[must_use]
-    pub fn work(&self, engine: TargetKey) -> PeerWork {
-        let stats = self.board.get(engine);
+    pub fn own_work(&self, engine: TargetKey) -> PeerWork {
+        let stats = self.stats.get(engine);
         PeerWork {
             in_flight: stats.in_flight.into(),
             prefill_tokens: stats.prefill_tokens,
@@ -159,15 +159,15 @@
     }
 
     /// `hear` takes in the others' work on an engine.
-    pub fn hear(&mut self, engine: TargetKey, others: PeerWork) {
-        self.board.set_peer_work(engine, others);
+    pub fn set_peer_work(&mut self, engine: TargetKey, others: PeerWork) {
+        self.stats.set_peer_work(engine, others);
     }
 
     /// `reports` are the load reports that it passes on, with engines in their order for names.
     #[must_use]
-    pub fn reports(&self, now: Instant, engines: &[TargetKey]) -> Vec<LoadReport> {
+    pub fn load_reports(&self, now: Instant, engines: &[TargetKey]) -> Vec<LoadReport> {
         let report = |(n, key): (usize, &TargetKey)| {
-            LoadReport::from_stats(TargetId(u32::try_from(n).ok()?), &self.board.get(*key), now)
+            LoadReport::from_stats(TargetId(u32::try_from(n).ok()?), &self.stats.get(*key), now)
         };
         let reports = engines.iter().enumerate().filter_map(report);
         let mut reports = reports.collect::<Vec<_>>();
@@ -176,42 +176,47 @@
     }
 
     /// `relayed` takes in load reports that another router passed on.
-    pub fn relayed(&mut self, now: Instant, engines: &[TargetKey], reports: &[LoadReport]) {
+    pub fn apply_relayed_reports(
+        &mut self,
+        now: Instant,
+        engines: &[TargetKey],
+        reports: &[LoadReport],
+    ) {
         for report in reports {
             let key = engines.get(report.target().0 as usize);
-            if let Some(stats) = key.and_then(|key| self.board.get_mut(*key)) {
+            if let Some(stats) = key.and_then(|key| self.stats.get_mut(*key)) {
                 stats.record_relayed_report(report.earliest_time(now), report.load());
             }
         }
     }
 
     /// `news` are the prompts that it sent since it was asked last.
-    pub fn news(&mut self) -> Vec<(TargetKey, u64)> {
-        std::mem::take(&mut self.news)
+    pub fn take_unshared_prompts(&mut self) -> Vec<(TargetKey, u64)> {
+        std::mem::take(&mut self.unshared_prompts)
     }
 
     /// `learn` takes in the prompts that another router sent.
-    pub fn learn(&mut self, now: Instant, news: &[(TargetKey, u64)]) {
+    pub fn record_peer_prompts(&mut self, now: Instant, news: &[(TargetKey, u64)]) {
         for (engine, shared) in news {
             self.prefixes.record(now, *engine, *shared);
         }
     }
 
     /// `forget` drops the prompts of an engine that crashed.
-    pub fn forget(&mut self, engine: TargetKey) {
+    pub fn remove_engine(&mut self, engine: TargetKey) {
         self.prefixes.remove_target(engine);
     }
 }
 
 /// The shared part of a caller's prompt.
-fn part(caller: &Caller, class: &Class) -> PromptPart {
+fn prompt_part(caller: &Caller, class: &RequestClass) -> PromptPart {
     PromptPart {
-        prefix_hash: caller.shared,
-        tokens: class.shared.1,
+        prefix_hash: caller.shared_prompt,
+        tokens: class.shared_prompts.1,
     }
 }
 
-fn rank(class: usize, classes: &[Class]) -> Rank {
+fn rank(class: usize, classes: &[RequestClass]) -> Rank {
     Rank {
         level: u8::try_from(class).unwrap_or(u8::MAX),
         levels: u8::try_from(classes.len()).unwrap_or(u8::MAX),
--- a/crates/peppercrank-bench/src/surge/scenes.rs
+++ b/crates/peppercrank-bench/src/surge/scenes.rs
@@ -5,34 +5,34 @@
 
 use std::time::Duration;
 
-use crate::surge::Class;
-use crate::surge::Speed;
+use crate::surge::EngineSpeed;
+use crate::surge::RequestClass;
 
 /// `Scene` is what is played.
 #[derive(Debug, Clone)]
-pub struct Scene {
+pub struct Scenario {
     /// Routers.
     pub routers: usize,
     /// Engines.
     pub engines: usize,
     /// How fast each works.
-    pub speed: Speed,
+    pub speed: EngineSpeed,
     /// Requests that an engine takes, running or waiting; it refuses more.
-    pub room: u32,
+    pub max_requests: u32,
     /// Prompt tokens that an engine copies from another in a millisecond.
-    pub copying: f64,
+    pub copy_tokens_per_ms: f64,
     /// What is asked for, the most urgent first.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// The multiple of the usual load in the surge.
-    pub times: f64,
+    pub surge_factor: f64,
     /// When the surge begins and ends.
     pub surge: (Duration, Duration),
     /// When the last caller comes.
-    pub length: Duration,
+    pub duration: Duration,
     /// The lag with which routers know each other's work.
-    pub lag: Duration,
+    pub share_interval: Duration,
     /// The pause after which each router passes load reports on to another one, drawn anew each time.
-    pub passing: Option<Duration>,
+    pub relay_interval: Option<Duration>,
     /// When engines are lost and back, and how many.
     pub outage: Option<(Duration, Duration, usize)>,
     /// The seed of all that is drawn.
@@ -41,63 +41,63 @@
 
 /// Three kinds of request of falling urgency: long prompts of great worth, digests, and long
 /// answers of little worth, which take most of the engines' time.
-pub const CLASSES: [Class; 3] = [
-    Class {
+pub const CLASSES: [RequestClass; 3] = [
+    RequestClass {
         name: "summary",
         rate: 18.0,
-        goal: Duration::from_secs(1),
+        first_token_goal: Duration::from_secs(1),
         deadline: Duration::from_secs(6),
-        worth: 4.1,
-        late: 1.2,
-        shared: (27, 8_620),
-        own: 580.0,
-        output: 52.0,
+        value: 4.1,
+        late_value: 1.2,
+        shared_prompts: (27, 8_620),
+        mean_own_tokens: 580.0,
+        mean_output_tokens: 52.0,
     },
-    Class {
+    RequestClass {
         name: "digest",
         rate: 19.0,
-        goal: Duration::from_millis(1_500),
+        first_token_goal: Duration::from_millis(1_500),
         deadline: Duration::from_secs(4),
-        worth: 1.1,
-        late: 0.33,
-        shared: (44, 2_041),
-        own: 360.0,
-        output: 23.0,
+        value: 1.1,
+        late_value: 0.33,
+        shared_prompts: (44, 2_041),
+        mean_own_tokens: 360.0,
+        mean_output_tokens: 23.0,
     },
-    Class {
+    RequestClass {
         name: "alert",
         rate: 10.0,
-        goal: Duration::from_secs(2),
+        first_token_goal: Duration::from_secs(2),
         deadline: Duration::from_secs(15),
-        worth: 0.68,
-        late: 0.2,
-        shared: (34, 603),
-        own: 110.0,
-        output: 280.0,
+        value: 0.68,
+        late_value: 0.2,
+        shared_prompts: (34, 603),
+        mean_own_tokens: 110.0,
+        mean_output_tokens: 280.0,
     },
 ];
 
 /// `nine` is a surge of so many times the usual load at nine engines and five routers.
 #[must_use]
-pub fn nine(times: f64, seed: u64) -> Scene {
-    Scene {
+pub fn nine_engines(surge_factor: f64, seed: u64) -> Scenario {
+    Scenario {
         routers: 5,
         engines: 9,
-        speed: Speed {
+        speed: EngineSpeed {
             slots: 64,
-            step: 4.34,
-            place: 0.17,
-            read: 36.7,
-            chunk: 4_096,
+            step_ms: 4.34,
+            per_request_ms: 0.17,
+            prefill_tokens_per_ms: 36.7,
+            prefill_chunk_tokens: 4_096,
         },
-        room: u32::MAX,
-        copying: 2_500.0,
+        max_requests: u32::MAX,
+        copy_tokens_per_ms: 2_500.0,
         classes: CLASSES.to_vec(),
-        times,
+        surge_factor,
         surge: (Duration::from_secs(8), Duration::from_secs(22)),
-        length: Duration::from_secs(34),
-        lag: Duration::from_millis(100),
-        passing: None,
+        duration: Duration::from_secs(34),
+        share_interval: Duration::from_millis(100),
+        relay_interval: None,
         outage: None,
         seed,
     }
@@ -105,64 +105,64 @@
 
 /// The same kinds of request as seen by a large fleet: long plans, short questions and checks, each with its own
 /// document of many.
-const LARGE_CLASSES: [Class; 3] = [
-    Class {
+const LARGE_CLASSES: [RequestClass; 3] = [
+    RequestClass {
         name: "question",
         rate: 193.0,
-        goal: Duration::from_millis(500),
+        first_token_goal: Duration::from_millis(500),
         deadline: Duration::from_secs(10),
-        worth: 2.2,
-        late: 1.1,
-        shared: (380, 699),
-        own: 130.0,
-        output: 288.0,
+        value: 2.2,
+        late_value: 1.1,
+        shared_prompts: (380, 699),
+        mean_own_tokens: 130.0,
+        mean_output_tokens: 288.0,
     },
-    Class {
+    RequestClass {
         name: "plan",
         rate: 166.0,
-        goal: Duration::from_secs(1),
+        first_token_goal: Duration::from_secs(1),
         deadline: Duration::from_secs(12),
-        worth: 3.9,
-        late: 2.0,
-        shared: (217, 10_512),
-        own: 1_300.0,
-        output: 384.0,
+        value: 3.9,
+        late_value: 2.0,
+        shared_prompts: (217, 10_512),
+        mean_own_tokens: 1_300.0,
+        mean_output_tokens: 384.0,
     },
-    Class {
+    RequestClass {
         name: "check",
         rate: 270.0,
-        goal: Duration::from_millis(600),
+        first_token_goal: Duration::from_millis(600),
         deadline: Duration::from_secs(3),
-        worth: 0.39,
-        late: 0.19,
-        shared: (797, 2_041),
-        own: 360.0,
-        output: 24.0,
+        value: 0.39,
+        late_value: 0.19,
+        shared_prompts: (797, 2_041),
+        mean_own_tokens: 360.0,
+        mean_output_tokens: 24.0,
     },
 ];
 
 /// `large` is a surge at 120 engines and 68 routers, which know each other's work after seconds.
 #[must_use]
-pub fn large(times: f64, seed: u64) -> Scene {
-    Scene {
+pub fn large_fleet(surge_factor: f64, seed: u64) -> Scenario {
+    Scenario {
         routers: 68,
         engines: 120,
-        speed: Speed {
+        speed: EngineSpeed {
             slots: 16,
-            step: 2.89,
-            place: 0.101,
-            read: 55.0,
-            chunk: 4_096,
+            step_ms: 2.89,
+            per_request_ms: 0.101,
+            prefill_tokens_per_ms: 55.0,
+            prefill_chunk_tokens: 4_096,
         },
-        room: 64,
-        copying: 880.0,
+        max_requests: 64,
+        copy_tokens_per_ms: 880.0,
         classes: LARGE_CLASSES.to_vec(),
-        times,
+        surge_factor,
         surge: (Duration::from_secs(4), Duration::from_secs(10)),
-        length: Duration::from_secs(14),
+        duration: Duration::from_secs(14),
         // Twice the age of peers' summaries, as 68 routers saw it on a calm day.
-        lag: Duration::from_millis(3_400),
-        passing: Some(Duration::from_millis(100)),
+        share_interval: Duration::from_millis(3_400),
+        relay_interval: Some(Duration::from_millis(100)),
         outage: None,
         seed,
     }
--- a/crates/peppercrank-bench/src/trace.rs
+++ b/crates/peppercrank-bench/src/trace.rs
@@ -18,64 +18,67 @@
 pub const SHARES: [u32; ORGANISATIONS] = [10, 25, 20, 15, 5, 5, 5, 5, 5, 5];
 
 /// Prompt tokens of a document.
-pub const DOCUMENT: u64 = 8_000;
+pub const DOCUMENT_TOKENS: u64 = 8_000;
 
 /// Generated tokens that a router expects, and their mean.
-pub const OUTPUT: u64 = 250;
+pub const MEAN_OUTPUT_TOKENS: u64 = 250;
 
 /// Milliseconds between generated tokens.
-const TOKEN_MS: f64 = 60.0;
+const MS_PER_OUTPUT_TOKEN: f64 = 60.0;
 
 /// Prompt tokens that are read in a millisecond.
-const PREFILL: f64 = 8.0;
+const PREFILL_TOKENS_PER_MS: f64 = 8.0;
 
 /// Work that an engine can carry at once: about 45 requests whose context is cached.
-pub const CEILING: u64 = 48_000;
+pub const ENGINE_CEILING: u64 = 48_000;
 
 /// Rounds in which the rate of a load is found.
-const ROUNDS: usize = 3;
+const RATE_ITERATIONS: usize = 3;
 
 /// Seconds before the start from which chats may stem.
-const BEFORE: f64 = 1_200.0;
+const LEAD_IN_SECONDS: f64 = 1_200.0;
 
 /// `Shape` is what a trace is drawn from.
 #[derive(Debug, Clone, Copy)]
-pub struct Shape {
+pub struct Workload {
     /// Engines when it starts.
     pub engines: usize,
     /// Routers.
     pub routers: usize,
     /// Seconds of arrivals.
-    pub seconds: u64,
+    pub arrival_seconds: u64,
     /// Seconds after which measuring begins.
-    pub warm: u64,
+    pub warm_up_seconds: u64,
     /// Load offered, as a share of all ceilings, if contexts were always found.
-    pub load: f64,
+    pub target_load: f64,
     /// When the first organisation offers ten times its share, in seconds.
     pub surge: Option<(u64, u64)>,
     /// Documents; the first one has a fifth of the chats on documents.
     pub documents: usize,
     /// Share of new chats that are on a document.
-    pub lead: f64,
+    pub document_chat_share: f64,
     /// Mean pause of a returning chat, in seconds.
-    pub pause: f64,
+    pub mean_pause_seconds: f64,
     /// Share of pauses that take an hour in the mean.
-    pub hours: f64,
+    pub long_pause_share: f64,
     /// Tokens that an engine can hold.
-    pub memory: u64,
+    pub cache_tokens: u64,
 }
 
-impl Shape {
+impl Workload {
     /// `measured` is the first minute that is measured, and the one after the last.
     #[must_use]
-    pub fn measured(&self) -> (usize, usize) {
-        (self.warm as usize / 60, self.seconds as usize / 60)
+    pub fn measured_minutes(&self) -> (usize, usize) {
+        (
+            self.warm_up_seconds as usize / 60,
+            self.arrival_seconds as usize / 60,
+        )
     }
 
     /// `middle` is the minute in which the churn begins.
     #[must_use]
-    pub fn middle(&self) -> usize {
-        self.seconds as usize / 120
+    pub fn churn_minute(&self) -> usize {
+        self.arrival_seconds as usize / 120
     }
 }
 
@@ -83,7 +86,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Turn {
     /// When it comes, in milliseconds.
-    pub at: u64,
+    pub arrival_ms: u64,
     /// Whose it is.
     pub organisation: usize,
     /// The chat's key.
@@ -91,43 +94,48 @@
     /// The document's key.
     pub document: Option<u64>,
     /// Tokens of the chat's earlier turns.
-    pub prior: u32,
+    pub prior_tokens: u32,
     /// New prompt tokens.
-    pub fresh: u32,
+    pub new_tokens: u32,
     /// Tokens that will be generated.
-    pub output: u32,
+    pub output_tokens: u32,
 }
 
 impl Turn {
     /// `prompt` is the whole prompt, in tokens.
     #[must_use]
-    pub fn prompt(&self) -> u64 {
-        self.document.map_or(0, |_| DOCUMENT) + u64::from(self.prior + self.fresh)
+    pub fn prompt_tokens(&self) -> u64 {
+        self.document.map_or(0, |_| DOCUMENT_TOKENS)
+            + u64::from(self.prior_tokens + self.new_tokens)
     }
 
     /// `cost` is what it costs an engine that holds `cached` tokens of its prompt.
     #[must_use]
     pub fn cost(&self, cached: u64) -> Cost {
-        Cost::for_chat(self.prompt() - cached.min(self.prompt()), OUTPUT)
+        Cost::for_chat(
+            self.prompt_tokens() - cached.min(self.prompt_tokens()),
+            MEAN_OUTPUT_TOKENS,
+        )
     }
 
     /// `read_time` is how long an engine that holds `cached` tokens reads the prompt, in
     /// milliseconds.
     #[must_use]
-    pub fn read_time(&self, cached: u64) -> u64 {
-        ((self.prompt() - cached.min(self.prompt())) as f64 / PREFILL) as u64
+    pub fn prefill_ms(&self, cached: u64) -> u64 {
+        ((self.prompt_tokens() - cached.min(self.prompt_tokens())) as f64 / PREFILL_TOKENS_PER_MS)
+            as u64
     }
 
     /// `write_time` is how long the answer takes then, in milliseconds.
     #[must_use]
-    pub fn write_time(&self) -> u64 {
-        (f64::from(self.output) * TOKEN_MS) as u64
+    pub fn decode_ms(&self) -> u64 {
+        (f64::from(self.output_tokens) * MS_PER_OUTPUT_TOKEN) as u64
     }
 
     /// The work that it is to an engine: its cost over the time for which that is reserved.
     fn work(&self, cached: u64) -> f64 {
-        let read = self.cost(cached).0 as f64 * self.read_time(cached) as f64;
-        read + Cost::for_chat(0, OUTPUT).0 as f64 * self.write_time() as f64
+        let read = self.cost(cached).0 as f64 * self.prefill_ms(cached) as f64;
+        read + Cost::for_chat(0, MEAN_OUTPUT_TOKENS).0 as f64 * self.decode_ms() as f64
     }
 }
 
@@ -137,123 +145,137 @@
     /// The requests.
     pub turns: Vec<Turn>,
     /// What one memory of the size of all engines' would have reused of each.
-    pub bound: Vec<u64>,
+    pub reuse_bound: Vec<u64>,
     /// Load offered if that much were reused, as a share of all ceilings.
-    pub offered: f64,
+    pub offered_load: f64,
 }
 
 impl Trace {
     /// `new` draws the trace of a shape; the surge is not part of its load.
     #[must_use]
-    pub fn new(shape: &Shape) -> Self {
-        let calm = Shape {
+    pub fn new(workload: &Workload) -> Self {
+        let without_surge = Workload {
             surge: None,
-            ..*shape
+            ..*workload
         };
         // The load of a rate is only known once its requests are drawn.
-        let mut rate = shape.engines as f64;
-        for _ in 0..ROUNDS {
-            rate *= shape.load / Self::draw(&calm, rate).offered;
+        let mut rate = workload.engines as f64;
+        for _ in 0..RATE_ITERATIONS {
+            rate *= workload.target_load / Self::generate(&without_surge, rate).offered_load;
         }
-        Self::draw(shape, rate)
+        Self::generate(workload, rate)
     }
 
-    fn draw(shape: &Shape, rate: f64) -> Self {
+    fn generate(workload: &Workload, rate: f64) -> Self {
         let mut turns = Vec::new();
-        let documents = Documents::new(shape.documents);
+        let documents = DocumentPopularity::new(workload.documents);
         for organisation in 0..ORGANISATIONS {
-            draw(shape, rate, organisation, &documents, &mut turns);
+            draw_organisation(workload, rate, organisation, &documents, &mut turns);
         }
-        turns.sort_by_key(|turn| (turn.at, turn.chat));
-        let mut all = Cache::new(shape.memory * shape.engines as u64);
+        turns.sort_by_key(|turn| (turn.arrival_ms, turn.chat));
+        let mut all = Cache::new(workload.cache_tokens * workload.engines as u64);
         let mut work = 0.0;
-        let mut bound = Vec::with_capacity(turns.len());
+        let mut reuse_bound = Vec::with_capacity(turns.len());
         for turn in &turns {
             let cached = all.reuse(turn);
             all.store(turn);
-            bound.push(cached);
-            if turn.at >= shape.warm * 1_000 {
+            reuse_bound.push(cached);
+            if turn.arrival_ms >= workload.warm_up_seconds * 1_000 {
                 work += turn.work(cached);
             }
         }
-        let seconds = shape.seconds - shape.warm;
-        let room = (seconds * 1_000 * CEILING) as f64 * shape.engines as f64;
-        let offered = work / room;
+        let seconds = workload.arrival_seconds - workload.warm_up_seconds;
+        let room = (seconds * 1_000 * ENGINE_CEILING) as f64 * workload.engines as f64;
+        let offered_load = work / room;
         Self {
             turns,
-            bound,
-            offered,
+            reuse_bound,
+            offered_load,
         }
     }
 }
 
 /// Draws one organisation's chats from a seed of its own, so that no other's differ by them.
-fn draw(shape: &Shape, rate: f64, of: usize, documents: &Documents, turns: &mut Vec<Turn>) {
+fn draw_organisation(
+    workload: &Workload,
+    rate: f64,
+    of: usize,
+    documents: &DocumentPopularity,
+    turns: &mut Vec<Turn>,
+) {
     let mut rng = ChaCha8Rng::seed_from_u64(20_261_202 + of as u64);
     // A chat has 3.3 turns in the mean.
     let chats = rate * f64::from(SHARES[of]) / 100.0 * 0.3;
-    let mut at = -BEFORE;
-    while at < shape.seconds as f64 {
-        let surge = shape
+    let mut at = -LEAD_IN_SECONDS;
+    while at < workload.arrival_seconds as f64 {
+        let surge = workload
             .surge
             .filter(|(from, to)| of == 0 && (*from as f64..*to as f64).contains(&at));
-        at += even(&mut rng, surge.map_or(1.0, |_| 0.1) / chats);
-        chat(shape, at, of, documents, &mut rng, turns);
+        at += exponential(&mut rng, surge.map_or(1.0, |_| 0.1) / chats);
+        draw_chat(workload, at, of, documents, &mut rng, turns);
     }
 }
 
-fn chat(
-    shape: &Shape,
+fn draw_chat(
+    workload: &Workload,
     at: f64,
     organisation: usize,
-    documents: &Documents,
+    documents: &DocumentPopularity,
     rng: &mut ChaCha8Rng,
     turns: &mut Vec<Turn>,
 ) {
     let chat = rng.random();
-    let document = rng.random_bool(shape.lead).then(|| documents.pick(rng));
-    let (mut at, mut prior) = (at, 0);
+    let document = rng
+        .random_bool(workload.document_chat_share)
+        .then(|| documents.sample(rng));
+    let (mut at, mut prior_tokens) = (at, 0);
     loop {
-        let fresh = rng.random_range(50..350);
-        let output = even(rng, OUTPUT as f64).clamp(1.0, 2_000.0) as u32;
+        let new_tokens = rng.random_range(50..350);
+        let output_tokens = exponential(rng, MEAN_OUTPUT_TOKENS as f64).clamp(1.0, 2_000.0) as u32;
         let turn = Turn {
-            at: (at.max(0.0) * 1_000.0) as u64,
+            arrival_ms: (at.max(0.0) * 1_000.0) as u64,
             organisation,
             chat,
             document,
-            prior,
-            fresh,
-            output,
+            prior_tokens,
+            new_tokens,
+            output_tokens,
         };
-        if at >= shape.seconds as f64 {
+        if at >= workload.arrival_seconds as f64 {
             return;
         }
         if at >= 0.0 {
             turns.push(turn);
         }
-        prior += fresh + output;
+        prior_tokens += new_tokens + output_tokens;
         if !rng.random_bool(0.7) {
             return;
         }
-        let long = rng.random_bool(shape.hours);
-        let pause = if long { 3_600.0 } else { shape.pause };
+        let long = rng.random_bool(workload.long_pause_share);
+        let pause = if long {
+            3_600.0
+        } else {
+            workload.mean_pause_seconds
+        };
         // Reading the answer and writing on takes a while at least.
-        at += f64::from(output) * TOKEN_MS / 1_000.0 + 10.0 + even(rng, pause);
+        at += f64::from(output_tokens) * MS_PER_OUTPUT_TOKEN / 1_000.0
+            + 10.0
+            + exponential(rng, pause);
     }
 }
 
 /// Draws from an exponential distribution.
-fn even(rng: &mut ChaCha8Rng, mean: f64) -> f64 {
+fn exponential(rng: &mut ChaCha8Rng, mean: f64) -> f64 {
     let even: f64 = rng.random_range(f64::EPSILON..1.0);
     -even.ln() * mean
 }
 
 /// `Documents` is how often each document is asked for: Zipf after the first.
-struct Documents {
-    sums: Vec<f64>,
+struct DocumentPopularity {
+    cumulative_shares: Vec<f64>,
 }
 
-impl Documents {
+impl DocumentPopularity {
     fn new(count: usize) -> Self {
         let rest: f64 = (2..=count).map(|n| 1.0 / n as f64).sum();
         let mut sum = 0.0;
@@ -263,13 +285,13 @@
             sum
         });
         Self {
-            sums: sums.collect(),
+            cumulative_shares: sums.collect(),
         }
     }
 
-    fn pick(&self, rng: &mut ChaCha8Rng) -> u64 {
+    fn sample(&self, rng: &mut ChaCha8Rng) -> u64 {
         let at: f64 = rng.random();
-        let place = self.sums.partition_point(|sum| *sum < at);
+        let place = self.cumulative_shares.partition_point(|sum| *sum < at);
         hash64(1, &(place as u64).to_be_bytes())
     }
 }
--- a/crates/peppercrank-bench/src/ways.rs
+++ b/crates/peppercrank-bench/src/ways.rs
@@ -11,17 +11,17 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use crate::engine::index;
-use crate::engine::key;
+use crate::engine::engine_index;
+use crate::engine::target_key;
 
 /// Targets that one request tries at most.
-pub const TRIES: u32 = 4;
+pub const MAX_ATTEMPTS: u32 = 4;
 
 /// `Way` is a way to route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Strategy {
     /// Ranking, spread, hints, pointers, capped admission and fair queues.
-    Ours,
+    Peppercrank,
     /// Each router goes round the targets.
     RoundRobin,
     /// The least load of the reports, which are up to a second old.
@@ -34,10 +34,10 @@
     Bounded,
 }
 
-impl Way {
+impl Strategy {
     /// All ways.
     pub const ALL: [Self; 6] = [
-        Self::Ours,
+        Self::Peppercrank,
         Self::RoundRobin,
         Self::LeastLoaded,
         Self::TwoChoices,
@@ -49,7 +49,7 @@
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
-            Self::Ours => "ours",
+            Self::Peppercrank => "ours",
             Self::RoundRobin => "round robin",
             Self::LeastLoaded => "least loaded, lagged",
             Self::TwoChoices => "two choices, lagged",
@@ -61,7 +61,7 @@
     /// `is_capped` tells whether engines keep to a multiple of the mean, by organisation.
     #[must_use]
     pub const fn is_capped(self) -> bool {
-        matches!(self, Self::Ours | Self::Bounded)
+        matches!(self, Self::Peppercrank | Self::Bounded)
     }
 
     /// `candidates` lists the targets that a baseline tries, in order.
@@ -70,25 +70,28 @@
         chat: ChatKey,
         prefix: Option<PrefixKey>,
         ranking: &Ranking,
-        sight: &mut Sight<'_>,
+        view: &mut LoadView<'_>,
     ) -> Vec<TargetKey> {
-        let count = TRIES as usize;
+        let count = MAX_ATTEMPTS as usize;
         match self {
-            Self::Ours | Self::Rendezvous | Self::Bounded => {
+            Self::Peppercrank | Self::Rendezvous | Self::Bounded => {
                 ranking.first(RankKey::of(chat, prefix), count)
             }
             Self::RoundRobin => {
-                *sight.turn += 1;
-                let next = (0..count).map(|n| sight.live[(*sight.turn + n) % sight.live.len()]);
-                next.map(key).collect()
+                *view.round_robin_index += 1;
+                let next = (0..count).map(|n| {
+                    view.live_engines[(*view.round_robin_index + n) % view.live_engines.len()]
+                });
+                next.map(target_key).collect()
             }
-            Self::LeastLoaded => sight.least(sight.live.to_vec()),
+            Self::LeastLoaded => view.by_least_load(view.live_engines.to_vec()),
             Self::TwoChoices => {
-                let drawn =
-                    |rng: &mut ChaCha8Rng| sight.live[rng.random_range(0..sight.live.len())];
-                let two = vec![drawn(sight.rng), drawn(sight.rng)];
-                let spare = [drawn(sight.rng), drawn(sight.rng)].map(key);
-                sight.least(two).into_iter().chain(spare).collect()
+                let drawn = |rng: &mut ChaCha8Rng| {
+                    view.live_engines[rng.random_range(0..view.live_engines.len())]
+                };
+                let two = vec![drawn(view.rng), drawn(view.rng)];
+                let spare = [drawn(view.rng), drawn(view.rng)].map(target_key);
+                view.by_least_load(two).into_iter().chain(spare).collect()
             }
         }
     }
@@ -96,29 +99,29 @@
 
 /// `Sight` is what a router's baseline sees.
 #[derive(Debug)]
-pub struct Sight<'a> {
+pub struct LoadView<'a> {
     /// The live engines.
-    pub live: &'a [usize],
+    pub live_engines: &'a [usize],
     /// Their loads as last reported.
-    pub reports: &'a [u64],
+    pub reported_loads: &'a [u64],
     /// How many requests went round.
-    pub turn: &'a mut usize,
+    pub round_robin_index: &'a mut usize,
     /// The source of draws.
     pub rng: &'a mut ChaCha8Rng,
 }
 
-impl Sight<'_> {
+impl LoadView<'_> {
     /// Orders by reported load; of equal ones any may come first.
-    fn least(&mut self, mut of: Vec<usize>) -> Vec<TargetKey> {
+    fn by_least_load(&mut self, mut of: Vec<usize>) -> Vec<TargetKey> {
         let salt: u64 = self.rng.random();
-        let count = (TRIES as usize).min(of.len());
-        let rank = |n: &usize| (self.reports[*n], (*n as u64).wrapping_mul(salt | 1));
+        let count = (MAX_ATTEMPTS as usize).min(of.len());
+        let rank = |n: &usize| (self.reported_loads[*n], (*n as u64).wrapping_mul(salt | 1));
         if count < of.len() {
             of.select_nth_unstable_by_key(count, rank);
         }
         of.truncate(count);
         of.sort_by_key(rank);
-        of.into_iter().map(key).collect()
+        of.into_iter().map(target_key).collect()
     }
 }
 
@@ -126,7 +129,7 @@
 #[must_use]
 pub fn engines(ranking: &Ranking) -> Vec<usize> {
     let all = ranking.first(RankKey(0), ranking.len());
-    let mut engines: Vec<usize> = all.into_iter().map(index).collect();
+    let mut engines: Vec<usize> = all.into_iter().map(engine_index).collect();
     engines.sort_unstable();
     engines
 }
--- a/crates/peppercrank-bench/src/world.rs
+++ b/crates/peppercrank-bench/src/world.rs
@@ -26,126 +26,126 @@
 use peppercrank_route::note::Addressed;
 
 use crate::churn::Churn;
-use crate::churn::Step;
+use crate::churn::ChurnStep;
 use crate::engine::Engine;
-use crate::engine::WAIT_MS;
-use crate::engine::hash;
-use crate::engine::index;
-use crate::engine::key;
+use crate::engine::MAX_QUEUE_WAIT_MS;
+use crate::engine::engine_index;
+use crate::engine::target_hash;
+use crate::engine::target_key;
 use crate::report::Report;
 use crate::report::WINDOW_MS;
 use crate::report::Window;
-use crate::router::Course;
+use crate::router::RequestState;
 use crate::router::Router;
-use crate::trace::OUTPUT;
-use crate::trace::Shape;
+use crate::trace::MEAN_OUTPUT_TOKENS;
 use crate::trace::Trace;
 use crate::trace::Turn;
-use crate::ways::Way;
-use load::Meter;
+use crate::trace::Workload;
+use crate::ways::Strategy;
+use load::LoadMeter;
 
 /// Up to so many engines, every engine's memory is looked into for what the best one held.
-const FEW: usize = 64;
+const BEST_HELD_MAX_ENGINES: usize = 64;
 
 /// `Happening` is what is due at a moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
+enum ScheduledEvent {
     /// A request's prompt has been read on an engine of an incarnation.
-    Read(usize, usize, u64),
+    PromptRead(usize, usize, u64),
     /// It ends there.
-    End(usize, usize, u64),
+    Complete(usize, usize, u64),
     /// A paused request goes on.
     Resume(usize),
     /// Loads are read and told.
     Sample,
     /// Something changes.
-    Change(Step),
+    Churn(ChurnStep),
     /// Agents and some routers know of it.
-    View,
+    ViewUpdate,
     /// The other routers know of it.
-    LateView,
+    LateViewUpdate,
 }
 
 /// `Flight` is one request that is not over.
 #[derive(Debug)]
-struct Flight {
-    course: Course,
+struct ActiveRequest {
+    state: RequestState,
     router: usize,
     engine: usize,
     attempt: AttemptId,
     cost: u64,
     /// Whether it waits at its engine.
-    waits: bool,
+    is_waiting: bool,
 }
 
 /// `World` is one run.
 #[derive(Debug)]
-pub struct World<'a> {
-    shape: &'a Shape,
+pub struct Simulation<'a> {
+    workload: &'a Workload,
     trace: &'a Trace,
-    way: Way,
+    strategy: Strategy,
     churn: Churn,
     /// Whether a prompt's cost stays reserved to the end.
-    keeps: bool,
-    now: u64,
+    reserve_prompts_to_end: bool,
+    now_ms: u64,
     engines: Vec<Engine>,
     leaving: Vec<bool>,
     routers: Vec<Router>,
     ranking: Ranking,
     live: Rc<Vec<usize>>,
-    meter: Meter,
+    meter: LoadMeter,
     /// The moment of the latest change whose view is planned.
-    seen: Option<u64>,
-    due: BinaryHeap<Reverse<(u64, u64, Happening)>>,
-    count: u64,
-    flights: BTreeMap<usize, Flight>,
-    news: VecDeque<(usize, Event)>,
+    last_change_ms: Option<u64>,
+    schedule: BinaryHeap<Reverse<(u64, u64, ScheduledEvent)>>,
+    scheduled_count: u64,
+    active: BTreeMap<usize, ActiveRequest>,
+    pending_events: VecDeque<(usize, Event)>,
     report: Report,
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     /// `new` is a run that has not begun.
     #[must_use]
-    pub fn new(shape: &'a Shape, trace: &'a Trace, way: Way, churn: Churn) -> Self {
+    pub fn new(workload: &'a Workload, trace: &'a Trace, strategy: Strategy, churn: Churn) -> Self {
         // One more, which may join.
-        let engines = 0..=shape.engines;
-        let engine = |n| Engine::new(Instant::ZERO, n, way, shape.memory, 1);
+        let engines = 0..=workload.engines;
+        let engine = |n| Engine::new(Instant::ZERO, n, strategy, workload.cache_tokens, 1);
         let mut world = Self {
-            shape,
+            workload,
             trace,
-            way,
+            strategy,
             churn,
-            keeps: false,
-            now: 0,
+            reserve_prompts_to_end: false,
+            now_ms: 0,
             engines: engines.map(engine).collect(),
-            leaving: vec![false; shape.engines + 1],
+            leaving: vec![false; workload.engines + 1],
             routers: Vec::new(),
             ranking: Ranking::default(),
             live: Rc::default(),
-            meter: Meter::new(shape.engines + 1),
-            seen: None,
-            due: BinaryHeap::new(),
-            count: 0,
-            flights: BTreeMap::new(),
-            news: VecDeque::new(),
+            meter: LoadMeter::new(workload.engines + 1),
+            last_change_ms: None,
+            schedule: BinaryHeap::new(),
+            scheduled_count: 0,
+            active: BTreeMap::new(),
+            pending_events: VecDeque::new(),
             report: Report::default(),
         };
-        world.engines[shape.engines].up = false;
-        world.look();
+        world.engines[workload.engines].up = false;
+        world.refresh_ranking();
         world.replace_routers(0);
-        world.plan(0, Happening::Sample);
-        let middle = shape.seconds * 500;
-        for (after, step) in churn.steps(shape.engines) {
-            world.plan(middle + after, Happening::Change(step));
+        world.schedule_at(0, ScheduledEvent::Sample);
+        let middle = workload.arrival_seconds * 500;
+        for (after, step) in churn.steps(workload.engines) {
+            world.schedule_at(middle + after, ScheduledEvent::Churn(step));
         }
         world
     }
 
     /// `keeping` is the run with each prompt's cost reserved to the end of its answer.
     #[must_use]
-    pub fn keeping(self) -> Self {
+    pub fn reserving_prompts_to_end(self) -> Self {
         Self {
-            keeps: true,
+            reserve_prompts_to_end: true,
             ..self
         }
     }
@@ -156,104 +156,107 @@
         let trace = self.trace;
         let mut turns = trace.turns.iter().enumerate().peekable();
         loop {
-            let next = turns.peek().map(|(_, turn)| turn.at);
-            let due = self.due.peek().map(|Reverse((at, _, _))| *at);
+            let next = turns.peek().map(|(_, turn)| turn.arrival_ms);
+            let due = self.schedule.peek().map(|Reverse((at, _, _))| *at);
             match (next, due) {
                 (Some(at), due) if due.is_none_or(|due| at < due) => {
                     let Some((n, turn)) = turns.next() else { break };
-                    self.now = at;
-                    self.come(n, turn);
+                    self.now_ms = at;
+                    self.arrive(n, turn);
                 }
                 (_, Some(_)) => {
-                    let Some(Reverse((at, _, what))) = self.due.pop() else {
+                    let Some(Reverse((at, _, what))) = self.schedule.pop() else {
                         break;
                     };
-                    self.now = at;
+                    self.now_ms = at;
                     // The last sample is after the last request.
-                    if what == Happening::Sample && next.is_none() && self.flights.is_empty() {
+                    if what == ScheduledEvent::Sample && next.is_none() && self.active.is_empty() {
                         break;
                     }
-                    self.happen(what);
+                    self.handle(what);
                 }
                 (_, None) => break,
             }
-            self.settle();
+            self.process_pending_events();
         }
         self.report
     }
 
-    fn at(&self) -> Instant {
-        Instant::from_millis(self.now)
+    fn instant(&self) -> Instant {
+        Instant::from_millis(self.now_ms)
     }
 
-    fn plan(&mut self, at: u64, what: Happening) {
-        self.count += 1;
-        self.due.push(Reverse((at, self.count, what)));
+    fn schedule_at(&mut self, at: u64, what: ScheduledEvent) {
+        self.scheduled_count += 1;
+        self.schedule
+            .push(Reverse((at, self.scheduled_count, what)));
     }
 
     /// Tells whether what comes now is measured.
     fn is_warm(&self, turn: &Turn) -> bool {
-        turn.at >= self.shape.warm * 1_000
+        turn.arrival_ms >= self.workload.warm_up_seconds * 1_000
     }
 
-    fn happen(&mut self, what: Happening) {
+    fn handle(&mut self, what: ScheduledEvent) {
         match what {
-            Happening::Read(n, engine, incarnation) => self.read_prompt(n, engine, incarnation),
-            Happening::End(n, engine, incarnation) => self.end(n, engine, incarnation),
-            Happening::Resume(n) => self.news.push_back((n, Event::Tick)),
-            Happening::Sample => self.sample(),
-            Happening::Change(step) => self.change(step),
-            Happening::View => self.view(),
-            Happening::LateView => self.view_late(),
+            ScheduledEvent::PromptRead(n, engine, incarnation) => {
+                self.read_prompt(n, engine, incarnation);
+            }
+            ScheduledEvent::Complete(n, engine, incarnation) => self.end(n, engine, incarnation),
+            ScheduledEvent::Resume(n) => self.pending_events.push_back((n, Event::Tick)),
+            ScheduledEvent::Sample => self.sample(),
+            ScheduledEvent::Churn(step) => self.apply_churn(step),
+            ScheduledEvent::ViewUpdate => self.update_views(),
+            ScheduledEvent::LateViewUpdate => self.update_late_views(),
         }
     }
 
-    fn come(&mut self, n: usize, turn: &Turn) {
-        self.report.came += 1;
+    fn arrive(&mut self, n: usize, turn: &Turn) {
+        self.report.arrived += 1;
         self.report.requests += u64::from(self.is_warm(turn));
         // What is refused later reuses nothing of it.
-        self.window(turn.at).bound += self.trace.bound[n];
+        self.window(turn.arrival_ms).reuse_bound += self.trace.reuse_bound[n];
         let router = hash64(7, &n.to_be_bytes()) as usize % self.routers.len();
-        let at = self.at();
-        let reports = &self.meter.reports;
-        let (course, next) = self.routers[router].begin(self.way, at, turn, reports);
-        let flight = Flight {
-            course,
+        let at = self.instant();
+        let reports = &self.meter.reported_loads;
+        let (state, next) = self.routers[router].begin(self.strategy, at, turn, reports);
+        let flight = ActiveRequest {
+            state,
             router,
             engine: 0,
             attempt: AttemptId(0),
             cost: 0,
-            waits: false,
+            is_waiting: false,
         };
-        self.flights.insert(n, flight);
-        self.follow(n, next);
+        self.active.insert(n, flight);
+        self.apply_next(n, next);
     }
 
     /// Hands routers the news of their requests until there are none.
-    fn settle(&mut self) {
-        while let Some((n, event)) = self.news.pop_front() {
-            let at = self.at();
-            let Some(flight) = self.flights.get_mut(&n) else {
+    fn process_pending_events(&mut self) {
+        while let Some((n, event)) = self.pending_events.pop_front() {
+            let at = self.instant();
+            let Some(flight) = self.active.get_mut(&n) else {
                 continue;
             };
-            let next = self.routers[flight.router].on(at, &mut flight.course, event);
-            self.follow(n, next);
+            let next = self.routers[flight.router].handle(at, &mut flight.state, event);
+            self.apply_next(n, next);
         }
     }
 
     /// Does what a router wants for a request.
-    fn follow(&mut self, n: usize, next: Next) {
+    fn apply_next(&mut self, n: usize, next: Next) {
         match next {
             Next::Send {
                 target,
                 attempt,
                 redirect,
                 last,
-            } => self.send(n, index(target), attempt, redirect, last),
+            } => self.send(n, engine_index(target), attempt, redirect, last),
             Next::Wait { until } => {
                 // Rounded up: before its moment a tick only asks for another.
                 let until = until.since_origin().as_nanos().div_ceil(1_000_000);
-                self.plan(until as u64, Happening::Resume(n));
+                self.schedule_at(until as u64, ScheduledEvent::Resume(n));
             }
             Next::Deliver | Next::Ignore => {}
             Next::Finish { .. } => self.finish(n),
@@ -262,23 +265,23 @@
     }
 
     fn finish(&mut self, n: usize) {
-        let at = self.at();
-        let Some(flight) = self.flights.remove(&n) else {
+        let at = self.instant();
+        let Some(flight) = self.active.remove(&n) else {
             return;
         };
-        self.report.done += 1;
-        for told in self.routers[flight.router].notes(at, &flight.course) {
-            self.tell(&told);
+        self.report.completed += 1;
+        for told in self.routers[flight.router].notes(at, &flight.state) {
+            self.deliver_note(&told);
         }
     }
 
     fn fail(&mut self, n: usize, outcome: AttemptOutcome) {
         self.stop_waiting(n);
-        if let Some(flight) = self.flights.remove(&n) {
+        if let Some(flight) = self.active.remove(&n) {
             // Where it is at an engine still, its guard is dropped.
-            let ticket = ticket(n, flight.course.tries());
+            let ticket = ticket(n, flight.state.attempts());
             if self.engines[flight.engine].up {
-                self.put(flight.engine, Input::End(ticket));
+                self.admission_input(flight.engine, Input::End(ticket));
             }
         }
         let reason = match outcome {
@@ -289,28 +292,28 @@
         *self.report.failed.entry(reason).or_default() += 1;
         let turn = &self.trace.turns[n];
         if self.is_warm(turn) && matches!(outcome, AttemptOutcome::NotRun(_)) {
-            let waited = self.now - turn.at;
-            self.report.waits[turn.organisation].push(waited.max(WAIT_MS));
+            let waited = self.now_ms - turn.arrival_ms;
+            self.report.waits[turn.organisation].push(waited.max(MAX_QUEUE_WAIT_MS));
         }
     }
 
     /// Takes a note to an agent.
-    fn tell(&mut self, told: &Addressed) {
+    fn deliver_note(&mut self, told: &Addressed) {
         let bytes = postcard::to_stdvec(&told.note).map_or(0, |bytes| bytes.len());
-        self.report.bytes += bytes as u64 + size_of::<u64>() as u64;
-        let at = self.at();
-        let engine = &mut self.engines[index(told.to)];
+        self.report.note_bytes += bytes as u64 + size_of::<u64>() as u64;
+        let at = self.instant();
+        let engine = &mut self.engines[engine_index(told.to)];
         engine.pointers.learn(at, &told.note, &self.ranking);
     }
 
-    fn count(&mut self, turn: &Turn, cached: u64) {
-        let few = self.engines.len() <= FEW;
+    fn record_admission(&mut self, turn: &Turn, cached: u64) {
+        let few = self.engines.len() <= BEST_HELD_MAX_ENGINES;
         let held = self.engines.iter().filter(|e| few && e.up);
         let held = held.map(|e| e.cache.reuse(turn)).max().unwrap_or(cached);
-        let window = self.window(turn.at);
+        let window = self.window(turn.arrival_ms);
         window.reused += cached;
-        window.held += held;
-        let wait = self.now - turn.at;
+        window.best_held += held;
+        let wait = self.now_ms - turn.arrival_ms;
         if self.is_warm(turn) {
             self.report.waits[turn.organisation].push(wait);
         }
@@ -326,47 +329,53 @@
 
     /// Begins the answer of a request whose prompt has been read.
     fn read_prompt(&mut self, n: usize, engine: usize, incarnation: u64) {
-        let Some((attempt, ticket)) = self.running(n, engine, incarnation) else {
+        let Some((attempt, ticket)) = self.running_attempt(n, engine, incarnation) else {
             return;
         };
-        self.news.push_back((n, Event::FirstByte { attempt }));
-        if self.keeps {
+        self.pending_events
+            .push_back((n, Event::FirstByte { attempt }));
+        if self.reserve_prompts_to_end {
             return;
         }
         // The work on the prompt is done: what is left is the answer.
-        let cost = Cost::for_chat(0, OUTPUT);
-        self.put(engine, Input::Actual { ticket, cost });
+        let cost = Cost::for_chat(0, MEAN_OUTPUT_TOKENS);
+        self.admission_input(engine, Input::Actual { ticket, cost });
     }
 
     fn end(&mut self, n: usize, engine: usize, incarnation: u64) {
-        let Some((attempt, ticket)) = self.running(n, engine, incarnation) else {
+        let Some((attempt, ticket)) = self.running_attempt(n, engine, incarnation) else {
             return;
         };
-        self.news.push_back((n, Event::Done { attempt }));
-        self.put(engine, Input::End(ticket));
+        self.pending_events.push_back((n, Event::Done { attempt }));
+        self.admission_input(engine, Input::End(ticket));
     }
 
     /// The attempt that runs at an engine, unless that has failed since.
-    fn running(&self, n: usize, engine: usize, incarnation: u64) -> Option<(AttemptId, Ticket)> {
-        let flight = self.flights.get(&n)?;
+    fn running_attempt(
+        &self,
+        n: usize,
+        engine: usize,
+        incarnation: u64,
+    ) -> Option<(AttemptId, Ticket)> {
+        let flight = self.active.get(&n)?;
         let same = self.engines[engine].up && self.engines[engine].incarnation == incarnation;
         let here = same && flight.engine == engine;
-        here.then(|| (flight.attempt, ticket(n, flight.course.tries())))
+        here.then(|| (flight.attempt, ticket(n, flight.state.attempts())))
     }
 }
 
 /// Tickets of one request, one an attempt.
-const TICKETS: u64 = 8;
+const TICKETS_PER_REQUEST: u64 = 8;
 
 fn ticket(n: usize, tries: u32) -> Ticket {
-    Ticket(n as u64 * TICKETS + u64::from(tries))
+    Ticket(n as u64 * TICKETS_PER_REQUEST + u64::from(tries))
 }
 
-fn number(ticket: Ticket) -> usize {
-    (ticket.0 / TICKETS) as usize
+fn request_index(ticket: Ticket) -> usize {
+    (ticket.0 / TICKETS_PER_REQUEST) as usize
 }
 
 /// The ranking of some engines.
-fn rank(engines: &[usize]) -> Ranking {
-    Ranking::new(engines.iter().map(|n| (key(*n), hash(*n), 1)))
+fn ranking_of(engines: &[usize]) -> Ranking {
+    Ranking::new(engines.iter().map(|n| (target_key(*n), target_hash(*n), 1)))
 }
--- a/crates/peppercrank-bench/src/world/agent.rs
+++ b/crates/peppercrank-bench/src/world/agent.rs
@@ -20,16 +20,16 @@
 use peppercrank_route::cache::Cached;
 use peppercrank_route::cache::Change;
 
-use super::Happening;
-use super::World;
-use super::number;
+use super::ScheduledEvent;
+use super::Simulation;
+use super::request_index;
 use super::ticket;
-use crate::engine::organisation;
-use crate::trace::DOCUMENT;
+use crate::engine::organisation_name;
+use crate::trace::DOCUMENT_TOKENS;
 use crate::trace::Turn;
-use crate::ways::Way;
+use crate::ways::Strategy;
 
-impl World<'_> {
+impl Simulation<'_> {
     /// Brings an attempt to an agent.
     pub(super) fn send(
         &mut self,
@@ -40,52 +40,53 @@
         last: bool,
     ) {
         let turn = self.trace.turns[n];
-        self.report.sends += u64::from(self.is_warm(&turn));
+        self.report.attempts_sent += u64::from(self.is_warm(&turn));
         if !self.engines[engine].up {
             self.refuse(n, attempt, NotRun::Connect, None);
             return;
         }
         let ask = ask(&turn, redirect);
-        let cost = match self.cost(engine, &turn, &ask) {
+        let cost = match self.place(engine, &turn, &ask) {
             Ok(cost) => cost,
             Err(there) => return self.refuse(n, attempt, NotRun::Elsewhere, Some(there)),
         };
-        let Some(flight) = self.flights.get_mut(&n) else {
+        let Some(flight) = self.active.get_mut(&n) else {
             return;
         };
         flight.engine = engine;
         flight.attempt = attempt;
         flight.cost = cost.0;
-        flight.waits = true;
-        self.engines[engine].waiting += cost.0;
-        self.meter.waiting += cost.0;
-        let tries = flight.course.tries();
-        let capped = self.way.is_capped();
+        flight.is_waiting = true;
+        self.engines[engine].waiting_cost += cost.0;
+        self.meter.waiting_cost += cost.0;
+        let tries = flight.state.attempts();
+        let capped = self.strategy.is_capped();
         let arrival = Arrival {
             ticket: ticket(n, tries),
             attempt,
-            organisation: organisation(if capped { turn.organisation } else { 0 }),
+            organisation: organisation_name(if capped { turn.organisation } else { 0 }),
             cost,
             priority: 5,
-            deadline: self.at() + Duration::from_secs(120),
+            deadline: self.instant() + Duration::from_secs(120),
             need: Duration::ZERO,
-            may_wait: last || self.way != Way::Ours && self.way != Way::Bounded,
+            may_wait: last
+                || self.strategy != Strategy::Peppercrank && self.strategy != Strategy::Bounded,
         };
-        self.put(engine, Input::Arrive(arrival));
+        self.admission_input(engine, Input::Arrive(arrival));
     }
 
     /// What an agent reserves for a request, or the engine that it points to.
-    fn cost(&self, engine: usize, turn: &Turn, ask: &Ask) -> Result<Cost, TargetKey> {
+    fn place(&self, engine: usize, turn: &Turn, ask: &Ask) -> Result<Cost, TargetKey> {
         let engine = &self.engines[engine];
-        if self.way != Way::Ours {
+        if self.strategy != Strategy::Peppercrank {
             // In favour of the baselines, their agents know exactly.
             return Ok(turn.cost(engine.cache.reuse(turn)));
         }
-        match engine.pointers.place(self.at(), ask, &self.ranking) {
+        match engine.pointers.place(self.instant(), ask, &self.ranking) {
             Place::There(there) => Err(there),
             Place::Here { chat, prefix } => Ok(turn.cost(match (chat, prefix) {
-                (Cached::Yes, _) => turn.prompt() - u64::from(turn.fresh),
-                (_, Cached::Yes) => DOCUMENT,
+                (Cached::Yes, _) => turn.prompt_tokens() - u64::from(turn.new_tokens),
+                (_, Cached::Yes) => DOCUMENT_TOKENS,
                 _ => 0,
             })),
         }
@@ -94,7 +95,7 @@
     fn refuse(&mut self, n: usize, attempt: AttemptId, reason: NotRun, hint: Option<TargetKey>) {
         *self.report.refusals.entry(reason.code()).or_default() += 1;
         // It is at no engine now, and the failure of the last one does not concern it.
-        if let Some(flight) = self.flights.get_mut(&n) {
+        if let Some(flight) = self.active.get_mut(&n) {
             flight.attempt = AttemptId(0);
         }
         let event = Event::NotRun {
@@ -102,42 +103,42 @@
             reason,
             hint,
         };
-        self.news.push_back((n, event));
+        self.pending_events.push_back((n, event));
     }
 
     /// Hands an agent's admission an input and does what it says.
-    pub(super) fn put(&mut self, engine: usize, input: Input) {
-        let at = self.at();
+    pub(super) fn admission_input(&mut self, engine: usize, input: Input) {
+        let at = self.instant();
         let admission = &mut self.engines[engine].admission;
         let before = admission.status().reserved.0;
         let actions = admission.on(at, input);
         let after = admission.status().reserved.0;
-        self.meter.total = self.meter.total + after - before;
+        self.meter.running_cost = self.meter.running_cost + after - before;
         if actions.iter().any(|a| matches!(a, Action::Admit { .. })) {
-            self.check(engine);
+            self.check_cap(engine);
         }
         for action in actions {
             match action {
-                Action::Admit { ticket, .. } => self.admit(number(ticket)),
+                Action::Admit { ticket, .. } => self.admit(request_index(ticket)),
                 Action::Refuse {
                     ticket,
                     attempt,
                     reason,
                     ..
-                } => self.turn_down(number(ticket), attempt, reason),
+                } => self.refuse_queued(request_index(ticket), attempt, reason),
                 Action::Cancel { .. } | Action::Drained => {}
             }
         }
     }
 
-    fn turn_down(&mut self, n: usize, attempt: AttemptId, reason: NotRun) {
+    fn refuse_queued(&mut self, n: usize, attempt: AttemptId, reason: NotRun) {
         self.stop_waiting(n);
-        let Some(flight) = self.flights.get(&n) else {
+        let Some(flight) = self.active.get(&n) else {
             return;
         };
         let ask = ask(&self.trace.turns[n], false);
-        let hint = match self.way {
-            Way::Ours => self.engines[flight.engine]
+        let hint = match self.strategy {
+            Strategy::Peppercrank => self.engines[flight.engine]
                 .pointers
                 .hint(&ask, &self.ranking),
             _ => None,
@@ -146,55 +147,55 @@
     }
 
     pub(super) fn stop_waiting(&mut self, n: usize) {
-        let Some(flight) = self.flights.get_mut(&n) else {
+        let Some(flight) = self.active.get_mut(&n) else {
             return;
         };
-        if flight.waits {
-            flight.waits = false;
-            self.engines[flight.engine].waiting -= flight.cost;
-            self.meter.waiting -= flight.cost;
+        if flight.is_waiting {
+            flight.is_waiting = false;
+            self.engines[flight.engine].waiting_cost -= flight.cost;
+            self.meter.waiting_cost -= flight.cost;
         }
     }
 
     /// Runs a request that was admitted.
     fn admit(&mut self, n: usize) {
         self.stop_waiting(n);
-        let Some(flight) = self.flights.get(&n) else {
+        let Some(flight) = self.active.get(&n) else {
             return;
         };
         let turn = self.trace.turns[n];
-        let at = self.at();
-        let (spilled, tries) = (flight.course.is_spilled(), flight.course.tries());
+        let at = self.instant();
+        let (spilled, tries) = (flight.state.is_spilled(), flight.state.attempts());
         let number = flight.engine;
         let cached = self.engines[number].cache.reuse(&turn);
-        self.count(&turn, cached);
+        self.record_admission(&turn, cached);
         let engine = &mut self.engines[number];
         let gone = engine.cache.store(&turn);
-        if self.way == Way::Ours {
+        if self.strategy == Strategy::Peppercrank {
             engine.pointers.served(at, &ask(&turn, false), spilled);
-            self.evict(number, &gone);
+            self.report_evictions(number, &gone);
         }
-        let read = self.now + turn.read_time(cached);
-        let end = read + turn.write_time();
+        let read = self.now_ms + turn.prefill_ms(cached);
+        let end = read + turn.decode_ms();
         let incarnation = self.engines[number].incarnation;
-        self.plan(read, Happening::Read(n, number, incarnation));
-        self.plan(end, Happening::End(n, number, incarnation));
+        self.schedule_at(read, ScheduledEvent::PromptRead(n, number, incarnation));
+        self.schedule_at(end, ScheduledEvent::Complete(n, number, incarnation));
         let actual = Input::Actual {
             ticket: ticket(n, tries),
             cost: turn.cost(cached),
         };
-        self.put(number, actual);
+        self.admission_input(number, actual);
     }
 
     /// Tells the agent what its engine no longer holds.
-    fn evict(&mut self, engine: usize, gone: &[u64]) {
-        let at = self.at();
+    fn report_evictions(&mut self, engine: usize, gone: &[u64]) {
+        let at = self.instant();
         for key in gone {
-            let event = self.engines[engine].event(Change::Evicted, *key);
+            let event = self.engines[engine].next_cache_event(Change::Evicted, *key);
             let pointers = &mut self.engines[engine].pointers;
             let (_, told) = pointers.on_event(at, &event, &self.ranking);
             if let Some(told) = told {
-                self.tell(&told);
+                self.deliver_note(&told);
             }
         }
     }
@@ -205,7 +206,7 @@
     Ask {
         chat: ChatKey(turn.chat),
         prefix: turn.document.map(PrefixKey),
-        returning: turn.prior > 0,
+        returning: turn.prior_tokens > 0,
         redirect,
     }
 }
--- a/crates/peppercrank-bench/src/world/change.rs
+++ b/crates/peppercrank-bench/src/world/change.rs
@@ -12,23 +12,23 @@
 use peppercrank_core::refusal::MayHaveRun;
 use peppercrank_route::Event;
 
-use super::FEW;
-use super::Happening;
-use super::World;
-use super::rank;
-use crate::churn::Step;
-use crate::churn::VIEW_MS;
+use super::BEST_HELD_MAX_ENGINES;
+use super::ScheduledEvent;
+use super::Simulation;
+use super::ranking_of;
+use crate::churn::ChurnStep;
+use crate::churn::VIEW_DELAY_MS;
 use crate::engine::Engine;
-use crate::engine::key;
+use crate::engine::target_key;
 use crate::router::Router;
-use crate::ways::Way;
+use crate::ways::Strategy;
 
-impl World<'_> {
-    pub(super) fn change(&mut self, step: Step) {
+impl Simulation<'_> {
+    pub(super) fn apply_churn(&mut self, step: ChurnStep) {
         match step {
-            Step::Up(n) => self.start(n),
-            Step::Down(n) => self.break_down(n),
-            Step::Mark(n) => {
+            ChurnStep::Up(n) => self.start_engine(n),
+            ChurnStep::Down(n) => self.fail_engine(n),
+            ChurnStep::Mark(n) => {
                 self.leaving[n] = true;
                 let target = TargetName::new(&format!("engine-{n}")).expect("well formed");
                 let mark = Mark {
@@ -36,102 +36,102 @@
                     action: MarkAction::Shutdown,
                     grace_ms: 0,
                 };
-                self.put(n, Input::Marked(mark));
+                self.admission_input(n, Input::Marked(mark));
             }
-            Step::Unmark(n) => {
+            ChurnStep::Unmark(n) => {
                 self.leaving[n] = false;
-                self.put(n, Input::Unmarked);
+                self.admission_input(n, Input::Unmarked);
             }
-            Step::Routers => {
+            ChurnStep::Routers => {
                 self.replace_routers(1_000_000);
                 return;
             }
         }
         // What changes at one moment is seen at one moment.
-        if self.seen == Some(self.now) {
+        if self.last_change_ms == Some(self.now_ms) {
             return;
         }
-        self.seen = Some(self.now);
-        self.plan(self.now + VIEW_MS, Happening::View);
-        let late = VIEW_MS + self.churn.lag();
-        self.plan(self.now + late, Happening::LateView);
+        self.last_change_ms = Some(self.now_ms);
+        self.schedule_at(self.now_ms + VIEW_DELAY_MS, ScheduledEvent::ViewUpdate);
+        let late = VIEW_DELAY_MS + self.churn.late_view_ms();
+        self.schedule_at(self.now_ms + late, ScheduledEvent::LateViewUpdate);
     }
 
-    fn start(&mut self, n: usize) {
+    fn start_engine(&mut self, n: usize) {
         let incarnation = self.engines[n].incarnation + 1;
-        let at = self.at();
-        let memory = self.shape.memory;
-        self.engines[n] = Engine::new(at, n, self.way, memory, incarnation);
+        let at = self.instant();
+        let memory = self.workload.cache_tokens;
+        self.engines[n] = Engine::new(at, n, self.strategy, memory, incarnation);
         self.engines[n].pointers.joined(at);
     }
 
     /// Ends all that was at an engine with an unknown fate.
-    fn break_down(&mut self, n: usize) {
-        self.drop_load(n);
+    fn fail_engine(&mut self, n: usize) {
+        self.forget_engine_load(n);
         self.engines[n].up = false;
-        self.engines[n].waiting = 0;
-        let there = self.flights.iter_mut();
+        self.engines[n].waiting_cost = 0;
+        let there = self.active.iter_mut();
         let there = there.filter(|(_, flight)| flight.engine == n);
         let cut = there.map(|(turn, flight)| {
-            flight.waits = false;
+            flight.is_waiting = false;
             let event = Event::MayHaveRun {
                 attempt: flight.attempt,
                 reason: MayHaveRun::Cut,
             };
             (*turn, event)
         });
-        self.news.extend(cut.collect::<Vec<_>>());
+        self.pending_events.extend(cut.collect::<Vec<_>>());
     }
 
     /// Puts the engines that take new work in the agents' view.
-    pub(super) fn look(&mut self) {
+    pub(super) fn refresh_ranking(&mut self) {
         let able = |n: &usize| self.engines[*n].up && !self.leaving[*n];
         let live: Vec<usize> = (0..self.engines.len()).filter(able).collect();
-        self.ranking = rank(&live);
+        self.ranking = ranking_of(&live);
         self.live = Rc::new(live);
-        if self.engines.len() > FEW {
+        if self.engines.len() > BEST_HELD_MAX_ENGINES {
             return;
         }
         let starts: Vec<u64> = self.engines.iter().map(|e| e.incarnation).collect();
         for engine in &mut self.engines {
             for (n, incarnation) in starts.iter().enumerate() {
-                engine.pointers.restarted(key(n), *incarnation);
+                engine.pointers.restarted(target_key(n), *incarnation);
             }
         }
     }
 
     /// Agents and every second router know of a change; pointers are handed over.
-    pub(super) fn view(&mut self) {
+    pub(super) fn update_views(&mut self) {
         let old = self.ranking.clone();
-        self.look();
+        self.refresh_ranking();
         for router in self.routers.iter_mut().step_by(2) {
-            router.see(&self.ranking, &self.live);
+            router.set_ranking(&self.ranking, &self.live);
         }
-        if self.way != Way::Ours {
+        if self.strategy != Strategy::Peppercrank {
             return;
         }
-        let at = self.at();
+        let at = self.instant();
         for n in 0..self.engines.len() {
             if !self.engines[n].up {
                 continue;
             }
             let pointers = &self.engines[n].pointers;
             let chunk = pointers.moved(at, &old, &self.ranking, 0, usize::MAX);
-            for told in chunk.notes {
-                self.tell(&told);
+            for note in chunk.notes {
+                self.deliver_note(&note);
             }
         }
     }
 
     /// The other routers know of it.
-    pub(super) fn view_late(&mut self) {
+    pub(super) fn update_late_views(&mut self) {
         for router in self.routers.iter_mut().skip(1).step_by(2) {
-            router.see(&self.ranking, &self.live);
+            router.set_ranking(&self.ranking, &self.live);
         }
     }
 
     pub(super) fn replace_routers(&mut self, seed: u64) {
-        let seeds = (0..self.shape.routers as u64).map(|n| seed + n);
+        let seeds = (0..self.workload.routers as u64).map(|n| seed + n);
         let routers = seeds.map(|seed| Router::new(seed, &self.ranking, &self.live));
         self.routers = routers.collect();
     }
--- a/crates/peppercrank-bench/tests/verify_large.rs
+++ b/crates/peppercrank-bench/tests/verify_large.rs
@@ -11,34 +11,34 @@
 //! to 7 requests where the target held 11 to 13, and 14 where it had told that very router of 64.
 
 use peppercrank_bench::surge::Fleet;
-use peppercrank_bench::surge::Scene;
-use peppercrank_bench::surge::scenes::large;
+use peppercrank_bench::surge::Scenario;
+use peppercrank_bench::surge::scenes::large_fleet;
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
 /// The worst five seconds of a fleet, after the first two: the part of requests that reached a target which held too much,
 /// the mean of three seeds.
-fn worst(scene: impl Fn(u64) -> Scene) -> f64 {
-    let worst = SEEDS.map(|seed| Fleet::play(&scene(seed)).worst(2, 5));
+fn mean_worst_overload(scene: impl Fn(u64) -> Scenario) -> f64 {
+    let worst = SEEDS.map(|seed| Fleet::simulate(&scene(seed)).worst_overload_share(2, 5));
     worst.iter().sum::<f64>() / 3.0
 }
 
 /// At the usual load and 1.7 times: 0.017 each, and 0.038 and 0.036 where each router knows only what it was told itself.
 #[test]
-fn verify_the_load_cap_holds_where_summaries_come_round_late() {
+fn verify_load_cap_holds_with_late_summaries() {
     for times in [1.0, 1.7] {
-        let over = worst(|seed| large(times, seed));
+        let over = mean_worst_overload(|seed| large_fleet(times, seed));
         assert!(over < 0.025, "{over} at {times} times");
     }
 }
 
 /// The scene plays the fault: without load reports from other routers the cap does not hold.
 #[test]
-fn verify_the_scene_shows_a_cap_that_does_not_hold() {
-    let alone = |seed| Scene {
-        passing: None,
-        ..large(1.0, seed)
+fn verify_load_cap_fails_without_relayed_reports() {
+    let alone = |seed| Scenario {
+        relay_interval: None,
+        ..large_fleet(1.0, seed)
     };
-    let over = worst(alone);
+    let over = mean_worst_overload(alone);
     assert!(over > 0.03, "{over}");
 }
