--- a/crates/peppercrank-cli/src/access.rs
+++ b/crates/peppercrank-cli/src/access.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! How a verb reaches the platform and the daemons: flags first, then the environment.
+//! Connection settings of a subcommand: flags take precedence over the environment.
 
 use std::env;
 use std::net::SocketAddr;
@@ -16,42 +16,42 @@
 use crate::flags::Peppercrank;
 use crate::words::OutputFormat;
 
-/// The variable that names the platform's API.
+/// Environment variable with the URL of the platform's API.
 pub const PLATFORM_VAR: &str = "PEPPERCRANK_PLATFORM";
 
-/// The variable that holds the platform's token.
+/// Environment variable with the bearer token for the platform's API.
 pub const TOKEN_VAR: &str = "PEPPERCRANK_TOKEN";
 
-/// The variable that holds the token of the operators' pages.
+/// Environment variable with the bearer token for the daemons' operator endpoints.
 pub const OPERATORS_TOKEN_VAR: &str = "PEPPERCRANK_OPERATORS_TOKEN";
 
-/// The variable that names daemons' operators' addresses, parted by commas.
+/// Environment variable with a comma-separated list of daemons' operator addresses.
 pub const DAEMONS_VAR: &str = "PEPPERCRANK_DAEMONS";
 
-/// Time for reading or writing the platform, unless set.
+/// Default total time for reads from and writes to the platform, retries included.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Port of the operators' pages on the VMs of the platform's list, unless set.
+/// Default port of the operator endpoint on each VM in the platform's list.
 const DEFAULT_OPERATORS_PORT: u16 = 7002;
 
-/// `Environment` is what a run takes from its environment.
+/// `Environment` holds the settings taken from environment variables.
 #[derive(Debug, Clone, Default)]
 pub struct Environment {
-    /// The platform's API.
+    /// URL of the platform's API.
     pub platform: Option<String>,
-    /// The platform's token.
+    /// Bearer token for the platform's API.
     pub token: Option<String>,
-    /// The token of the operators' pages.
+    /// Bearer token for the daemons' operator endpoints.
     pub operators_token: Option<String>,
-    /// The operators' addresses of the daemons, parted by commas.
+    /// Comma-separated operator addresses of the daemons.
     pub daemons: Option<String>,
 }
 
 impl Environment {
-    /// `read` reads the process's environment.
+    /// Reads the environment variables of this process.
     #[must_use]
     pub fn read() -> Self {
-        // An empty variable is as good as none, as shells leave them.
+        // An empty variable counts as unset.
         let variable = |name| env::var(name).ok().filter(|text| !text.is_empty());
         Self {
             platform: variable(PLATFORM_VAR),
@@ -62,7 +62,7 @@
     }
 }
 
-/// `Access` is how a verb reaches the platform and the daemons.
+/// `Access` holds the resolved connection settings and output format of a subcommand.
 #[derive(Debug)]
 pub(crate) struct Access {
     platform: Option<BaseUrl>,
@@ -75,7 +75,7 @@
 }
 
 impl Access {
-    /// Takes the flags that every verb has.
+    /// Resolves the global flags against the environment.
     pub(crate) fn new(flags: &Peppercrank, environment: &Environment) -> Result<Self> {
         let Environment {
             platform,
@@ -98,13 +98,15 @@
         })
     }
 
-    /// The platform, which some verbs can do without.
+    /// Returns the platform's URL, or a usage error if none is configured. Subcommands that do not
+    /// need the platform never call this.
     pub(crate) fn platform(&self) -> Result<BaseUrl> {
         Ok(self.platform.ok_or(UsageError::MissingPlatform)?)
     }
 }
 
-/// The daemons that are named: by flags, or else by the variable unless a port asks for the list.
+/// Returns the daemons given by flags. Without such flags the environment variable applies, unless
+/// `--operators-port` asks for the platform's VM list.
 fn daemon_addresses(flags: &Peppercrank, text: Option<&str>) -> Result<Vec<SocketAddr>> {
     if !flags.daemon.is_empty() || flags.operators_port.is_some() {
         return Ok(flags.daemon.clone());
--- a/crates/peppercrank-cli/src/daemons.rs
+++ b/crates/peppercrank-cli/src/daemons.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The daemons' operators' pages, asked side by side.
+//! Concurrent requests to the operator endpoints of the daemons.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -17,29 +17,30 @@
 use crate::errors::Result;
 use crate::remote::PlatformClient;
 
-/// Pages asked for at once; so 1,670 small ones took 2.7 s on loopback, their server included.
+/// Number of concurrent requests. With 16, fetching 1,670 small pages over loopback took 2.7 s,
+/// including the time of the test server.
 const MAX_CONCURRENCY: usize = 16;
 
-/// Time for one page.
+/// Timeout of one request.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// `Daemon` is one daemon's operators' address.
+/// `Daemon` identifies one daemon by its operator address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Daemon {
-    /// The VM's name, or the address where none is known.
+    /// VM name, or the address if the name is unknown.
     pub(crate) name: String,
     pub(crate) address: SocketAddr,
 }
 
-/// `Silence` is why a daemon gave no page.
+/// `PageError` is the reason why a daemon returned no usable page.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PageError {
-    /// It could not be reached, or did not answer in time.
+    /// The daemon was unreachable or did not answer in time.
     Unreached,
-    /// It answered with this HTTP status.
+    /// The daemon answered with this HTTP status instead of 200.
     Refused(u16),
-    /// Its answer is not what the page should hold.
+    /// The response body could not be parsed.
     Malformed,
 }
 
@@ -54,7 +55,7 @@
     }
 }
 
-/// `Pages` reads operators' pages.
+/// `PageClient` fetches pages from operator endpoints.
 #[derive(Debug)]
 pub(crate) struct PageClient {
     agent: Agent,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Asks all daemons for one page, and gives the answers in their order.
+    /// Fetches one page from all daemons and returns the results in the order of `daemons`.
     pub(crate) fn fetch_all<T>(
         &self,
         daemons: &[Daemon],
@@ -89,7 +90,7 @@
             let lanes = daemons.chunks(share).map(|some| {
                 scope.spawn(move || some.iter().map(|d| self.fetch(d, path)).collect::<Vec<_>>())
             });
-            // All lanes start before the first is waited for.
+            // Collecting starts every thread before the first is joined.
             let lanes = lanes.collect::<Vec<_>>();
             let answers = lanes.into_iter().zip(daemons.chunks(share));
             let answers = answers.flat_map(|(lane, some)| {
@@ -120,7 +121,8 @@
     }
 }
 
-/// Finds the daemons: those of the flags, else those of the platform's list that stay.
+/// Returns the daemons that are configured explicitly, else the VMs in the platform's list that
+/// are not leaving.
 pub(crate) fn discover(access: &Access) -> Result<Vec<Daemon>> {
     if !access.daemons.is_empty() {
         let named = access.daemons.iter().map(|address| Daemon {
--- a/crates/peppercrank-cli/src/drain.rs
+++ b/crates/peppercrank-cli/src/drain.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Waiting until a leaving target is drained.
+//! Waits until a leaving target has drained.
 
 use std::thread;
 use std::time::Duration;
@@ -20,13 +20,13 @@
 use crate::errors::Result;
 use crate::words::DurationArg;
 
-/// Longest wait, unless set: a long answer, and some.
+/// Default maximum wait; longer than a long model response takes.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Pause between two looks at the target's agent.
+/// Interval between two status requests to the target's agent.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Waits until the target's own agent says that it is drained.
+/// Waits until the target's own agent reports it as drained.
 pub(crate) fn wait(
     access: &Access,
     target: &TargetName,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Finds the target's own agent among the daemons, and what it says of the target.
+/// Returns the target's own agent and the status it reports for the target.
 fn find_target(
     pages: &PageClient,
     asked: &[Daemon],
@@ -65,7 +65,7 @@
     let answers = asked.iter().zip(answers);
     let mut own = answers.filter_map(|(daemon, answer)| {
         let targets = answer.ok()?.targets;
-        // Only its own agent tells a target's load.
+        // Only the target's own agent reports its load.
         let mut own = targets.into_iter().filter(|t| t.load.is_some());
         let found = own.find(|t| t.name == *target)?;
         Some((daemon.clone(), found))
--- a/crates/peppercrank-cli/src/errors.rs
+++ b/crates/peppercrank-cli/src/errors.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The crate's error type, its result and small constructors.
+//! The error types of the crate and helper constructors.
 
 use std::fmt;
 use std::io;
@@ -22,146 +22,146 @@
 use crate::exit::Exit;
 use crate::object;
 
-/// `Result` is the result of every fallible function of this crate.
+/// `Result` is the result type of fallible functions in this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Word` is what an argument should have been.
+/// `ArgumentError` states what a malformed argument was expected to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ArgumentError {
-    /// The kind of an object.
+    /// An object kind.
     ObjectKind,
-    /// A form of output.
+    /// An output format.
     OutputFormat,
-    /// A daemon.
+    /// A daemon kind.
     DaemonKind,
-    /// What a stand-in stands in for.
+    /// The kind of system that a stand-in simulates.
     StandinKind,
-    /// A `key=value`.
+    /// An assignment `key=value`.
     Assignment,
-    /// The id of an order.
+    /// An order id.
     OrderId,
 }
 
-/// `Misuse` is a command line that parses and yet makes no sense.
+/// `UsageError` is a command line that parses but is not valid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UsageError {
-    /// No platform is named.
+    /// The URL of the platform is not configured.
     MissingPlatform,
-    /// A variable of the environment does not hold what it should.
+    /// An environment variable has a malformed value.
     InvalidVariable(&'static str),
-    /// `mark` wants one of `--remove` and `--shutdown`.
+    /// `mark` needs exactly one of `--remove` and `--shutdown`.
     MissingMarkAction,
-    /// `--grace` has no meaning without `--remove`.
+    /// `--grace` was given without `--remove`.
     GraceWithoutRemove,
-    /// An organisation has no such parameter.
+    /// Organisations have no parameter of this name.
     UnknownParameter(String),
-    /// A parameter's value is not of its type.
+    /// The value of a parameter does not parse as the parameter's type.
     InvalidValue {
-        /// The parameter.
+        /// Name of the parameter.
         key: String,
-        /// The value as given.
+        /// The value as it was given.
         value: String,
     },
-    /// A new organisation wants a template.
+    /// A new organisation needs a template.
     MissingTemplate,
-    /// `set-organisation` wants a parameter.
+    /// `set-organisation` needs at least one parameter.
     MissingParameter,
-    /// `order` wants one order.
+    /// `order` needs exactly one command.
     AmbiguousOrderCommand,
-    /// `--platform-port` has no meaning without `--agents`.
+    /// `--platform-port` was given without `--agents`.
     PlatformPortWithoutAgents,
 }
 
-/// `Error` is why a verb was not carried out.
+/// `Error` is the reason why a subcommand failed.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum Error {
-    /// The command line does not parse.
+    /// The command line could not be parsed.
     Arguments(xflags::Error),
-    /// The command line parses and yet makes no sense.
+    /// The command line parses but is not valid.
     Usage(UsageError),
-    /// A settings file is wrong, or a file could not be read.
+    /// A settings file is invalid or a file could not be read.
     Settings(peppercrank_settings::Error),
     /// A file is not JSON with comments.
     File {
         /// The file.
         path: PathBuf,
-        /// The fault and its place.
+        /// The parse error with its position.
         source: peppercrank_core::Error,
     },
-    /// The content failed its checks.
+    /// The content of the object failed validation.
     InvalidObject(Fault),
-    /// The content of one file of many failed its checks.
+    /// One file of several failed validation.
     InvalidObjectFile {
         /// The file.
         path: PathBuf,
-        /// The fault.
+        /// The validation error.
         fault: Fault,
     },
-    /// A directory holds no objects or cannot be read.
+    /// A directory contains no objects or cannot be read.
     Directory {
         /// The directory.
         path: PathBuf,
-        /// Why not.
+        /// The I/O error; `NotFound` if the directory contains no objects.
         source: io::Error,
     },
-    /// The process could not be set up.
+    /// Setting up the process failed: the runtime, a signal handler or a local fleet.
     Process(io::Error),
-    /// A stand-in could not be started.
+    /// A stand-in failed to start.
     Standin(peppercrank_standin::Error),
-    /// Somebody else changed the object.
+    /// The object was changed concurrently.
     Conflict(Box<Conflict>),
-    /// There is no such object.
+    /// The object does not exist.
     NotFound(ObjectKey),
-    /// The platform's API gave no answer that counts until the time was up.
+    /// The platform's API did not answer before the timeout; nothing was written.
     Unavailable,
-    /// The platform's API refused the call itself.
+    /// The platform's API rejected the call.
     Platform(peppercrank_wire::platform::Failure),
-    /// A write was sent and the time was up before its fate was known.
+    /// A write was sent, but whether it took effect was still unknown at the timeout.
     OutcomeUnknown(PublishId),
-    /// A change is not in force everywhere in time.
+    /// A change was written but was not in force on all daemons before the timeout.
     NotInForce {
-        /// Its version.
+        /// Version of the changed object.
         version: u64,
-        /// On how many daemons it is.
+        /// Number of daemons on which it is in force.
         done: usize,
-        /// The daemons that answered with an older version, or not at all.
+        /// The daemons that reported an older version or did not answer.
         missing: Vec<crate::in_force::MissingDaemon>,
     },
-    /// A leaving target is not drained in time.
+    /// A leaving target did not drain before the timeout.
     NotDrained {
-        /// The target.
+        /// Name of the target.
         target: TargetName,
-        /// The requests that still run on it.
+        /// Number of requests that were still running on it.
         running: u32,
     },
-    /// No daemon that answers is the agent of a target.
+    /// None of the daemons that answered is the agent of the target.
     NoAgent(TargetName),
-    /// No daemon that answers knows a pool or target of this name.
+    /// None of the daemons that answered knows a pool or target of this name.
     NoSuchTarget(String),
-    /// Another holds the lease that orders to the pool are given under.
+    /// The lease that authorises orders to the pool is held by another VM.
     LeaseHeld(VmName),
-    /// The output could not be written.
+    /// Writing the output failed.
     Output(io::Error),
-    /// A daemon ended with an error.
+    /// A daemon or another component failed.
     Daemon(eyre::Report),
 }
 
-/// `file` makes the error for a file that is not JSON with comments.
+/// Returns the error for a file that is not JSON with comments.
 #[must_use]
 pub fn file(path: &Path, source: peppercrank_core::Error) -> Error {
     let path = path.to_path_buf();
     Error::File { path, source }
 }
 
-/// `directory` makes the error for a directory that cannot be read or holds no objects.
+/// Returns the error for a directory that cannot be read or contains no objects.
 #[must_use]
 pub fn directory(path: &Path, source: io::Error) -> Error {
     let path = path.to_path_buf();
     Error::Directory { path, source }
 }
 
-/// `value` makes the error for a parameter's value of another type.
+/// Returns the error for a parameter value of the wrong type.
 #[must_use]
 pub fn invalid_value(key: &str, value: &str) -> Error {
     Error::Usage(UsageError::InvalidValue {
@@ -171,7 +171,7 @@
 }
 
 impl Error {
-    /// `exit` is the exit code that tells scripts of this error.
+    /// Returns the exit code for this error.
     #[must_use]
     pub fn exit(&self) -> Exit {
         match self {
@@ -197,7 +197,7 @@
         }
     }
 
-    /// `json` is the error for scripts.
+    /// Returns the error as JSON for scripts.
     #[must_use]
     pub fn json(&self) -> Value {
         let mut value = json!({
@@ -233,7 +233,7 @@
     }
 }
 
-/// Adds the place of a fault in a file.
+/// Adds the line and column of a parse error to the JSON output.
 fn add_position(value: &mut Value, e: &peppercrank_core::Error) {
     if let peppercrank_core::Error::Settings { line, column, .. } = e {
         value["line"] = json!(line);
--- a/crates/peppercrank-cli/src/exit.rs
+++ b/crates/peppercrank-cli/src/exit.rs
@@ -1,37 +1,38 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The exit codes, which scripts may rely on.
+//! Exit codes. Scripts rely on them, so they are stable.
 
 use std::process::ExitCode;
 
-/// `Exit` is how a run of the command ended.
+/// `Exit` is the exit status of the command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Exit {
-    /// Done as asked.
+    /// Success.
     Done = 0,
-    /// Failed in another way than those below.
+    /// A failure that has no exit code of its own.
     Failure = 1,
-    /// The command line is wrong: nothing was done.
+    /// The command line is invalid; nothing was done.
     Usage = 2,
-    /// Somebody else changed the object: nothing of theirs was overwritten.
+    /// The object was changed concurrently, or another VM holds the lease; nothing was
+    /// overwritten.
     Conflict = 3,
-    /// A file, object or settings text fails its checks: nothing was sent.
+    /// A file, object or settings text is invalid; nothing was sent.
     Invalid = 4,
-    /// The platform's API did not answer: nothing was written.
+    /// The platform's API did not answer; nothing was written.
     Unavailable = 5,
-    /// Written, but not seen in force everywhere in time.
+    /// The change was written, but was not confirmed in force on all daemons in time.
     NotInForce = 6,
-    /// There is no such object.
+    /// The object, pool or target does not exist.
     NotFound = 7,
-    /// A write was sent and its fate is unknown; the same publish id tells.
+    /// The outcome of a write or order is unknown; running it again with the same id resolves it.
     Unknown = 8,
     /// `diff` found differences.
     Differs = 9,
 }
 
 impl Exit {
-    /// All ways to end, in the order of their codes.
+    /// All variants in the order of their codes.
     pub const ALL: &[Self] = &[
         Self::Done,
         Self::Failure,
@@ -45,13 +46,13 @@
         Self::Differs,
     ];
 
-    /// `code` is the process's exit code.
+    /// Returns the numeric exit code of the process.
     #[must_use]
     pub const fn code(self) -> u8 {
         self as u8
     }
 
-    /// `word` is the code's name in JSON output.
+    /// Returns the name used in JSON output.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
--- a/crates/peppercrank-cli/src/fate.rs
+++ b/crates/peppercrank-cli/src/fate.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What became of an order at one target.
+//! Outcome of an order at one target.
 
 use std::fmt;
 
@@ -13,41 +13,42 @@
 
 use crate::exit::Exit;
 
-/// `Fate` is what became of an order at one target.
+/// `OrderOutcome` is the outcome of an order at one target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum OrderOutcome {
-    /// The engine obeyed.
+    /// The engine carried out the order.
     Obeyed,
-    /// The engine refused.
+    /// The engine refused the order.
     Refused,
-    /// An answer was lost: the engine may have obeyed.
+    /// The answer was lost or not understood; the engine may have carried out the order.
     Unknown,
-    /// Not passed: the agent knows of this fencing number or a higher one.
+    /// Not forwarded: the agent has already seen this fencing number or a higher one.
     Stale {
-        /// The least number that it passes.
+        /// Lowest fencing number that the agent accepts.
         least: u64,
     },
-    /// Not passed: the agent has restarted and cannot read the lease.
+    /// Not forwarded: the agent has restarted and cannot read the lease.
     Unread,
-    /// Not passed: too many orders or calls wait at the agent.
+    /// Not forwarded: too many orders or calls are queued at the agent.
     Busy,
-    /// Not sent: the lease was held no more.
+    /// Not sent: the lease was no longer held.
     Lapsed,
-    /// Not sent: no connection to the agent was made.
+    /// Not sent: connecting to the agent failed.
     Unreached,
-    /// Not sent: no daemon that answers is the target's agent, or it tells no control address.
+    /// Not sent: none of the daemons that answered is the target's agent, or the agent reports no
+    /// control address.
     NoAgent,
-    /// Not passed: the agent does not know the key that the order was sealed with.
+    /// Not forwarded: the agent does not know the key that the order was sealed with.
     Unauthentic,
-    /// Not passed: a plain service takes no orders.
+    /// Not forwarded: the target is a plain service, which takes no orders.
     NoEngine,
-    /// Not passed: the agent does not understand the order.
+    /// Not forwarded: the agent could not parse the order.
     Malformed,
 }
 
 impl OrderOutcome {
-    /// `of` reads what the agent said, or why it said nothing.
+    /// Returns the outcome for an agent's reply or for a failed call.
     #[must_use]
     pub fn from_reply(told: Result<String, ControlError>) -> Self {
         match told {
@@ -55,7 +56,7 @@
             Err(ControlError::Connect(_)) => Self::Unreached,
             Err(ControlError::Busy) => Self::Busy,
             Err(ControlError::Refused(_)) => Self::Unauthentic,
-            // The order may have been passed on before its answer was lost.
+            // The order may have been forwarded before the answer was lost.
             Err(_) => Self::Unknown,
         }
     }
@@ -74,12 +75,12 @@
             }) => Self::Stale { least },
             Ok(Outcome::Unread) => Self::Unread,
             Ok(Outcome::Busy) => Self::Busy,
-            // The words of a newer agent may mean that it passed the order.
+            // The reply of a newer agent may mean that it forwarded the order.
             Ok(Outcome::Passed(Reply::Unknown)) | Err(_) => Self::Unknown,
         }
     }
 
-    /// `exit` is the exit code that a run with this fate alone ends with.
+    /// Returns the exit code of a run with only this outcome.
     #[must_use]
     pub const fn exit(self) -> Exit {
         match self {
@@ -97,9 +98,10 @@
         }
     }
 
-    /// `worst` is the exit code of a run over several targets.
+    /// Returns the exit code of a run over several targets.
     ///
-    /// An unknown fate goes before a lost race, and that before any other failure.
+    /// An unknown outcome takes precedence over a lost race for the lease, which takes precedence
+    /// over any other failure.
     #[must_use]
     pub fn worst_exit(fates: impl IntoIterator<Item = Self>) -> Exit {
         let rank = |exit: &Exit| match exit {
--- a/crates/peppercrank-cli/src/help.rs
+++ b/crates/peppercrank-cli/src/help.rs
@@ -1,12 +1,13 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Help for one verb, cut out of the whole text.
+//! Help text of one subcommand, extracted from the complete help text.
 
-/// The command's name, with which the heads of the text's sections begin.
+/// Name of the command, which starts the heading of each section.
 const COMMAND: &str = "peppercrank";
 
-/// `of_verb` is the help for `verb`, with the flags that every verb takes; else the whole text.
+/// Returns the help for `verb` followed by the global flags, or the complete text if `verb` is
+/// `None` or unknown.
 pub(crate) fn help_for(whole: &str, verb: Option<&str>) -> String {
     verb.and_then(|v| section(whole, v))
         .unwrap_or_else(|| whole.to_owned())
@@ -32,7 +33,7 @@
     ))
 }
 
-/// Tells whether a line is the head of a verb's section.
+/// Returns whether a line is the heading of a subcommand's section.
 fn is_section_heading(line: &str) -> bool {
     let verb = line.strip_prefix(COMMAND);
     verb.is_some_and(|v| v.starts_with(' '))
--- a/crates/peppercrank-cli/src/holder.rs
+++ b/crates/peppercrank-cli/src/holder.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The lease that orders are given under, held by one run of the command.
+//! Blocking holder of the lease under which orders are sent.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -27,9 +27,9 @@
 use peppercrank_wire::platform::Platform;
 use peppercrank_wire::platform::Written;
 
-/// `Holder` seeks, holds and gives back the lease of one pool, by calls that block.
+/// `Holder` acquires, renews and releases the lease of one pool with blocking calls.
 ///
-/// Its clock is read anew for each question, so that a process that was paused learns of it.
+/// The clock is read on each query, so that a process that was paused notices an expired lease.
 pub struct Holder<C> {
     contender: Contender,
     platform: Platform,
@@ -48,11 +48,11 @@
 }
 
 impl<C: Fn() -> Instant> Holder<C> {
-    /// `new` makes a holder that has not sought the lease yet.
+    /// Creates a holder that has not tried to acquire the lease yet.
     ///
     /// # Errors
     ///
-    /// Returns an error when no lease can be held under the policy.
+    /// Returns an error if the default policy is invalid.
     pub fn new(
         platform: Platform,
         pool: PoolName,
@@ -69,26 +69,28 @@
         })
     }
 
-    /// `seek` waits until the lease is held, at most until `end`; it tells the fencing number.
+    /// Waits until the lease is held or `end` is reached, and returns the fencing number, or
+    /// `None` on timeout.
     pub fn acquire(&mut self, end: Instant) -> Option<Version> {
         self.apply(Input::Seek);
         self.wait(end, Contender::fence)
     }
 
-    /// `fence` is the number to act under at this very moment, none when no act is allowed.
+    /// Returns the fencing number that is valid now, or `None` if the lease is not held.
     #[must_use]
     pub fn fence(&self) -> Option<Version> {
         self.contender.fence((self.clock)())
     }
 
-    /// `renew` makes the renewal that is due, if one is.
+    /// Renews the lease if a renewal is due.
     pub fn renew(&mut self) {
         self.apply(Input::Tick);
     }
 
-    /// `reach` waits for a renewal that brings a number of at least `least`.
+    /// Waits for a renewal with a fencing number of at least `least`.
     ///
-    /// It tells whether one came by `end`; a lease that is lost meanwhile is not sought again.
+    /// Returns whether that happened before `end`. A lease that is lost in the meantime is not
+    /// acquired again.
     pub fn wait_for_fence(&mut self, least: Version, end: Instant) -> bool {
         let reached = |contender: &Contender, now| match contender.fence(now) {
             Some(fence) if fence < least => None,
@@ -97,20 +99,22 @@
         matches!(self.wait(end, reached), Some(Some(_)))
     }
 
-    /// `give_back` lets another take the lease at once, and tells whether that was written.
+    /// Releases the lease so that another holder can acquire it at once. Returns whether the
+    /// release was written before `end`.
     pub fn release(&mut self, end: Instant) -> bool {
         self.apply(Input::Leave);
         let owes_nothing = |contender: &Contender, _| contender.wake().is_none().then_some(());
         self.wait(end, owes_nothing).is_some()
     }
 
-    /// `other` is who held the lease when it was last seen in other hands.
+    /// Returns the other holder that was last seen in the lease, or `None` if none was seen or it
+    /// has released the lease.
     #[must_use]
     pub const fn other_holder(&self) -> Option<&VmName> {
         self.competing_vm.as_ref()
     }
 
-    /// Carries on until `done` says something, at most until `end`.
+    /// Drives the contender until `done` returns a value or `end` is reached.
     fn wait<T>(
         &mut self,
         end: Instant,
@@ -130,7 +134,7 @@
         }
     }
 
-    /// Gives the contender an input, and the answers to the calls that it asks for.
+    /// Feeds an input to the contender, and then the results of the store calls that it requests.
     fn apply(&mut self, input: Input) {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
@@ -144,7 +148,7 @@
                         let answer = self.write(base, &body);
                         inputs.push_back(Input::Answer { call, answer });
                     }
-                    // Whether it is held is asked before each act.
+                    // Callers query the fencing number before each act, so these need no handling.
                     Action::Held { .. } | Action::Lost => {}
                 }
             }
@@ -158,7 +162,7 @@
                     self.record_holder(&body);
                     Answer::Found { version, body }
                 }
-                // What cannot be read may be another's lease.
+                // An object that cannot be parsed may be another holder's lease.
                 None => Answer::Failed { after: None },
             },
             Ok(Fetched::Absent) => Answer::Absent,
--- a/crates/peppercrank-cli/src/in_force.rs
+++ b/crates/peppercrank-cli/src/in_force.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Waiting until a change is in force on every daemon.
+//! Waits until a change is in force on all daemons.
 
 use std::fmt;
 use std::thread;
@@ -22,31 +22,31 @@
 use crate::errors::Result;
 use crate::words::DurationArg;
 
-/// Longest wait, unless set: several times the seconds that a change takes.
+/// Default maximum wait; several times the seconds that a change usually takes.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pause between two rounds over the daemons that are behind.
+/// Interval between two polls of the daemons that lag behind.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Rounds after which the daemons are looked up again, since VMs come and go.
+/// Number of polls after which the list of daemons is refreshed, since VMs come and go.
 const REDISCOVERY_ROUNDS: u32 = 25;
 
-/// `Missing` is a daemon on which a change is not seen in force.
+/// `MissingDaemon` is a daemon on which a change is not confirmed in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct MissingDaemon {
-    /// The daemon's VM or address.
+    /// VM name of the daemon, or its address if the name is unknown.
     pub daemon: String,
-    /// What it said.
+    /// Why the change is not confirmed.
     pub why: MissingReason,
 }
 
-/// `Why` is why a change is not seen in force on a daemon.
+/// `MissingReason` states why a change is not confirmed on a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MissingReason {
-    /// It holds this older version.
+    /// The daemon holds this older version.
     Version(u64),
-    /// It gave no answer.
+    /// The daemon returned no usable page.
     Silent(PageError),
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// `Wait` is whether and how long a write waits to be in force.
+/// `Wait` states whether and how long a write waits to be in force.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Wait {
     enabled: bool,
@@ -72,7 +72,8 @@
         Self { enabled, timeout }
     }
 
-    /// Waits for a version of an object and tells on how many daemons it is in force.
+    /// Waits for a version of an object and returns the number of daemons on which it is in force,
+    /// or `None` if waiting is disabled.
     pub(crate) fn wait_for(
         self,
         access: &Access,
@@ -87,7 +88,7 @@
         let path = format!("{OBJECTS_PATH}/{}/{}", key.kind.code(), key.name);
         let mut all = daemons::discover(access)?;
         if all.is_empty() {
-            // In force on all of none would be true and worthless.
+            // With no daemons, "in force on all" would be vacuously true.
             return Err(Error::NotInForce {
                 version,
                 done: 0,
@@ -118,7 +119,7 @@
     }
 }
 
-/// Asks the daemons that were behind, and keeps those that still are.
+/// Polls the daemons in `behind`, keeps those that still lag, and returns why.
 fn poll_lagging(
     pages: &PageClient,
     path: &str,
@@ -143,9 +144,9 @@
     missing
 }
 
-/// Drops the VMs that have left the list and takes in the new ones.
+/// Removes VMs that have left the list and adds new ones.
 fn refresh_daemons(access: &Access, all: &mut Vec<Daemon>, behind: &mut Vec<Daemon>) {
-    // While the platform does not answer, those known so far will do.
+    // Without an answer from the platform, the known daemons are kept.
     let Ok(list) = daemons::discover(access) else {
         return;
     };
--- a/crates/peppercrank-cli/src/lib.rs
+++ b/crates/peppercrank-cli/src/lib.rs
@@ -1,9 +1,9 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The `peppercrank` command as a library, so that each verb runs in a test's own process.
+//! The `peppercrank` command as a library, so that tests can run subcommands in their own process.
 //!
-//! [`run`] reads a command line, carries its verb out and writes what it has to say.
+//! [`run`] parses a command line, executes its subcommand and writes the result.
 
 pub mod errors;
 pub mod exit;
--- a/crates/peppercrank-cli/src/object.rs
+++ b/crates/peppercrank-cli/src/object.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Objects as files hold them and as output shows them.
+//! Reading objects from files and formatting them for output.
 
 use std::path::Path;
 
@@ -15,25 +15,26 @@
 use crate::errors;
 use crate::errors::Result;
 
-/// `read` reads the content of an object from a file of JSON with comments.
+/// Reads the content of an object from a file of JSON with comments.
 ///
 /// # Errors
 ///
-/// Returns [`errors::Error::Settings`] when the file cannot be read and
-/// [`errors::Error::File`] with the place of the fault when it does not parse.
+/// Returns [`errors::Error::Settings`] if the file cannot be read and [`errors::Error::File`] with
+/// the position of the error if it does not parse.
 pub fn read(path: &Path) -> Result<Value> {
     let text = peppercrank_settings::file::read(path)?;
     peppercrank_core::settings::parse(&text).map_err(|e| errors::file(path, e))
 }
 
-/// `spec` is the content within a body; a body written past our tools is shown whole.
+/// Returns the spec within a stored body, or the whole body if it was not written with this tool's
+/// envelope.
 #[must_use]
 pub fn spec(body: &Value) -> Value {
     let envelope = serde_json::from_value::<Envelope>(body.clone());
     envelope.map_or_else(|_e| body.clone(), |e| e.spec)
 }
 
-/// `current_json` shows an object for scripts, null when there is none.
+/// Returns an object as JSON for scripts, or null if there is none.
 #[must_use]
 pub fn current_json(current: Option<&Current>) -> Value {
     current.map_or(
@@ -42,7 +43,7 @@
     )
 }
 
-/// `differences_json` shows differences for scripts.
+/// Returns differences as a JSON array for scripts.
 #[must_use]
 pub fn differences_json(differences: &[Difference]) -> Value {
     let all = differences
@@ -51,14 +52,14 @@
     all.collect()
 }
 
-/// `differences_text` shows differences for people, one a line.
+/// Returns differences as text, one per line.
 #[must_use]
 pub fn differences_text(differences: &[Difference]) -> String {
     let lines = differences.iter().map(|d| format!("  {d}\n"));
     lines.collect()
 }
 
-/// `title` names an object for people.
+/// Returns the kind and name of an object for messages.
 #[must_use]
 pub fn display_name(key: &ObjectKey) -> String {
     format!("{} `{}`", key.kind.code(), key.name)
--- a/crates/peppercrank-cli/src/remote.rs
+++ b/crates/peppercrank-cli/src/remote.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The platform as the verbs use it: reads with retries, and acts of publishing.
+//! Platform client of the subcommands: reads with retries, and publishing.
 
 use std::thread;
 use std::time::Duration;
@@ -33,16 +33,16 @@
 use crate::errors::Error;
 use crate::errors::Result;
 
-/// The first pause before a read is tried again; it doubles.
+/// Initial delay before a read is retried; doubled on each retry.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The longest pause before a read is tried again.
+/// Maximum delay before a read is retried.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// The pause when the platform is throttling and does not say for how long.
+/// Delay after a throttled call without a retry hint.
 const THROTTLED_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// `Remote` is the platform within the time of one verb.
+/// `PlatformClient` calls the platform within the timeout of one subcommand.
 #[derive(Debug)]
 pub(crate) struct PlatformClient {
     platform: Platform,
@@ -54,7 +54,7 @@
     pub(crate) fn new(access: &Access) -> Result<Self> {
         let mut to = platform::Access::new(access.platform()?.address());
         to.token = access.token.as_ref().map(|t| t.reveal().to_owned());
-        // One call that hangs must leave time for another.
+        // A single call that hangs must leave time for another.
         to.call = to.call.min(access.timeout / 2);
         to.connect = to.connect.min(to.call);
         Ok(Self {
@@ -64,28 +64,28 @@
         })
     }
 
-    /// The platform alone, for who keeps to times of its own.
+    /// Returns the underlying platform API, for callers with timeouts of their own.
     pub(crate) fn into_platform(self) -> Platform {
         self.platform
     }
 
-    /// The moment by which everything must be done.
+    /// Returns the deadline of all calls, on the clock of [`Self::now`].
     pub(crate) fn deadline(&self) -> Instant {
         Instant::from_origin(self.timeout)
     }
 
-    /// Reads an object, none when it is not there.
+    /// Reads an object; `None` if it does not exist.
     pub(crate) fn read(&self, key: &ObjectKey) -> Result<Option<Current>> {
         self.retry(|| self.fetch(key))
     }
 
-    /// Reads an object that must be there.
+    /// Reads an object, or returns [`Error::NotFound`].
     pub(crate) fn read_existing(&self, key: &ObjectKey) -> Result<Current> {
         let found = self.read(key)?;
         found.ok_or_else(|| Error::NotFound(key.clone()))
     }
 
-    /// Lists a kind.
+    /// Lists all objects of a kind.
     pub(crate) fn list(&self, kind: ObjectKind) -> Result<Listing> {
         self.retry(|| self.platform.list(kind.code()))
     }
@@ -95,7 +95,7 @@
         self.retry(|| self.platform.vms())
     }
 
-    /// Carries an act of publishing through.
+    /// Runs the publishing state machine to its end.
     pub(crate) fn publish(&self, key: &ObjectKey, mut publish: Publish) -> Result<Done> {
         let id = publish.id();
         let mut write_uncertain = false;
@@ -122,7 +122,8 @@
                     match publish_failure(failure) {
                         Some(Failure::Lost) => Input::Written(Err(Failure::Lost)),
                         Some(failure) => Input::Read(Err(failure)),
-                        // A refusal now does not undo a write that may have been taken before.
+                        // A refusal does not undo an earlier write of unknown outcome, which may
+                        // have been accepted.
                         None if write_uncertain => return Err(Error::OutcomeUnknown(id)),
                         None => return Err(Error::Platform(failure)),
                     }
@@ -172,7 +173,8 @@
         let written = match written {
             platform::Written::Done(version) => Written::Version(Version(version)),
             platform::Written::Conflict(Some(object)) => Written::Refused(live_object(object)),
-            // The refusal did not say what stands there, and nothing must not be taken for it.
+            // The conflict did not include the current object; it must not be mistaken for an
+            // absent one.
             platform::Written::Conflict(None) => Written::Refused(self.fetch(key)?),
         };
         Ok(Input::Written(Ok(written)))
@@ -206,7 +208,7 @@
     }
 }
 
-/// What a failure means to a publisher; none when trying again cannot help.
+/// Converts a failure for the publishing state machine; `None` if a retry cannot help.
 fn publish_failure(failure: platform::Failure) -> Option<Failure> {
     match failure {
         platform::Failure::Throttled(after) => Some(Failure::Busy {
@@ -218,7 +220,7 @@
     }
 }
 
-/// An object that is no tombstone.
+/// Returns the object unless it is a tombstone.
 fn live_object(object: Object) -> Option<Current> {
     let body = object.body?;
     let version = Version(object.version);
--- a/crates/peppercrank-cli/src/report.rs
+++ b/crates/peppercrank-cli/src/report.rs
@@ -1,14 +1,14 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What a verb has to say, for people and for scripts.
+//! Result of a subcommand as text and as JSON.
 
 use serde_json::Value;
 
 use crate::exit::Exit;
 use crate::words::OutputFormat;
 
-/// `Report` is the result of a verb.
+/// `Report` is the result of a subcommand.
 #[derive(Debug, Clone)]
 pub(crate) struct Report {
     pub(crate) exit: Exit,
@@ -17,24 +17,24 @@
 }
 
 impl Report {
-    /// Makes the report of a verb that did as asked.
+    /// Creates the report of a successful subcommand.
     pub(crate) fn done(text: String, json: Value) -> Self {
         Self::with_exit(Exit::Done, text, json)
     }
 
-    /// Makes a report with another exit code.
+    /// Creates a report with the given exit code.
     pub(crate) const fn with_exit(exit: Exit, text: String, json: Value) -> Self {
         Self { exit, text, json }
     }
 
-    /// Adds one more fact.
+    /// Adds a field to the text and the JSON.
     pub(crate) fn with_field(mut self, name: &str, value: &Value) -> Self {
         self.text = format!("{}\n{name}: {value}", self.text.trim_end());
         self.json[name] = value.clone();
         self
     }
 
-    /// Shows the report, with one line's end after it.
+    /// Renders the report, terminated by a newline unless the text is empty.
     pub(crate) fn render(&self, form: OutputFormat) -> String {
         match form {
             OutputFormat::Text if self.text.is_empty() => String::new(),
@@ -44,7 +44,7 @@
     }
 }
 
-/// Lays rows out in columns, the first row as their heads.
+/// Formats rows as aligned columns; the first row is the header.
 pub(crate) fn table(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let widths = (0..columns).map(|at| {
@@ -61,7 +61,7 @@
     lines.collect()
 }
 
-/// Makes a row of a table.
+/// Creates a row for [`table`].
 pub(crate) fn row(cells: &[&str]) -> Vec<String> {
     cells.iter().map(|&c| c.to_owned()).collect()
 }
--- a/crates/peppercrank-cli/src/run.rs
+++ b/crates/peppercrank-cli/src/run.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One run of the command, from its arguments to its exit code.
+//! Runs the command, from its arguments to its exit code.
 
 use std::ffi::OsString;
 use std::io::Write;
@@ -16,9 +16,9 @@
 use crate::verbs;
 use crate::words::OutputFormat;
 
-/// `run` carries out one command line, without the program's name.
+/// Executes one command line, given without the program name.
 ///
-/// Results go to `out`, errors to `err`; with `--output json` each is one JSON value.
+/// Results are written to `out` and errors to `err`; with `--output json` each is one JSON value.
 pub fn run(
     args: Vec<OsString>,
     environment: &Environment,
@@ -64,12 +64,12 @@
         OutputFormat::Text => error.to_string(),
         OutputFormat::Json => error.json().to_string(),
     };
-    // There is nowhere left to tell of it.
+    // A failure to write to standard error cannot be reported anywhere.
     let _unwritten = writeln!(err, "{text}");
     error.exit()
 }
 
-/// The verb, for its help: the first argument that is a verb's name.
+/// Returns the subcommand whose help to print: the first argument that is a subcommand name.
 fn find_subcommand(args: &[OsString]) -> Option<String> {
     let words = args.iter().filter_map(|a| a.to_str());
     words
@@ -78,7 +78,7 @@
         .map(str::to_owned)
 }
 
-/// The form of errors, which must be known before the arguments are known to parse.
+/// Returns the output format of errors, which must be known even if the arguments do not parse.
 fn error_format(args: &[OsString]) -> OutputFormat {
     let json = args
         .windows(2)
--- a/crates/peppercrank-cli/src/verbs/batch.rs
+++ b/crates/peppercrank-cli/src/verbs/batch.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A whole directory of objects: a first deployment, or a repository of them.
+//! Publishes a directory of objects, such as a first deployment or a repository of them.
 
 use std::ffi::OsStr;
 use std::fs;
@@ -33,7 +33,7 @@
 use crate::remote::PlatformClient;
 use crate::report::Report;
 
-/// The kinds in an order in which no object names one that is not there yet.
+/// Order in which kinds are published, so that no object refers to one that does not exist yet.
 const PUBLISH_ORDER: [ObjectKind; 4] = [
     ObjectKind::Pool,
     ObjectKind::Template,
@@ -41,16 +41,16 @@
     ObjectKind::Mark,
 ];
 
-/// Endings of files that hold objects.
+/// Extensions of files that contain objects.
 const EXTENSIONS: [&str; 2] = ["json", "jsonc"];
 
-/// One file's object.
+/// An object read from a file.
 struct Entry {
     key: ObjectKey,
     spec: Value,
 }
 
-/// What became of an object.
+/// Result of publishing one object.
 struct ObjectResult {
     key: ObjectKey,
     version: u64,
@@ -63,7 +63,7 @@
     Created,
     Revised,
     Unchanged,
-    /// It differs and was left alone.
+    /// The object differs from the file and was not changed.
     Differs,
 }
 
@@ -78,13 +78,13 @@
     }
 }
 
-/// Publishes all objects under a directory, once every file has passed its checks.
+/// Publishes all objects under a directory after all files have been validated.
 pub(super) fn publish_all(access: &Access, flags: &flags::PublishAll) -> Result<Report> {
     let entries = read_all(&flags.directory)?;
     let wait = Wait::new(flags.wait, flags.within);
     let mut outcomes = Vec::new();
     for entry in &entries {
-        // Each object has the verb's whole time: there may be many.
+        // The timeout applies to each object, as there may be many.
         outcomes.push(publish_entry(
             &PlatformClient::new(access)?,
             entry,
@@ -132,7 +132,7 @@
     format!("{title} is at version {version} ({how})\n{lines}")
 }
 
-/// Creates or revises one object, or leaves it alone.
+/// Creates or revises one object, or leaves it unchanged.
 fn publish_entry(remote: &PlatformClient, entry: &Entry, revise: bool) -> Result<ObjectResult> {
     let current = remote.read(&entry.key)?;
     let differences = current
@@ -161,7 +161,7 @@
     Ok(outcome(done.version.0, how, differences))
 }
 
-/// Reads and checks all files before the first is sent.
+/// Reads and validates all files before the first object is sent.
 fn read_all(directory: &Path) -> Result<Vec<Entry>> {
     let mut entries = Vec::new();
     for kind in PUBLISH_ORDER {
@@ -188,7 +188,7 @@
     Ok(Entry { key, spec })
 }
 
-/// The files of one kind, by name; a kind without a directory has none.
+/// Returns the files of one kind sorted by name; none if the directory does not exist.
 fn object_files(directory: &Path) -> Result<Vec<PathBuf>> {
     let entries = match fs::read_dir(directory) {
         Ok(entries) => entries,
--- a/crates/peppercrank-cli/src/verbs/daemon.rs
+++ b/crates/peppercrank-cli/src/verbs/daemon.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The daemons as processes of their own.
+//! Subcommands that run a daemon in the foreground.
 
 use std::io;
 
@@ -25,7 +25,7 @@
 use crate::flags;
 use crate::report::Report;
 
-/// Serves as a router until SIGTERM or SIGINT.
+/// Runs a router until SIGTERM or SIGINT.
 pub(super) fn router(flags: &flags::Router) -> Result<Report> {
     let settings = RouterSettings::load(&flags.file)?;
     let log = log(&settings.fleet);
@@ -42,7 +42,7 @@
     ))
 }
 
-/// Serves as an agent until SIGTERM or SIGINT.
+/// Runs an agent until SIGTERM or SIGINT.
 pub(super) fn agent(flags: &flags::Agent) -> Result<Report> {
     let settings = AgentSettings::load(&flags.file)?;
     let log = log(&settings.fleet);
@@ -59,12 +59,12 @@
     ))
 }
 
-/// Writes the daemon's events to the standard error, where a process's collector reads them.
+/// Returns a log that writes to standard error, where a log collector picks it up.
 fn log(settings: &FleetSettings) -> Log {
     Log::to_writer(io::stderr(), settings.log.level(), settings.vm.as_str())
 }
 
-/// Stops at the first signal.
+/// Triggers the stopper on the first SIGTERM or SIGINT.
 pub(super) fn on_signal(stopper: Stopper) -> Result<()> {
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(Error::Process)?;
     let wait = move || {
--- a/crates/peppercrank-cli/src/verbs/explain.rs
+++ b/crates/peppercrank-cli/src/verbs/explain.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One request's story out of the daemons' logs.
+//! Reconstructs the history of one request from daemon logs.
 
 use std::fmt::Write;
 use std::fs::File;
@@ -21,7 +21,7 @@
 use crate::flags;
 use crate::report::Report;
 
-/// Reads the logs and tells the story.
+/// Reads the logs and reports the history of the request.
 pub(super) fn explain(flags: &flags::Explain) -> Result<Report> {
     let mut story = RequestTrace::new(&flags.id);
     if flags.files.is_empty() {
@@ -52,7 +52,7 @@
     for step in &steps {
         write_step(&mut text, step);
     }
-    // Writing into a string does not fail.
+    // Writing to a string never fails.
     let _written = write!(text, "likely cause: {cause}");
     let told = steps.iter().map(|s| step_json(s)).collect::<Vec<_>>();
     Report::done(text, json!({ "id": id, "steps": told, "cause": cause }))
@@ -61,7 +61,7 @@
 fn write_step(text: &mut String, step: &TraceStep) {
     let fields = fields_text(&step.fields);
     let event = step.event.text();
-    // Writing into a string does not fail.
+    // Writing to a string never fails.
     let _written = writeln!(text, "{} {} {event}: {fields}", step.time, step.process);
     for belief in &step.process_state {
         let _written = writeln!(text, "    since {}: {}", belief.time, belief.description);
--- a/crates/peppercrank-cli/src/verbs/local.rs
+++ b/crates/peppercrank-cli/src/verbs/local.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A whole small fleet in one process: routers that send straight to targets, or with an agent beside each target.
+//! Runs a small fleet in one process, either with routers that send straight to targets or with an
+//! agent beside each target.
 
 mod direct;
 mod objects;
@@ -55,16 +56,16 @@
 use crate::report::Report;
 use crate::verbs::daemon;
 
-/// Time for the fleet to come together.
+/// Time within which all routers must be ready and know all targets.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause between two looks at whether it has.
+/// Interval between two checks of that.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The operators' token of a local fleet; it guards nothing but this process.
+/// Operator token of a local fleet; it protects only this process.
 pub(crate) const LOCAL_TOKEN: &str = "local-operators-token";
 
-/// `Local` is a fleet that runs.
+/// A running fleet with agents.
 struct AgentFleet {
     stopper: Stopper,
     platform: Running,
@@ -73,7 +74,7 @@
     routers: Vec<router::Running>,
 }
 
-/// How many of each part, and where.
+/// Instance counts and ports of a fleet with agents.
 struct AgentFleetOptions {
     port: u16,
     routers: u16,
@@ -100,7 +101,7 @@
     }
 }
 
-/// Serves a local fleet until SIGTERM, SIGINT or the end of its run time.
+/// Runs a local fleet until SIGTERM, SIGINT or the end of its run time.
 pub(super) fn local(access: &Access, flags: &flags::Local, out: &mut dyn Write) -> Result<Report> {
     if !flags.agents {
         return direct::local(access, flags, out);
@@ -113,7 +114,7 @@
     told.map_err(Error::Output)?;
     runtime.block_on(async {
         match &flags.run_time {
-            // Both ends of the wait are the end of the run.
+            // A signal and the timeout both end the run.
             Some(span) => drop(timeout(span.0, signalled.wait()).await),
             None => signalled.wait().await,
         }
@@ -241,7 +242,7 @@
         }
     }
 
-    /// Writes the first configuration.
+    /// Publishes the initial configuration.
     async fn publish(&self) -> Result<()> {
         for (kind, name, spec) in objects::initial_objects() {
             self.put(&format!("objects/{kind}/{name}"), &json!({ "spec": spec }))
@@ -250,7 +251,7 @@
         Ok(())
     }
 
-    /// Tells the platform where the processes are, as the operators' platform would know.
+    /// Registers the VMs with the platform stand-in, as a real platform would know them.
     async fn list_vms(&self) -> Result<()> {
         let vm = |fleet: &peppercrank_daemon::fleet::Fleet, role| {
             json!({
@@ -279,7 +280,7 @@
         sent.map_err(|e| Error::Process(std::io::Error::other(e)))
     }
 
-    /// Waits until each router is ready and knows all targets.
+    /// Waits until every router is ready and knows all targets.
     async fn wait_until_converged(&self) -> Result<()> {
         let targets = self.targets.len();
         let ready = |r: &router::Running| {
@@ -310,7 +311,7 @@
                 .await
                 .map_err(|e| Error::Daemon(e.into()))?;
         }
-        // Nothing of a caller runs any more: what is open is the agents' own polling.
+        // All callers' requests have ended; what is still open is polling by the agents.
         for target in self.targets {
             target.kill().await;
         }
@@ -319,12 +320,12 @@
     }
 }
 
-/// A loopback address.
+/// Returns a loopback address with this port.
 fn loopback(port: u16) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port)
 }
 
-/// A name of this file, which are all valid.
+/// Parses a name from a constant of this module, all of which are valid.
 fn parse_name<T: std::str::FromStr>(text: &str) -> T
 where
     T::Err: std::fmt::Debug,
--- a/crates/peppercrank-cli/src/verbs/local/direct.rs
+++ b/crates/peppercrank-cli/src/verbs/local/direct.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A local fleet of routers that send straight to targets.
+//! Runs a local fleet whose routers send straight to targets.
 
 use std::io::Write;
 
@@ -22,13 +22,14 @@
 
 pub(super) use peppercrank_local::LocalOptions;
 
-/// Port of the first router, unless set.
+/// Default port of the first router.
 const DEFAULT_PORT: u16 = 8_080;
 
-/// The most of each part, so that a slip of the finger does not fill the machine.
+/// Maximum number of instances of each component, so that a typing error does not exhaust the
+/// machine.
 const MAX_INSTANCES: u16 = 64;
 
-/// How many of each part the flags ask for, and where.
+/// Returns the instance counts and ports requested by the flags.
 pub(super) fn options(flags: &flags::Local) -> LocalOptions {
     let some = |count: Option<u16>, default: u16| count.unwrap_or(default).min(MAX_INSTANCES);
     LocalOptions {
@@ -39,7 +40,7 @@
     }
 }
 
-/// Serves the fleet until SIGTERM, SIGINT or the end of its run time.
+/// Runs the fleet until SIGTERM, SIGINT or the end of its run time.
 pub(super) fn local(access: &Access, flags: &flags::Local, out: &mut dyn Write) -> Result<Report> {
     if flags.platform_port.is_some() {
         return Err(Error::Usage(UsageError::PlatformPortWithoutAgents));
@@ -53,7 +54,7 @@
     told.map_err(Error::Output)?;
     let ended = runtime.block_on(async {
         match &flags.run_time {
-            // Both ends of the wait are the end of the run.
+            // A signal and the timeout both end the run.
             Some(span) => drop(timeout(span.0, signalled.wait()).await),
             None => signalled.wait().await,
         }
@@ -66,7 +67,7 @@
     ))
 }
 
-/// Tells where each part is.
+/// Formats the addresses of all components.
 fn render(local: &LocalFleet, form: OutputFormat) -> String {
     let (store, routers) = (local.store_address(), local.router_addresses());
     match form {
--- a/crates/peppercrank-cli/src/verbs/local/objects.rs
+++ b/crates/peppercrank-cli/src/verbs/local/objects.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The first configuration of a local fleet.
+//! Initial configuration of a local fleet.
 
 use serde_json::Value;
 use serde_json::json;
@@ -9,7 +9,7 @@
 /// SHA-256 of `demo-key`, the API key of the organisation `demo`.
 const DEMO_DIGEST: &str = "c48a01f49fd0f2cc404bc3cbbc80e91457a3d41bb429a695243de4c61794155c";
 
-/// Its objects: kind, name and content.
+/// Returns the initial objects as kind, name and spec.
 pub(super) fn initial_objects() -> [(&'static str, &'static str, Value); 5] {
     let policy = json!({
         "cap": 1.25, "floor": 20_000, "queue": 64, "wait_ms": 2_000,
--- a/crates/peppercrank-cli/src/verbs/local/show.rs
+++ b/crates/peppercrank-cli/src/verbs/local/show.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Where the parts of a local fleet are, for people and programs.
+//! Formats the addresses of a local fleet.
 
 use std::net::SocketAddr;
 
@@ -16,7 +16,7 @@
 use crate::words::OutputFormat;
 
 impl AgentFleet {
-    /// Tells where each part is.
+    /// Formats the addresses of all components.
     pub(super) fn render(&self, form: OutputFormat) -> String {
         match form {
             OutputFormat::Json => self.json().to_string(),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The operators' addresses of all daemons.
+    /// Returns the operator addresses of all daemons.
     fn operators(&self) -> Vec<SocketAddr> {
         let agents = self.agents.iter().map(|a| a.operators);
         let routers = self.routers.iter().map(|r| r.operators);
@@ -59,7 +59,7 @@
         }
         let daemons: Vec<_> = self.operators().iter().map(ToString::to_string).collect();
         lines.push("for the other verbs, in another terminal:".to_owned());
-        // One line, so that it is pasted whole.
+        // A single line can be copied and pasted at once.
         lines.push(format!(
             "export {PLATFORM_VAR}=http://{platform} {OPERATORS_TOKEN_VAR}={LOCAL_TOKEN} {DAEMONS_VAR}={}",
             daemons.join(",")
--- a/crates/peppercrank-cli/src/verbs/mark.rs
+++ b/crates/peppercrank-cli/src/verbs/mark.rs
@@ -23,7 +23,7 @@
 use crate::remote::PlatformClient;
 use crate::report::Report;
 
-/// Marks a target, or changes its mark.
+/// Marks a target as leaving, or changes its mark.
 pub(super) fn mark(access: &Access, flags: &flags::Mark) -> Result<Report> {
     let action = match (flags.remove, flags.shutdown) {
         (true, false) => MarkAction::Remove,
@@ -60,7 +60,7 @@
     Ok(report.with_field("drained", &json!(true)))
 }
 
-/// Takes a target's mark back.
+/// Removes the mark of a target.
 pub(super) fn unmark(access: &Access, flags: &flags::Unmark) -> Result<Report> {
     let key = object_key(ObjectKind::Mark, flags.target.as_str())?;
     let remote = PlatformClient::new(access)?;
--- a/crates/peppercrank-cli/src/verbs/mod.rs
+++ b/crates/peppercrank-cli/src/verbs/mod.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The verbs.
+//! The subcommands.
 
 mod batch;
 mod daemon;
@@ -24,7 +24,7 @@
 use crate::flags::PeppercrankCmd;
 use crate::report::Report;
 
-/// The names of all verbs.
+/// Names of all subcommands.
 pub(crate) const SUBCOMMANDS: &[&str] = &[
     "publish",
     "publish-all",
@@ -49,7 +49,7 @@
     "standin",
 ];
 
-/// Carries a verb out.
+/// Executes a subcommand.
 pub(crate) fn dispatch(
     access: &Access,
     verb: &PeppercrankCmd,
--- a/crates/peppercrank-cli/src/verbs/objects.rs
+++ b/crates/peppercrank-cli/src/verbs/objects.rs
@@ -23,14 +23,14 @@
 use crate::remote::PlatformClient;
 use crate::report::Report;
 
-/// Reads all objects, as a daemon would, and tells what is invalid or refers to nothing.
+/// Reads all objects as a daemon would, and reports invalid objects and dangling references.
 pub(super) fn check(access: &Access) -> Result<Report> {
     let remote = PlatformClient::new(access)?;
     let mut store = Store::new();
     for kind in ObjectKind::ALL {
         let listing = remote.list(*kind)?;
         for named in &listing.objects {
-            // The platform holds other kinds of names too; none of ours looks so.
+            // The platform may hold names that are not valid object names; those are not ours.
             if let Some(object) = parse_object(*kind, named) {
                 store.merge(&object);
             }
--- a/crates/peppercrank-cli/src/verbs/order.rs
+++ b/crates/peppercrank-cli/src/verbs/order.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Orders to engines, given under the lease of their pool.
+//! Sends orders to engines under the lease of their pool.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -48,30 +48,31 @@
 use crate::report::table;
 use crate::words::OrderIdArg;
 
-/// Longest wait for the lease and for numbers that pass, unless set: another's lease that has
-/// lapsed is free after 21 s.
+/// Default maximum wait for the lease and for an accepted fencing number. An expired lease of
+/// another holder can be acquired after 21 s.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time for giving the lease back; after it the lease lapses by itself.
+/// Time allowed for releasing the lease; if that fails, it expires by itself.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time for one order: an agent that has just started may hold it for 17 s, its engine for 5 s.
+/// Timeout of one order: an agent that has just started may hold it for 17 s, and its engine for 5
+/// s.
 const CALL_TIMEOUT: Duration = Duration::from_secs(25);
 
-/// Orders under way at once; the lease is renewed between two such lots.
+/// Number of concurrent orders. The lease is renewed between two batches.
 const MAX_CONCURRENCY: usize = 16;
 
-/// The only order of a run to each agent.
+/// Sequence number; each run sends only one order to an agent.
 const SEQ: u64 = 1;
 
-/// `Found` is whom an order goes to.
+/// Recipients of an order.
 struct OrderTargets {
     pool: PoolName,
-    /// Where each target's agent takes control calls, if it is known.
+    /// Each target with the control address of its agent, if known.
     targets: Vec<(TargetName, Option<SocketAddr>)>,
 }
 
-/// `Giver` sends one order to many agents.
+/// Sends one order to many agents.
 struct OrderSender<C> {
     holder: Holder<C>,
     client: ControlClient,
@@ -80,7 +81,7 @@
     order: String,
 }
 
-/// Gives an order to one target or to all of a pool.
+/// Sends an order to one target or to all targets of a pool.
 pub(super) fn order(access: &Access, flags: &flags::Order) -> Result<Report> {
     let command = command(flags)?;
     let ring = ring_of(&keys::load(&flags.keys)?).map_err(|e| Error::Daemon(e.into()))?;
@@ -151,7 +152,8 @@
     }
 }
 
-/// Finds the targets by their daemons' status pages; a pool goes before a target of its name.
+/// Finds targets through the status pages of the daemons. A pool takes precedence over a target of
+/// the same name.
 fn find_targets(access: &Access, name: &str) -> Result<OrderTargets> {
     let asked = daemons::discover(access)?;
     let answers =
@@ -159,7 +161,8 @@
     let mut known = BTreeMap::new();
     for status in answers.into_iter().flatten() {
         for target in status.targets {
-            // Only its own agent tells a target's load.
+            // Only the target's own agent reports its load, so only that daemon's control address
+            // counts.
             let control = status.control.filter(|_| target.load.is_some());
             let entry = known.entry(target.name).or_insert((target.pool, None));
             entry.1 = entry.1.or(control);
@@ -183,7 +186,8 @@
 }
 
 impl<C: Fn() -> Instant> OrderSender<C> {
-    /// Gives the order to all, and again under a higher number to those whose agents want one.
+    /// Sends the order to all targets, and again with a higher fencing number to those whose
+    /// agents require one.
     fn send_all(
         &mut self,
         targets: &[(TargetName, Option<SocketAddr>)],
@@ -214,7 +218,7 @@
         }
     }
 
-    /// Gives the order to one agent, under the lease as it is at that moment.
+    /// Sends the order to one agent if the lease is held at that moment.
     async fn send(&self, to: Option<SocketAddr>) -> OrderOutcome {
         let Some(to) = to else {
             return OrderOutcome::NoAgent;
--- a/crates/peppercrank-cli/src/verbs/organisation.rs
+++ b/crates/peppercrank-cli/src/verbs/organisation.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The parameters of one organisation.
+//! Reads and changes the parameters of one organisation.
 
 use std::str::FromStr;
 
@@ -38,10 +38,10 @@
 use crate::report::table;
 use crate::words::Assignment;
 
-/// The value that stands for a list of all, where an empty one takes the template's back.
+/// Value for an unrestricted list; an empty value reverts to the template's list.
 const ALL_ITEMS: &str = "*";
 
-/// Sets parameters.
+/// Sets parameters of an organisation, which is created if it is new.
 pub(super) fn set(access: &Access, flags: &flags::SetOrganisation) -> Result<Report> {
     if flags.parameters.is_empty() {
         return Err(UsageError::MissingParameter.into());
@@ -71,7 +71,7 @@
     publish_and_report(access, &remote, &act)
 }
 
-/// Prints the parameters in force and where each comes from.
+/// Prints the effective parameters and the origin of each.
 pub(super) fn get(access: &Access, flags: &flags::GetOrganisation) -> Result<Report> {
     let remote = PlatformClient::new(access)?;
     let (own_key, current, organisation) = fetch(&remote, &flags.name)?;
@@ -137,7 +137,7 @@
     }
 }
 
-/// A new organisation, with the template that the parameters must name.
+/// Returns a new organisation with the template that the parameters must name.
 fn new(parameters: &[Assignment]) -> Result<Organisation> {
     let template = parameters.iter().find(|a| a.key == "template");
     let template = template.ok_or(UsageError::MissingTemplate)?;
@@ -191,7 +191,8 @@
     parsed.map_err(|_e| errors::invalid_value(&a.key, &a.value))
 }
 
-/// The key of an object whose own name type has the same form as object names.
+/// Returns the key of an object from a name of a more specific type; all such names have the form
+/// of object names.
 pub(super) fn object_key(kind: ObjectKind, name: &str) -> Result<ObjectKey> {
     let name = ObjectName::new(name).map_err(|_e| errors::invalid_value(kind.code(), name))?;
     Ok(ObjectKey { kind, name })
--- a/crates/peppercrank-cli/src/verbs/read.rs
+++ b/crates/peppercrank-cli/src/verbs/read.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Verbs that read objects, or look at a file alone.
+//! Subcommands that read objects or validate a file.
 
 use peppercrank_config::checks;
 use peppercrank_config::diff;
@@ -19,7 +19,7 @@
 use crate::report::row;
 use crate::report::table;
 
-/// Prints an object, as a file that `revise` takes.
+/// Prints an object as a file that `revise` accepts.
 pub(super) fn get(access: &Access, flags: &flags::Get) -> Result<Report> {
     let key = key(flags.kind, &flags.name);
     let current = PlatformClient::new(access)?.read_existing(&key)?;
@@ -35,7 +35,7 @@
     Ok(Report::done(text, json))
 }
 
-/// Lists a kind.
+/// Lists all objects of a kind.
 pub(super) fn list(access: &Access, flags: &flags::List) -> Result<Report> {
     let kind = flags.kind.0;
     let listing = PlatformClient::new(access)?.list(kind)?;
@@ -58,7 +58,7 @@
     Ok(Report::done(table(&rows), json))
 }
 
-/// Compares a file with the platform.
+/// Compares a file with the object on the platform.
 pub(super) fn diff(access: &Access, flags: &flags::Diff) -> Result<Report> {
     let key = key(flags.kind, &flags.name);
     let ours = object::read(&flags.file)?;
@@ -82,7 +82,7 @@
     Ok(Report::with_exit(Exit::Differs, text, json))
 }
 
-/// Checks a file.
+/// Validates a file without the platform.
 pub(super) fn validate(flags: &flags::Validate) -> Result<Report> {
     let key = key(flags.kind, &flags.name);
     let spec = object::read(&flags.file)?;
--- a/crates/peppercrank-cli/src/verbs/settings.rs
+++ b/crates/peppercrank-cli/src/verbs/settings.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Checks of settings files.
+//! Validates settings files.
 
 use std::path::Path;
 
@@ -19,7 +19,7 @@
 use crate::report::Report;
 use crate::words::DaemonKind;
 
-/// Checks one file.
+/// Validates one settings file.
 pub(super) fn check(flags: &flags::CheckSettings) -> Result<Report> {
     let path = &flags.file;
     let text = file::read(path)?;
@@ -38,7 +38,8 @@
     Ok(Report::done(text, json!({ "valid": true, "daemon": word })))
 }
 
-/// Only an agent's settings name a target, and only a gateway's a store.
+/// Guesses the daemon kind: only an agent's settings have a `target`, and only a gateway's a
+/// `store`.
 fn guess_daemon(path: &Path, text: &str) -> Result<DaemonKind> {
     let value = peppercrank_core::settings::parse::<Value>(text);
     let value = value.map_err(|e| errors::file(path, e))?;
@@ -52,7 +53,7 @@
     })
 }
 
-/// Names the file beside the place in it.
+/// Adds the file path to a parse error.
 fn with_path(path: &Path, e: peppercrank_settings::Error) -> Error {
     match e {
         peppercrank_settings::Error::Text(source) => errors::file(path, source),
--- a/crates/peppercrank-cli/src/verbs/standin.rs
+++ b/crates/peppercrank-cli/src/verbs/standin.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Stand-ins of engine, plain service and platform as processes of their own.
+//! Runs a stand-in of an engine, a plain service or the platform in the foreground.
 
 use std::io::Write;
 
@@ -26,13 +26,14 @@
 use crate::words::OutputFormat;
 use crate::words::StandinKind;
 
-/// Serves a stand-in until SIGTERM or SIGINT.
+/// Runs a stand-in until SIGTERM or SIGINT.
 pub(super) fn standin(
     access: &Access,
     flags: &flags::Standin,
     out: &mut dyn Write,
 ) -> Result<Report> {
-    // Signals are caught before the address is told, so that none comes too early.
+    // Signal handlers are installed before the address is printed, so that a signal sent right
+    // after it is not missed.
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(Error::Process)?;
     let runtime = Runtime::new().map_err(Error::Process)?;
     let running = start(&runtime, flags)?;
--- a/crates/peppercrank-cli/src/verbs/status.rs
+++ b/crates/peppercrank-cli/src/verbs/status.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The daemons, their targets, loads and drains, and the configuration in force.
+//! Reports the daemons, their targets, loads and drains, and the configuration in force.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -24,10 +24,10 @@
 use crate::report::row;
 use crate::report::table;
 
-/// Digits of a configuration's digest that people are shown.
+/// Number of digest digits in the text output.
 const DIGEST_DIGITS: usize = 8;
 
-/// Asks every daemon.
+/// Fetches and summarises the status of every daemon.
 pub(super) fn status(access: &Access) -> Result<Report> {
     let daemons = daemons::discover(access)?;
     let pages = PageClient::new(access.operators.as_ref());
@@ -63,7 +63,7 @@
     Ok(Report::with_exit(exit, text, json))
 }
 
-/// `View` is all targets: as their own agents see them, else as routers do.
+/// All targets as reported by their own agents, else by routers.
 struct TargetView<'a> {
     targets: BTreeMap<&'a TargetName, &'a TargetStatus>,
 }
@@ -74,7 +74,7 @@
         let all = known.iter().flat_map(|s| &s.targets);
         for target in all {
             let slot = targets.entry(&target.name).or_insert(target);
-            // Only a target's own agent tells its load, and it knows best.
+            // Only a target's own agent reports its load, and its report takes precedence.
             if target.load.is_some() {
                 *slot = target;
             }
@@ -125,7 +125,7 @@
     cells
 }
 
-/// A daemon without its targets: 370 routers would name each of 1,300.
+/// Returns a daemon's status without its targets: 370 routers would each list 1,300 of them.
 fn daemon_json(status: &Status) -> Value {
     let mut json = json!(status);
     if let Some(fields) = json.as_object_mut() {
@@ -188,7 +188,7 @@
             i.version, i.reason
         )
     });
-    // Each daemon reports the same object: once is enough.
+    // Every daemon reports the same invalid objects, so duplicates are removed.
     let invalid = invalid.collect::<BTreeSet<_>>();
     text.extend(invalid);
     text
--- a/crates/peppercrank-cli/src/verbs/write.rs
+++ b/crates/peppercrank-cli/src/verbs/write.rs
@@ -28,20 +28,20 @@
 use crate::report::Report;
 use crate::words::KindArg;
 
-/// `Act` is one act of publishing.
+/// A change to publish.
 #[derive(Debug)]
 pub(super) struct PublishRequest {
     pub(super) key: ObjectKey,
     pub(super) base: Base,
     pub(super) change: Change,
-    /// The id of an earlier run of the same act.
+    /// Publish id of an earlier run of the same change.
     pub(super) id: Option<PublishId>,
     pub(super) wait: Wait,
-    /// What the change replaces without the operator having named its version.
+    /// The object that is replaced, if the operator did not name its version.
     pub(super) replaced: Option<Current>,
 }
 
-/// Creates an object.
+/// Creates an object from a file.
 pub(super) fn publish(access: &Access, flags: &flags::Publish) -> Result<Report> {
     let key = key(flags.kind, &flags.name);
     let act = PublishRequest {
@@ -55,13 +55,13 @@
     publish_and_report(access, &PlatformClient::new(access)?, &act)
 }
 
-/// Changes an object.
+/// Replaces an object with the content of a file.
 pub(super) fn revise(access: &Access, flags: &flags::Revise) -> Result<Report> {
     let key = key(flags.kind, &flags.name);
     let spec = object::read(&flags.file)?;
     let remote = PlatformClient::new(access)?;
     let named = flags.if_version.map(|v| Base::Version(Version(v)));
-    // Only a version that the operator did not name is looked up, and shown.
+    // The current object is only read and shown if the operator did not name a version.
     let replaced = match named {
         Some(_) => None,
         None => Some(remote.read_existing(&key)?),
@@ -98,7 +98,8 @@
     publish_and_report(access, &remote, &act)
 }
 
-/// The version that a deletion means; only one that is carried through again may find nothing.
+/// Returns the version to delete. Only a deletion that is repeated by its publish id may find no
+/// object.
 pub(super) fn removal_base(
     remote: &PlatformClient,
     key: &ObjectKey,
@@ -111,7 +112,7 @@
     }
 }
 
-/// Carries an act through, waits for it to be in force, and reports.
+/// Publishes a change, waits for it to be in force, and reports.
 pub(super) fn publish_and_report(
     access: &Access,
     remote: &PlatformClient,
@@ -151,7 +152,8 @@
     ))
 }
 
-/// What stands already needs no write; an earlier run's act is still looked for by its id.
+/// An unchanged object needs no write, except that a change with a publish id is still looked up
+/// by that id.
 fn already_published(act: &PublishRequest, changes: &[Difference]) -> Option<Done> {
     let current = act.replaced.as_ref()?;
     let same = act.id.is_none() && changes.is_empty();
@@ -191,7 +193,7 @@
     format!("  {}: {old} -> {new}", change.path)
 }
 
-/// The fields in which the act's content differs from what it replaces.
+/// Returns the fields in which the change differs from the object it replaces.
 fn changes(act: &PublishRequest) -> Vec<Difference> {
     match (&act.change, &act.replaced) {
         (Change::Put(spec), Some(current)) => diff(spec, &object::spec(&current.body)),
@@ -207,7 +209,7 @@
     }
 }
 
-/// The key of an object on the command line.
+/// Returns the key of an object named on the command line.
 pub(super) fn key(kind: KindArg, name: &ObjectName) -> ObjectKey {
     let name = name.clone();
     ObjectKey { kind: kind.0, name }
--- a/crates/peppercrank-cli/src/words.rs
+++ b/crates/peppercrank-cli/src/words.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Words of the command line, read into types.
+//! Argument types of the command line.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,7 +11,7 @@
 
 use crate::errors::ArgumentError;
 
-/// `KindWord` is the kind of an object as an argument.
+/// `KindArg` is an object kind given as an argument.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KindArg(pub ObjectKind);
 
@@ -25,13 +25,13 @@
     }
 }
 
-/// `Form` is the form of the output.
+/// `OutputFormat` is the format of the output.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum OutputFormat {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON value a run.
+    /// One JSON value per run.
     Json,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// `Span` is a duration with its unit.
+/// `DurationArg` is a duration with a unit, such as `30s`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DurationArg(pub Duration);
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// `OrderWord` is the id of an order, hexadecimal.
+/// `OrderIdArg` is an order id of 32 hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OrderIdArg(pub u128);
 
@@ -79,19 +79,19 @@
     }
 }
 
-/// `Daemon` is which daemon a settings file is for.
+/// `DaemonKind` is the kind of daemon that a settings file configures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DaemonKind {
-    /// The router.
+    /// A router.
     Router,
-    /// The agent.
+    /// An agent.
     Agent,
-    /// The gateway.
+    /// A gateway.
     Gateway,
 }
 
 impl DaemonKind {
-    /// `word` is the daemon's verb.
+    /// Returns the name as given on the command line.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -115,7 +115,7 @@
     }
 }
 
-/// `Part` is which system a stand-in stands in for.
+/// `StandinKind` is the kind of system that a stand-in simulates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StandinKind {
     /// A model engine.
@@ -127,7 +127,7 @@
 }
 
 impl StandinKind {
-    /// `word` is the part's word.
+    /// Returns the name as given on the command line.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -151,12 +151,12 @@
     }
 }
 
-/// `Assignment` is one `key=value`; with no value the parameter is the template's again.
+/// `Assignment` is a `key=value` argument. An empty value reverts the parameter to the template's.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Assignment {
-    /// The parameter.
+    /// Name of the parameter.
     pub key: String,
-    /// Its value, empty to take it back.
+    /// New value; empty to revert to the template's.
     pub value: String,
 }
 
