--- a/crates/peppercrank-cli/src/errors.rs
+++ b/crates/peppercrank-cli/src/errors.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The crate's error type, its result and small constructors.
+//! The error types of the crate and helper constructors.
 
 use std::fmt;
 use std::io;
@@ -22,164 +22,164 @@
 use crate::exit::Exit;
 use crate::object;
 
-/// `Result` is the result of every fallible function of this crate.
+/// `Result` is the result type of fallible functions in this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Word` is what an argument should have been.
+/// `ArgumentError` states what a malformed argument was expected to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Word {
-    /// The kind of an object.
-    Kind,
-    /// A form of output.
-    Form,
-    /// A daemon.
-    Daemon,
-    /// What a stand-in stands in for.
-    Part,
-    /// A `key=value`.
+pub enum ArgumentError {
+    /// An object kind.
+    ObjectKind,
+    /// An output format.
+    OutputFormat,
+    /// A daemon kind.
+    DaemonKind,
+    /// The kind of system that a stand-in simulates.
+    StandinKind,
+    /// An assignment `key=value`.
     Assignment,
-    /// The id of an order.
-    Order,
+    /// An order id.
+    OrderId,
 }
 
-/// `Misuse` is a command line that parses and yet makes no sense.
+/// `UsageError` is a command line that parses but is not valid.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Misuse {
-    /// No platform is named.
-    NoPlatform,
-    /// A variable of the environment does not hold what it should.
-    Variable(&'static str),
-    /// `mark` wants one of `--remove` and `--shutdown`.
-    MarkAction,
-    /// `--grace` has no meaning without `--remove`.
-    Grace,
-    /// An organisation has no such parameter.
-    Parameter(String),
-    /// A parameter's value is not of its type.
-    Value {
-        /// The parameter.
+pub enum UsageError {
+    /// The URL of the platform is not configured.
+    MissingPlatform,
+    /// An environment variable has a malformed value.
+    InvalidVariable(&'static str),
+    /// `mark` needs exactly one of `--remove` and `--shutdown`.
+    MissingMarkAction,
+    /// `--grace` was given without `--remove`.
+    GraceWithoutRemove,
+    /// Organisations have no parameter of this name.
+    UnknownParameter(String),
+    /// The value of a parameter does not parse as the parameter's type.
+    InvalidValue {
+        /// Name of the parameter.
         key: String,
-        /// The value as given.
+        /// The value as it was given.
         value: String,
     },
-    /// A new organisation wants a template.
-    NoTemplate,
-    /// `set-organisation` wants a parameter.
-    NoParameter,
-    /// `order` wants one order.
-    OrderCommand,
-    /// `--platform-port` has no meaning without `--agents`.
-    PlatformPort,
+    /// A new organisation needs a template.
+    MissingTemplate,
+    /// `set-organisation` needs at least one parameter.
+    MissingParameter,
+    /// `order` needs exactly one command.
+    AmbiguousOrderCommand,
+    /// `--platform-port` was given without `--agents`.
+    PlatformPortWithoutAgents,
 }
 
-/// `Error` is why a verb was not carried out.
+/// `Error` is the reason why a subcommand failed.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum Error {
-    /// The command line does not parse.
-    Flags(xflags::Error),
-    /// The command line parses and yet makes no sense.
-    Misuse(Misuse),
-    /// A settings file is wrong, or a file could not be read.
+    /// The command line could not be parsed.
+    Arguments(xflags::Error),
+    /// The command line parses but is not valid.
+    Usage(UsageError),
+    /// A settings file is invalid or a file could not be read.
     Settings(peppercrank_settings::Error),
     /// A file is not JSON with comments.
     File {
         /// The file.
         path: PathBuf,
-        /// The fault and its place.
+        /// The parse error with its position.
         source: peppercrank_core::Error,
     },
-    /// The content failed its checks.
-    Fault(Fault),
-    /// The content of one file of many failed its checks.
-    FileFault {
+    /// The content of the object failed validation.
+    InvalidObject(Fault),
+    /// One file of several failed validation.
+    InvalidObjectFile {
         /// The file.
         path: PathBuf,
-        /// The fault.
+        /// The validation error.
         fault: Fault,
     },
-    /// A directory holds no objects or cannot be read.
+    /// A directory contains no objects or cannot be read.
     Directory {
         /// The directory.
         path: PathBuf,
-        /// Why not.
+        /// The I/O error; `NotFound` if the directory contains no objects.
         source: io::Error,
     },
-    /// The process could not be set up.
+    /// Setting up the process failed: the runtime, a signal handler or a local fleet.
     Process(io::Error),
-    /// A stand-in could not be started.
+    /// A stand-in failed to start.
     Standin(peppercrank_standin::Error),
-    /// Somebody else changed the object.
+    /// The object was changed concurrently.
     Conflict(Box<Conflict>),
-    /// There is no such object.
+    /// The object does not exist.
     NotFound(ObjectKey),
-    /// The platform's API gave no answer that counts until the time was up.
+    /// The platform's API did not answer before the timeout; nothing was written.
     Unavailable,
-    /// The platform's API refused the call itself.
+    /// The platform's API rejected the call.
     Platform(peppercrank_wire::platform::Failure),
-    /// A write was sent and the time was up before its fate was known.
-    Unknown(PublishId),
-    /// A change is not in force everywhere in time.
+    /// A write was sent, but whether it took effect was still unknown at the timeout.
+    OutcomeUnknown(PublishId),
+    /// A change was written but was not in force on all daemons before the timeout.
     NotInForce {
-        /// Its version.
+        /// Version of the changed object.
         version: u64,
-        /// On how many daemons it is.
+        /// Number of daemons on which it is in force.
         done: usize,
-        /// The daemons that answered with an older version, or not at all.
-        missing: Vec<crate::in_force::Missing>,
+        /// The daemons that reported an older version or did not answer.
+        missing: Vec<crate::in_force::MissingDaemon>,
     },
-    /// A leaving target is not drained in time.
+    /// A leaving target did not drain before the timeout.
     NotDrained {
-        /// The target.
+        /// Name of the target.
         target: TargetName,
-        /// The requests that still run on it.
+        /// Number of requests that were still running on it.
         running: u32,
     },
-    /// No daemon that answers is the agent of a target.
+    /// None of the daemons that answered is the agent of the target.
     NoAgent(TargetName),
-    /// No daemon that answers knows a pool or target of this name.
+    /// None of the daemons that answered knows a pool or target of this name.
     NoSuchTarget(String),
-    /// Another holds the lease that orders to the pool are given under.
+    /// The lease that authorises orders to the pool is held by another VM.
     LeaseHeld(VmName),
-    /// The output could not be written.
+    /// Writing the output failed.
     Output(io::Error),
-    /// A daemon ended with an error.
+    /// A daemon or another component failed.
     Daemon(eyre::Report),
 }
 
-/// `file` makes the error for a file that is not JSON with comments.
+/// Returns the error for a file that is not JSON with comments.
 #[must_use]
 pub fn file(path: &Path, source: peppercrank_core::Error) -> Error {
     let path = path.to_path_buf();
     Error::File { path, source }
 }
 
-/// `directory` makes the error for a directory that cannot be read or holds no objects.
+/// Returns the error for a directory that cannot be read or contains no objects.
 #[must_use]
 pub fn directory(path: &Path, source: io::Error) -> Error {
     let path = path.to_path_buf();
     Error::Directory { path, source }
 }
 
-/// `value` makes the error for a parameter's value of another type.
+/// Returns the error for a parameter value of the wrong type.
 #[must_use]
-pub fn value(key: &str, value: &str) -> Error {
-    Error::Misuse(Misuse::Value {
+pub fn invalid_value(key: &str, value: &str) -> Error {
+    Error::Usage(UsageError::InvalidValue {
         key: key.to_owned(),
         value: value.to_owned(),
     })
 }
 
 impl Error {
-    /// `exit` is the exit code that tells scripts of this error.
+    /// Returns the exit code for this error.
     #[must_use]
     pub fn exit(&self) -> Exit {
         match self {
-            Self::Flags(_) | Self::Misuse(_) => Exit::Usage,
+            Self::Arguments(_) | Self::Usage(_) => Exit::Usage,
             Self::Conflict(_) | Self::LeaseHeld(_) => Exit::Conflict,
             Self::NotFound(_) | Self::NoSuchTarget(_) => Exit::NotFound,
             Self::Unavailable => Exit::Unavailable,
-            Self::Unknown(_) => Exit::Unknown,
+            Self::OutcomeUnknown(_) => Exit::Unknown,
             Self::NotInForce { .. } | Self::NotDrained { .. } | Self::NoAgent(_) => {
                 Exit::NotInForce
             }
@@ -190,25 +190,26 @@
             | Self::Standin(_)
             | Self::Output(_)
             | Self::Daemon(_) => Exit::Failure,
-            Self::Settings(_) | Self::File { .. } | Self::Fault(_) | Self::FileFault { .. } => {
-                Exit::Invalid
-            }
+            Self::Settings(_)
+            | Self::File { .. }
+            | Self::InvalidObject(_)
+            | Self::InvalidObjectFile { .. } => Exit::Invalid,
         }
     }
 
-    /// `json` is the error for scripts.
+    /// Returns the error as JSON for scripts.
     #[must_use]
     pub fn json(&self) -> Value {
         let mut value = json!({
-            "error": self.exit().word(),
+            "error": self.exit().name(),
             "exit": self.exit().code(),
             "message": self.to_string(),
         });
         match self {
             Self::Settings(peppercrank_settings::Error::Text(e)) | Self::File { source: e, .. } => {
-                place(&mut value, e);
+                add_position(&mut value, e);
             }
-            Self::Fault(fault) | Self::FileFault { fault, .. } => {
+            Self::InvalidObject(fault) | Self::InvalidObjectFile { fault, .. } => {
                 value["kind"] = json!(fault.kind);
                 value["path"] = json!(fault.path);
             }
@@ -216,7 +217,7 @@
                 value["current"] = object::current_json(conflict.current.as_ref());
                 value["differences"] = object::differences_json(&conflict.differences);
             }
-            Self::Unknown(id) => value["publish"] = json!(id),
+            Self::OutcomeUnknown(id) => value["publish"] = json!(id),
             Self::NotInForce {
                 version,
                 done,
@@ -232,40 +233,44 @@
     }
 }
 
-/// Adds the place of a fault in a file.
-fn place(value: &mut Value, e: &peppercrank_core::Error) {
+/// Adds the line and column of a parse error to the JSON output.
+fn add_position(value: &mut Value, e: &peppercrank_core::Error) {
     if let peppercrank_core::Error::Settings { line, column, .. } = e {
         value["line"] = json!(line);
         value["column"] = json!(column);
     }
 }
 
-impl fmt::Display for Word {
+impl fmt::Display for ArgumentError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Kind => "expected template, organisation, pool or mark",
-            Self::Form => "expected text or json",
-            Self::Daemon => "expected router, agent or gateway",
-            Self::Part => "expected engine, service or platform",
+            Self::ObjectKind => "expected template, organisation, pool or mark",
+            Self::OutputFormat => "expected text or json",
+            Self::DaemonKind => "expected router, agent or gateway",
+            Self::StandinKind => "expected engine, service or platform",
             Self::Assignment => "expected key=value",
-            Self::Order => "expected 32 hexadecimal digits",
+            Self::OrderId => "expected 32 hexadecimal digits",
         })
     }
 }
 
-impl fmt::Display for Misuse {
+impl fmt::Display for UsageError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoPlatform => f.write_str("no platform: set --platform or PEPPERCRANK_PLATFORM"),
-            Self::Variable(name) => write!(f, "{name} does not hold what it should"),
-            Self::MarkAction => f.write_str("one of --remove and --shutdown is wanted"),
-            Self::Grace => f.write_str("--grace goes with --remove only"),
-            Self::Parameter(key) => write!(f, "an organisation has no parameter `{key}`"),
-            Self::Value { key, value } => write!(f, "`{value}` is no value of `{key}`"),
-            Self::NoTemplate => f.write_str("the organisation is new: template=NAME is wanted"),
-            Self::NoParameter => f.write_str("at least one key=value is wanted"),
-            Self::PlatformPort => write!(f, "--platform-port wants --agents"),
-            Self::OrderCommand => {
+            Self::MissingPlatform => {
+                f.write_str("no platform: set --platform or PEPPERCRANK_PLATFORM")
+            }
+            Self::InvalidVariable(name) => write!(f, "{name} does not hold what it should"),
+            Self::MissingMarkAction => f.write_str("one of --remove and --shutdown is wanted"),
+            Self::GraceWithoutRemove => f.write_str("--grace goes with --remove only"),
+            Self::UnknownParameter(key) => write!(f, "an organisation has no parameter `{key}`"),
+            Self::InvalidValue { key, value } => write!(f, "`{value}` is no value of `{key}`"),
+            Self::MissingTemplate => {
+                f.write_str("the organisation is new: template=NAME is wanted")
+            }
+            Self::MissingParameter => f.write_str("at least one key=value is wanted"),
+            Self::PlatformPortWithoutAgents => write!(f, "--platform-port wants --agents"),
+            Self::AmbiguousOrderCommand => {
                 f.write_str("one of --load-model, --load-adapter and --set-role is wanted")
             }
         }
@@ -275,20 +280,20 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Flags(e) => e.fmt(f),
-            Self::Misuse(e) => e.fmt(f),
+            Self::Arguments(e) => e.fmt(f),
+            Self::Usage(e) => e.fmt(f),
             Self::Settings(e) => e.fmt(f),
             Self::File { path, source } => write!(f, "{}: {source}", path.display()),
-            Self::Fault(e) => e.fmt(f),
-            Self::FileFault { path, fault } => write!(f, "{}: {fault}", path.display()),
+            Self::InvalidObject(e) => e.fmt(f),
+            Self::InvalidObjectFile { path, fault } => write!(f, "{}: {fault}", path.display()),
             Self::Directory { path, source } => write!(f, "{}: {source}", path.display()),
             Self::Process(e) => write!(f, "the process could not be set up: {e}"),
             Self::Standin(e) => e.fmt(f),
-            Self::Conflict(conflict) => show_conflict(f, conflict),
+            Self::Conflict(conflict) => fmt_conflict(f, conflict),
             Self::NotFound(key) => write!(f, "there is no {} `{}`", key.kind.code(), key.name),
             Self::Unavailable => f.write_str("the platform did not answer; nothing was written"),
             Self::Platform(e) => write!(f, "the platform refused the call: {e}"),
-            Self::Unknown(id) => write!(
+            Self::OutcomeUnknown(id) => write!(
                 f,
                 "the platform did not answer and the change may have taken effect; \
                  run the same again with --publish-id {id}"
@@ -335,7 +340,7 @@
     }
 }
 
-fn show_conflict(f: &mut fmt::Formatter<'_>, conflict: &Conflict) -> fmt::Result {
+fn fmt_conflict(f: &mut fmt::Formatter<'_>, conflict: &Conflict) -> fmt::Result {
     let key = &conflict.key;
     write!(f, "conflict: {} `{}` ", key.kind.code(), key.name)?;
     match (&conflict.current, conflict.base) {
@@ -357,14 +362,14 @@
     Ok(())
 }
 
-impl std::error::Error for Word {}
+impl std::error::Error for ArgumentError {}
 
 impl std::error::Error for Error {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
             Self::Settings(e) => Some(e),
             Self::File { source, .. } => Some(source),
-            Self::Fault(e) | Self::FileFault { fault: e, .. } => Some(e),
+            Self::InvalidObject(e) | Self::InvalidObjectFile { fault: e, .. } => Some(e),
             Self::Platform(e) => Some(e),
             Self::Output(e) | Self::Process(e) | Self::Directory { source: e, .. } => Some(e),
             Self::Standin(e) => Some(e),
@@ -375,7 +380,7 @@
 
 impl From<xflags::Error> for Error {
     fn from(e: xflags::Error) -> Self {
-        Self::Flags(e)
+        Self::Arguments(e)
     }
 }
 
@@ -385,14 +390,14 @@
     }
 }
 
-impl From<Misuse> for Error {
-    fn from(e: Misuse) -> Self {
-        Self::Misuse(e)
+impl From<UsageError> for Error {
+    fn from(e: UsageError) -> Self {
+        Self::Usage(e)
     }
 }
 
 impl From<Fault> for Error {
     fn from(e: Fault) -> Self {
-        Self::Fault(e)
+        Self::InvalidObject(e)
     }
 }
--- a/crates/peppercrank-cli/src/help.rs
+++ b/crates/peppercrank-cli/src/help.rs
@@ -1,13 +1,14 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Help for one verb, cut out of the whole text.
+//! Help text of one subcommand, extracted from the complete help text.
 
-/// The command's name, with which the heads of the text's sections begin.
+/// Name of the command, which starts the heading of each section.
 const COMMAND: &str = "peppercrank";
 
-/// `of_verb` is the help for `verb`, with the flags that every verb takes; else the whole text.
-pub(crate) fn of_verb(whole: &str, verb: Option<&str>) -> String {
+/// Returns the help for `verb` followed by the global flags, or the complete text if `verb` is
+/// `None` or unknown.
+pub(crate) fn help_for(whole: &str, verb: Option<&str>) -> String {
     verb.and_then(|v| section(whole, v))
         .unwrap_or_else(|| whole.to_owned())
 }
@@ -16,7 +17,7 @@
     let head = format!("{COMMAND} {verb}");
     let mut lines = whole.lines().skip_while(|line| *line != head);
     let first = lines.next()?;
-    let rest = lines.take_while(|line| !is_head(line));
+    let rest = lines.take_while(|line| !is_section_heading(line));
     let own = std::iter::once(first).chain(rest);
     let common = whole
         .lines()
@@ -32,8 +33,8 @@
     ))
 }
 
-/// Tells whether a line is the head of a verb's section.
-fn is_head(line: &str) -> bool {
+/// Returns whether a line is the heading of a subcommand's section.
+fn is_section_heading(line: &str) -> bool {
     let verb = line.strip_prefix(COMMAND);
     verb.is_some_and(|v| v.starts_with(' '))
 }
--- a/crates/peppercrank-cli/src/holder.rs
+++ b/crates/peppercrank-cli/src/holder.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The lease that orders are given under, held by one run of the command.
+//! Blocking holder of the lease under which orders are sent.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -27,15 +27,15 @@
 use peppercrank_wire::platform::Platform;
 use peppercrank_wire::platform::Written;
 
-/// `Holder` seeks, holds and gives back the lease of one pool, by calls that block.
+/// `Holder` acquires, renews and releases the lease of one pool with blocking calls.
 ///
-/// Its clock is read anew for each question, so that a process that was paused learns of it.
+/// The clock is read on each query, so that a process that was paused notices an expired lease.
 pub struct Holder<C> {
     contender: Contender,
     platform: Platform,
     pool: PoolName,
     clock: C,
-    other: Option<VmName>,
+    competing_vm: Option<VmName>,
 }
 
 impl<C> fmt::Debug for Holder<C> {
@@ -48,11 +48,11 @@
 }
 
 impl<C: Fn() -> Instant> Holder<C> {
-    /// `new` makes a holder that has not sought the lease yet.
+    /// Creates a holder that has not tried to acquire the lease yet.
     ///
     /// # Errors
     ///
-    /// Returns an error when no lease can be held under the policy.
+    /// Returns an error if the default policy is invalid.
     pub fn new(
         platform: Platform,
         pool: PoolName,
@@ -65,31 +65,33 @@
             platform,
             pool,
             clock,
-            other: None,
+            competing_vm: None,
         })
     }
 
-    /// `seek` waits until the lease is held, at most until `end`; it tells the fencing number.
-    pub fn seek(&mut self, end: Instant) -> Option<Version> {
-        self.step(Input::Seek);
+    /// Waits until the lease is held or `end` is reached, and returns the fencing number, or
+    /// `None` on timeout.
+    pub fn acquire(&mut self, end: Instant) -> Option<Version> {
+        self.apply(Input::Seek);
         self.wait(end, Contender::fence)
     }
 
-    /// `fence` is the number to act under at this very moment, none when no act is allowed.
+    /// Returns the fencing number that is valid now, or `None` if the lease is not held.
     #[must_use]
     pub fn fence(&self) -> Option<Version> {
         self.contender.fence((self.clock)())
     }
 
-    /// `renew` makes the renewal that is due, if one is.
+    /// Renews the lease if a renewal is due.
     pub fn renew(&mut self) {
-        self.step(Input::Tick);
+        self.apply(Input::Tick);
     }
 
-    /// `reach` waits for a renewal that brings a number of at least `least`.
+    /// Waits for a renewal with a fencing number of at least `least`.
     ///
-    /// It tells whether one came by `end`; a lease that is lost meanwhile is not sought again.
-    pub fn reach(&mut self, least: Version, end: Instant) -> bool {
+    /// Returns whether that happened before `end`. A lease that is lost in the meantime is not
+    /// acquired again.
+    pub fn wait_for_fence(&mut self, least: Version, end: Instant) -> bool {
         let reached = |contender: &Contender, now| match contender.fence(now) {
             Some(fence) if fence < least => None,
             fence => Some(fence),
@@ -97,20 +99,22 @@
         matches!(self.wait(end, reached), Some(Some(_)))
     }
 
-    /// `give_back` lets another take the lease at once, and tells whether that was written.
-    pub fn give_back(&mut self, end: Instant) -> bool {
-        self.step(Input::Leave);
+    /// Releases the lease so that another holder can acquire it at once. Returns whether the
+    /// release was written before `end`.
+    pub fn release(&mut self, end: Instant) -> bool {
+        self.apply(Input::Leave);
         let owes_nothing = |contender: &Contender, _| contender.wake().is_none().then_some(());
         self.wait(end, owes_nothing).is_some()
     }
 
-    /// `other` is who held the lease when it was last seen in other hands.
+    /// Returns the other holder that was last seen in the lease, or `None` if none was seen or it
+    /// has released the lease.
     #[must_use]
-    pub const fn other(&self) -> Option<&VmName> {
-        self.other.as_ref()
+    pub const fn other_holder(&self) -> Option<&VmName> {
+        self.competing_vm.as_ref()
     }
 
-    /// Carries on until `done` says something, at most until `end`.
+    /// Drives the contender until `done` returns a value or `end` is reached.
     fn wait<T>(
         &mut self,
         end: Instant,
@@ -126,12 +130,12 @@
             }
             let wake = self.contender.wake().unwrap_or(end).min(end);
             thread::sleep(wake.since(now));
-            self.step(Input::Tick);
+            self.apply(Input::Tick);
         }
     }
 
-    /// Gives the contender an input, and the answers to the calls that it asks for.
-    fn step(&mut self, input: Input) {
+    /// Feeds an input to the contender, and then the results of the store calls that it requests.
+    fn apply(&mut self, input: Input) {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
             for action in self.contender.on((self.clock)(), input) {
@@ -144,7 +148,7 @@
                         let answer = self.write(base, &body);
                         inputs.push_back(Input::Answer { call, answer });
                     }
-                    // Whether it is held is asked before each act.
+                    // Callers query the fencing number before each act, so these need no handling.
                     Action::Held { .. } | Action::Lost => {}
                 }
             }
@@ -153,16 +157,16 @@
 
     fn read(&mut self) -> Answer<Lease> {
         match self.platform.get(KIND, self.pool.as_str()) {
-            Ok(Fetched::Found(object)) => match parse(object) {
+            Ok(Fetched::Found(object)) => match parse_lease(object) {
                 Some((version, body)) => {
-                    self.note(&body);
+                    self.record_holder(&body);
                     Answer::Found { version, body }
                 }
-                // What cannot be read may be another's lease.
+                // An object that cannot be parsed may be another holder's lease.
                 None => Answer::Failed { after: None },
             },
             Ok(Fetched::Absent) => Answer::Absent,
-            Err(failure) => failed(failure),
+            Err(failure) => failed_answer(failure),
         }
     }
 
@@ -179,27 +183,27 @@
                 version: Version(version),
             },
             Ok(Written::Conflict(current)) => {
-                let current = current.and_then(parse);
+                let current = current.and_then(parse_lease);
                 if let Some((_, lease)) = &current {
-                    self.note(lease);
+                    self.record_holder(lease);
                 }
                 Answer::Conflict { current }
             }
-            Err(failure) => failed(failure),
+            Err(failure) => failed_answer(failure),
         }
     }
 
-    fn note(&mut self, lease: &Lease) {
-        self.other = (!lease.released).then(|| lease.holder.clone());
+    fn record_holder(&mut self, lease: &Lease) {
+        self.competing_vm = (!lease.released).then(|| lease.holder.clone());
     }
 }
 
-fn parse(object: Object) -> Option<(Version, Lease)> {
+fn parse_lease(object: Object) -> Option<(Version, Lease)> {
     let body = serde_json::from_value(object.body?).ok()?;
     Some((Version(object.version), body))
 }
 
-fn failed(failure: Failure) -> Answer<Lease> {
+fn failed_answer(failure: Failure) -> Answer<Lease> {
     match failure {
         Failure::Throttled(after) => Answer::Failed { after },
         _ => Answer::Failed { after: None },
--- a/crates/peppercrank-cli/src/remote.rs
+++ b/crates/peppercrank-cli/src/remote.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The platform as the verbs use it: reads with retries, and acts of publishing.
+//! Platform client of the subcommands: reads with retries, and publishing.
 
 use std::thread;
 use std::time::Duration;
@@ -33,28 +33,28 @@
 use crate::errors::Error;
 use crate::errors::Result;
 
-/// The first pause before a read is tried again; it doubles.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// Initial delay before a read is retried; doubled on each retry.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The longest pause before a read is tried again.
-const LAST_PAUSE: Duration = Duration::from_secs(2);
+/// Maximum delay before a read is retried.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// The pause when the platform is throttling and does not say for how long.
-const THROTTLED_PAUSE: Duration = Duration::from_secs(1);
+/// Delay after a throttled call without a retry hint.
+const THROTTLED_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// `Remote` is the platform within the time of one verb.
+/// `PlatformClient` calls the platform within the timeout of one subcommand.
 #[derive(Debug)]
-pub(crate) struct Remote {
+pub(crate) struct PlatformClient {
     platform: Platform,
     start: StdInstant,
     timeout: Duration,
 }
 
-impl Remote {
+impl PlatformClient {
     pub(crate) fn new(access: &Access) -> Result<Self> {
         let mut to = platform::Access::new(access.platform()?.address());
         to.token = access.token.as_ref().map(|t| t.reveal().to_owned());
-        // One call that hangs must leave time for another.
+        // A single call that hangs must leave time for another.
         to.call = to.call.min(access.timeout / 2);
         to.connect = to.connect.min(to.call);
         Ok(Self {
@@ -64,28 +64,28 @@
         })
     }
 
-    /// The platform alone, for who keeps to times of its own.
+    /// Returns the underlying platform API, for callers with timeouts of their own.
     pub(crate) fn into_platform(self) -> Platform {
         self.platform
     }
 
-    /// The moment by which everything must be done.
+    /// Returns the deadline of all calls, on the clock of [`Self::now`].
     pub(crate) fn deadline(&self) -> Instant {
         Instant::from_origin(self.timeout)
     }
 
-    /// Reads an object, none when it is not there.
+    /// Reads an object; `None` if it does not exist.
     pub(crate) fn read(&self, key: &ObjectKey) -> Result<Option<Current>> {
         self.retry(|| self.fetch(key))
     }
 
-    /// Reads an object that must be there.
-    pub(crate) fn need(&self, key: &ObjectKey) -> Result<Current> {
+    /// Reads an object, or returns [`Error::NotFound`].
+    pub(crate) fn read_existing(&self, key: &ObjectKey) -> Result<Current> {
         let found = self.read(key)?;
         found.ok_or_else(|| Error::NotFound(key.clone()))
     }
 
-    /// Lists a kind.
+    /// Lists all objects of a kind.
     pub(crate) fn list(&self, kind: ObjectKind) -> Result<Listing> {
         self.retry(|| self.platform.list(kind.code()))
     }
@@ -95,10 +95,10 @@
         self.retry(|| self.platform.vms())
     }
 
-    /// Carries an act of publishing through.
+    /// Runs the publishing state machine to its end.
     pub(crate) fn publish(&self, key: &ObjectKey, mut publish: Publish) -> Result<Done> {
         let id = publish.id();
-        let mut unsure = false;
+        let mut write_uncertain = false;
         let mut input = Input::Begin;
         loop {
             let answer = match publish.on(self.now(), input) {
@@ -111,19 +111,20 @@
                 }
                 Next::Done(done) => return Ok(done),
                 Next::Conflict(conflict) => return Err(Error::Conflict(conflict)),
-                Next::Invalid(fault) => return Err(Error::Fault(fault)),
+                Next::Invalid(fault) => return Err(Error::InvalidObject(fault)),
                 Next::GiveUp(Fate::NotWritten) => return Err(Error::Unavailable),
-                Next::GiveUp(Fate::MayBeWritten) => return Err(Error::Unknown(id)),
+                Next::GiveUp(Fate::MayBeWritten) => return Err(Error::OutcomeUnknown(id)),
             };
             input = match answer {
                 Ok(input) => input,
                 Err(failure) => {
-                    unsure |= failure == platform::Failure::Unknown;
-                    match transient(failure) {
+                    write_uncertain |= failure == platform::Failure::Unknown;
+                    match publish_failure(failure) {
                         Some(Failure::Lost) => Input::Written(Err(Failure::Lost)),
                         Some(failure) => Input::Read(Err(failure)),
-                        // A refusal now does not undo a write that may have been taken before.
-                        None if unsure => return Err(Error::Unknown(id)),
+                        // A refusal does not undo an earlier write of unknown outcome, which may
+                        // have been accepted.
+                        None if write_uncertain => return Err(Error::OutcomeUnknown(id)),
                         None => return Err(Error::Platform(failure)),
                     }
                 }
@@ -134,7 +135,7 @@
     fn fetch(&self, key: &ObjectKey) -> std::result::Result<Option<Current>, platform::Failure> {
         let found = self.platform.get(key.kind.code(), key.name.as_str())?;
         Ok(match found {
-            Fetched::Found(object) => current(object),
+            Fetched::Found(object) => live_object(object),
             Fetched::Absent => None,
         })
     }
@@ -151,7 +152,7 @@
         };
         let (kind, name) = (key.kind.code(), key.name.as_str());
         let written = self.platform.put(kind, name, condition, body)?;
-        self.written(key, written)
+        self.write_result(key, written)
     }
 
     fn remove(
@@ -161,18 +162,19 @@
     ) -> std::result::Result<Input, platform::Failure> {
         let (kind, name) = (key.kind.code(), key.name.as_str());
         let written = self.platform.delete(kind, name, base.0)?;
-        self.written(key, written)
+        self.write_result(key, written)
     }
 
-    fn written(
+    fn write_result(
         &self,
         key: &ObjectKey,
         written: platform::Written,
     ) -> std::result::Result<Input, platform::Failure> {
         let written = match written {
             platform::Written::Done(version) => Written::Version(Version(version)),
-            platform::Written::Conflict(Some(object)) => Written::Refused(current(object)),
-            // The refusal did not say what stands there, and nothing must not be taken for it.
+            platform::Written::Conflict(Some(object)) => Written::Refused(live_object(object)),
+            // The conflict did not include the current object; it must not be mistaken for an
+            // absent one.
             platform::Written::Conflict(None) => Written::Refused(self.fetch(key)?),
         };
         Ok(Input::Written(Ok(written)))
@@ -182,13 +184,13 @@
         &self,
         mut call: impl FnMut() -> std::result::Result<T, platform::Failure>,
     ) -> Result<T> {
-        let mut pause = FIRST_PAUSE;
+        let mut pause = INITIAL_RETRY_DELAY;
         loop {
             let failure = match call() {
                 Ok(value) => return Ok(value),
                 Err(failure) => failure,
             };
-            let wait = match transient(failure) {
+            let wait = match publish_failure(failure) {
                 Some(Failure::Busy { after }) => after,
                 Some(_) => pause,
                 None => return Err(Error::Platform(failure)),
@@ -197,7 +199,7 @@
                 return Err(Error::Unavailable);
             }
             thread::sleep(wait);
-            pause = pause.saturating_mul(2).min(LAST_PAUSE);
+            pause = pause.saturating_mul(2).min(MAX_RETRY_DELAY);
         }
     }
 
@@ -206,11 +208,11 @@
     }
 }
 
-/// What a failure means to a publisher; none when trying again cannot help.
-fn transient(failure: platform::Failure) -> Option<Failure> {
+/// Converts a failure for the publishing state machine; `None` if a retry cannot help.
+fn publish_failure(failure: platform::Failure) -> Option<Failure> {
     match failure {
         platform::Failure::Throttled(after) => Some(Failure::Busy {
-            after: after.unwrap_or(THROTTLED_PAUSE),
+            after: after.unwrap_or(THROTTLED_RETRY_DELAY),
         }),
         platform::Failure::Down | platform::Failure::Slow => Some(Failure::Unreached),
         platform::Failure::Unknown => Some(Failure::Lost),
@@ -218,8 +220,8 @@
     }
 }
 
-/// An object that is no tombstone.
-fn current(object: Object) -> Option<Current> {
+/// Returns the object unless it is a tombstone.
+fn live_object(object: Object) -> Option<Current> {
     let body = object.body?;
     let version = Version(object.version);
     Some(Current { version, body })
--- a/crates/peppercrank-cli/src/verbs/explain.rs
+++ b/crates/peppercrank-cli/src/verbs/explain.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One request's story out of the daemons' logs.
+//! Reconstructs the history of one request from daemon logs.
 
 use std::fmt::Write;
 use std::fs::File;
@@ -21,22 +21,22 @@
 use crate::flags;
 use crate::report::Report;
 
-/// Reads the logs and tells the story.
+/// Reads the logs and reports the history of the request.
 pub(super) fn explain(flags: &flags::Explain) -> Result<Report> {
     let mut story = RequestTrace::new(&flags.id);
     if flags.files.is_empty() {
         let read = story.read(io::stdin().lock());
-        read.map_err(|e| unreadable(Path::new("standard input"), e))?;
+        read.map_err(|e| read_error(Path::new("standard input"), e))?;
     }
     for path in &flags.files {
-        let log = File::open(path).map_err(|e| unreadable(path, e))?;
+        let log = File::open(path).map_err(|e| read_error(path, e))?;
         let read = story.read(BufReader::new(log));
-        read.map_err(|e| unreadable(path, e))?;
+        read.map_err(|e| read_error(path, e))?;
     }
     Ok(report(&flags.id, &story))
 }
 
-fn unreadable(path: &Path, e: io::Error) -> Error {
+fn read_error(path: &Path, e: io::Error) -> Error {
     Error::Settings(peppercrank_settings::errors::unreadable_file(path, e))
 }
 
@@ -46,13 +46,13 @@
     if steps.is_empty() {
         let text = format!("no line of these logs tells of {id}\nlikely cause: {cause}");
         let json = json!({ "id": id, "steps": [], "cause": cause });
-        return Report::ending(Exit::NotFound, text, json);
+        return Report::with_exit(Exit::NotFound, text, json);
     }
     let mut text = String::new();
     for step in &steps {
         write_step(&mut text, step);
     }
-    // Writing into a string does not fail.
+    // Writing to a string never fails.
     let _written = write!(text, "likely cause: {cause}");
     let told = steps.iter().map(|s| step_json(s)).collect::<Vec<_>>();
     Report::done(text, json!({ "id": id, "steps": told, "cause": cause }))
@@ -61,7 +61,7 @@
 fn write_step(text: &mut String, step: &TraceStep) {
     let fields = fields_text(&step.fields);
     let event = step.event.text();
-    // Writing into a string does not fail.
+    // Writing to a string never fails.
     let _written = writeln!(text, "{} {} {event}: {fields}", step.time, step.process);
     for belief in &step.process_state {
         let _written = writeln!(text, "    since {}: {}", belief.time, belief.description);
--- a/crates/peppercrank-cli/src/verbs/local.rs
+++ b/crates/peppercrank-cli/src/verbs/local.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A whole small fleet in one process: routers that send straight to targets, or with an agent beside each target.
+//! Runs a small fleet in one process, either with routers that send straight to targets or with an
+//! agent beside each target.
 
 mod direct;
 mod objects;
@@ -55,17 +56,17 @@
 use crate::report::Report;
 use crate::verbs::daemon;
 
-/// Time for the fleet to come together.
-const TOGETHER: Duration = Duration::from_secs(20);
+/// Time within which all routers must be ready and know all targets.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause between two looks at whether it has.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval between two checks of that.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The operators' token of a local fleet; it guards nothing but this process.
-pub(crate) const TOKEN: &str = "local-operators-token";
+/// Operator token of a local fleet; it protects only this process.
+pub(crate) const LOCAL_TOKEN: &str = "local-operators-token";
 
-/// `Local` is a fleet that runs.
-struct Local {
+/// A running fleet with agents.
+struct AgentFleet {
     stopper: Stopper,
     platform: Running,
     targets: Vec<Running>,
@@ -73,8 +74,8 @@
     routers: Vec<router::Running>,
 }
 
-/// How many of each part, and where.
-struct Plan {
+/// Instance counts and ports of a fleet with agents.
+struct AgentFleetOptions {
     port: u16,
     routers: u16,
     engines: u16,
@@ -82,14 +83,14 @@
     platform: u16,
 }
 
-impl Plan {
-    fn of(flags: &flags::Local) -> Self {
+impl AgentFleetOptions {
+    fn from_flags(flags: &flags::Local) -> Self {
         let direct::LocalOptions {
             port,
             routers,
             engines,
             services,
-        } = direct::plan(flags);
+        } = direct::options(flags);
         Self {
             port,
             routers,
@@ -100,7 +101,7 @@
     }
 }
 
-/// Serves a local fleet until SIGTERM, SIGINT or the end of its run time.
+/// Runs a local fleet until SIGTERM, SIGINT or the end of its run time.
 pub(super) fn local(access: &Access, flags: &flags::Local, out: &mut dyn Write) -> Result<Report> {
     if !flags.agents {
         return direct::local(access, flags, out);
@@ -108,16 +109,16 @@
     let runtime = Runtime::new().map_err(Error::Process)?;
     let (signal, mut signalled) = stop::stop();
     daemon::on_signal(signal)?;
-    let local = runtime.block_on(Local::start(&Plan::of(flags)))?;
-    let told = writeln!(out, "{}", local.show(access.form)).and_then(|()| out.flush());
+    let local = runtime.block_on(AgentFleet::start(&AgentFleetOptions::from_flags(flags)))?;
+    let told = writeln!(out, "{}", local.render(access.format)).and_then(|()| out.flush());
     told.map_err(Error::Output)?;
     runtime.block_on(async {
         match &flags.run_time {
-            // Both ends of the wait are the end of the run.
+            // A signal and the timeout both end the run.
             Some(span) => drop(timeout(span.0, signalled.wait()).await),
             None => signalled.wait().await,
         }
-        local.end().await
+        local.shutdown().await
     })?;
     Ok(Report::done(
         "local fleet stopped".to_owned(),
@@ -125,10 +126,10 @@
     ))
 }
 
-impl Local {
-    async fn start(plan: &Plan) -> Result<Self> {
+impl AgentFleet {
+    async fn start(plan: &AgentFleetOptions) -> Result<Self> {
         let set = PlatformSettings {
-            listen: at(plan.platform),
+            listen: loopback(plan.platform),
             vms_lag_ms: 0,
             ..PlatformSettings::default()
         };
@@ -157,7 +158,7 @@
             local.add_router(number, port, &stop).await?;
         }
         local.list_vms().await?;
-        local.come_together().await?;
+        local.wait_until_converged().await?;
         Ok(local)
     }
 
@@ -191,15 +192,15 @@
         stop: &Stop,
     ) -> Result<()> {
         let target_settings = TargetSettings {
-            name: named::<TargetName>(name),
-            pool: named::<PoolName>(pool),
+            name: parse_name::<TargetName>(name),
+            pool: parse_name::<PoolName>(pool),
             weight: 100,
             kind,
             address: target.addr,
             checks_orders: false,
         };
         let fleet = self.fleet(&format!("vm-{name}"));
-        let settings = AgentSettings::new(fleet, at(0), target_settings);
+        let settings = AgentSettings::new(fleet, loopback(0), target_settings);
         let started = agent::start(settings, Log::disabled(), stop.clone()).await;
         self.agents
             .push(started.map_err(|e| Error::Daemon(e.into()))?);
@@ -209,8 +210,8 @@
 
     async fn add_router(&mut self, number: u16, port: u16, stop: &Stop) -> Result<()> {
         let fleet = self.fleet(&format!("vm-router-{number}"));
-        let mut settings = RouterSettings::new(fleet, at(port));
-        settings.anonymous = Some(named::<OrganisationName>("guest"));
+        let mut settings = RouterSettings::new(fleet, loopback(port));
+        settings.anonymous = Some(parse_name::<OrganisationName>("guest"));
         let started = router::start(settings, Log::disabled(), stop.clone()).await;
         self.routers
             .push(started.map_err(|e| Error::Daemon(e.into()))?);
@@ -220,11 +221,11 @@
     fn fleet(&self, vm: &str) -> FleetSettings {
         let url = format!("http://{}", self.platform.addr);
         FleetSettings {
-            vm: named::<VmName>(vm),
-            zone: named::<ZoneName>("local"),
-            gossip: at(0),
-            control: at(0),
-            operators: at(0),
+            vm: parse_name::<VmName>(vm),
+            zone: parse_name::<ZoneName>("local"),
+            gossip: loopback(0),
+            control: loopback(0),
+            operators: loopback(0),
             platform: PlatformApiSettings {
                 url: BaseUrl::new(&url).expect("an IP address makes an address"),
                 token: None,
@@ -235,22 +236,22 @@
                 secret: vec![7; 32],
             }],
             keys_file: None,
-            tokens: vec![Secret::new(TOKEN).expect("a constant that is long enough")],
+            tokens: vec![Secret::new(LOCAL_TOKEN).expect("a constant that is long enough")],
             touch: ContactLimits::default(),
             log: LogLevel::Info,
         }
     }
 
-    /// Writes the first configuration.
+    /// Publishes the initial configuration.
     async fn publish(&self) -> Result<()> {
-        for (kind, name, spec) in objects::first() {
+        for (kind, name, spec) in objects::initial_objects() {
             self.put(&format!("objects/{kind}/{name}"), &json!({ "spec": spec }))
                 .await?;
         }
         Ok(())
     }
 
-    /// Tells the platform where the processes are, as the operators' platform would know.
+    /// Registers the VMs with the platform stand-in, as a real platform would know them.
     async fn list_vms(&self) -> Result<()> {
         let vm = |fleet: &peppercrank_daemon::fleet::Fleet, role| {
             json!({
@@ -279,24 +280,24 @@
         sent.map_err(|e| Error::Process(std::io::Error::other(e)))
     }
 
-    /// Waits until each router is ready and knows all targets.
-    async fn come_together(&self) -> Result<()> {
+    /// Waits until every router is ready and knows all targets.
+    async fn wait_until_converged(&self) -> Result<()> {
         let targets = self.targets.len();
         let ready = |r: &router::Running| {
             r.router.fleet.is_ready() && r.router.fleet.board().targets.len() == targets
         };
         let all = async {
             while !self.routers.iter().all(ready) {
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         };
         let late = std::io::Error::from(std::io::ErrorKind::TimedOut);
-        timeout(TOGETHER, all)
+        timeout(CONVERGENCE_TIMEOUT, all)
             .await
             .map_err(|_late| Error::Process(late))
     }
 
-    async fn end(self) -> Result<()> {
+    async fn shutdown(self) -> Result<()> {
         self.stopper.stop();
         for router in self.routers {
             router
@@ -310,7 +311,7 @@
                 .await
                 .map_err(|e| Error::Daemon(e.into()))?;
         }
-        // Nothing of a caller runs any more: what is open is the agents' own polling.
+        // All callers' requests have ended; what is still open is polling by the agents.
         for target in self.targets {
             target.kill().await;
         }
@@ -319,13 +320,13 @@
     }
 }
 
-/// A loopback address.
-fn at(port: u16) -> SocketAddr {
+/// Returns a loopback address with this port.
+fn loopback(port: u16) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port)
 }
 
-/// A name of this file, which are all valid.
-fn named<T: std::str::FromStr>(text: &str) -> T
+/// Parses a name from a constant of this module, all of which are valid.
+fn parse_name<T: std::str::FromStr>(text: &str) -> T
 where
     T::Err: std::fmt::Debug,
 {
--- a/crates/peppercrank-cli/src/verbs/mod.rs
+++ b/crates/peppercrank-cli/src/verbs/mod.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The verbs.
+//! The subcommands.
 
 mod batch;
 mod daemon;
@@ -24,8 +24,8 @@
 use crate::flags::PeppercrankCmd;
 use crate::report::Report;
 
-/// The names of all verbs.
-pub(crate) const NAMES: &[&str] = &[
+/// Names of all subcommands.
+pub(crate) const SUBCOMMANDS: &[&str] = &[
     "publish",
     "publish-all",
     "revise",
@@ -49,8 +49,12 @@
     "standin",
 ];
 
-/// Carries a verb out.
-pub(crate) fn carry(access: &Access, verb: &PeppercrankCmd, out: &mut dyn Write) -> Result<Report> {
+/// Executes a subcommand.
+pub(crate) fn dispatch(
+    access: &Access,
+    verb: &PeppercrankCmd,
+    out: &mut dyn Write,
+) -> Result<Report> {
     match verb {
         PeppercrankCmd::Publish(flags) => write::publish(access, flags),
         PeppercrankCmd::PublishAll(flags) => batch::publish_all(access, flags),
--- a/crates/peppercrank-cli/src/verbs/read.rs
+++ b/crates/peppercrank-cli/src/verbs/read.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Verbs that read objects, or look at a file alone.
+//! Subcommands that read objects or validate a file.
 
 use peppercrank_config::checks;
 use peppercrank_config::diff;
@@ -14,17 +14,17 @@
 use crate::exit::Exit;
 use crate::flags;
 use crate::object;
-use crate::remote::Remote;
+use crate::remote::PlatformClient;
 use crate::report::Report;
 use crate::report::row;
 use crate::report::table;
 
-/// Prints an object, as a file that `revise` takes.
+/// Prints an object as a file that `revise` accepts.
 pub(super) fn get(access: &Access, flags: &flags::Get) -> Result<Report> {
     let key = key(flags.kind, &flags.name);
-    let current = Remote::new(access)?.need(&key)?;
+    let current = PlatformClient::new(access)?.read_existing(&key)?;
     let spec = object::spec(&current.body);
-    let title = object::title(&key);
+    let title = object::display_name(&key);
     let text = format!("// {title}, version {}\n{spec:#}", current.version);
     let json = json!({
         "kind": key.kind,
@@ -35,10 +35,10 @@
     Ok(Report::done(text, json))
 }
 
-/// Lists a kind.
+/// Lists all objects of a kind.
 pub(super) fn list(access: &Access, flags: &flags::List) -> Result<Report> {
     let kind = flags.kind.0;
-    let listing = Remote::new(access)?.list(kind)?;
+    let listing = PlatformClient::new(access)?.list(kind)?;
     let live = listing.objects.iter();
     let live = live.filter_map(|o| Some((o, o.body.as_ref()?)));
     let live = live.collect::<Vec<_>>();
@@ -58,11 +58,11 @@
     Ok(Report::done(table(&rows), json))
 }
 
-/// Compares a file with the platform.
+/// Compares a file with the object on the platform.
 pub(super) fn diff(access: &Access, flags: &flags::Diff) -> Result<Report> {
     let key = key(flags.kind, &flags.name);
     let ours = object::read(&flags.file)?;
-    let current = Remote::new(access)?.need(&key)?;
+    let current = PlatformClient::new(access)?.read_existing(&key)?;
     let differences = diff::diff(&ours, &object::spec(&current.body));
     let json = json!({
         "kind": key.kind,
@@ -79,15 +79,15 @@
         "the file (ours) differs from version {} (theirs):\n{lines}",
         current.version
     );
-    Ok(Report::ending(Exit::Differs, text, json))
+    Ok(Report::with_exit(Exit::Differs, text, json))
 }
 
-/// Checks a file.
+/// Validates a file without the platform.
 pub(super) fn validate(flags: &flags::Validate) -> Result<Report> {
     let key = key(flags.kind, &flags.name);
     let spec = object::read(&flags.file)?;
     checks::validate_spec(key.kind, &key.name, spec)?;
-    let text = format!("{} is valid", object::title(&key));
+    let text = format!("{} is valid", object::display_name(&key));
     Ok(Report::done(
         text,
         json!({ "kind": key.kind, "name": key.name, "valid": true }),
--- a/crates/peppercrank-cli/src/verbs/standin.rs
+++ b/crates/peppercrank-cli/src/verbs/standin.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Stand-ins of engine, plain service and platform as processes of their own.
+//! Runs a stand-in of an engine, a plain service or the platform in the foreground.
 
 use std::io::Write;
 
@@ -23,23 +23,24 @@
 use crate::errors::Result;
 use crate::flags;
 use crate::report::Report;
-use crate::words::Form;
-use crate::words::Part;
+use crate::words::OutputFormat;
+use crate::words::StandinKind;
 
-/// Serves a stand-in until SIGTERM or SIGINT.
+/// Runs a stand-in until SIGTERM or SIGINT.
 pub(super) fn standin(
     access: &Access,
     flags: &flags::Standin,
     out: &mut dyn Write,
 ) -> Result<Report> {
-    // Signals are caught before the address is told, so that none comes too early.
+    // Signal handlers are installed before the address is printed, so that a signal sent right
+    // after it is not missed.
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(Error::Process)?;
     let runtime = Runtime::new().map_err(Error::Process)?;
     let running = start(&runtime, flags)?;
-    let kind = flags.kind.word();
-    let line = match access.form {
-        Form::Text => format!("{kind} stand-in listens on {}", running.addr),
-        Form::Json => json!({ "standin": kind, "address": running.addr }).to_string(),
+    let kind = flags.kind.name();
+    let line = match access.format {
+        OutputFormat::Text => format!("{kind} stand-in listens on {}", running.addr),
+        OutputFormat::Json => json!({ "standin": kind, "address": running.addr }).to_string(),
     };
     let told = writeln!(out, "{line}").and_then(|()| out.flush());
     told.map_err(Error::Output)?;
@@ -54,9 +55,9 @@
 
 fn start(runtime: &Runtime, flags: &flags::Standin) -> Result<Running> {
     let running = match flags.kind {
-        Part::Engine => runtime.block_on(engine::start(settings(flags)?)),
-        Part::Service => runtime.block_on(service::start(settings(flags)?)),
-        Part::Platform => runtime.block_on(platform::start(settings(flags)?)),
+        StandinKind::Engine => runtime.block_on(engine::start(settings(flags)?)),
+        StandinKind::Service => runtime.block_on(service::start(settings(flags)?)),
+        StandinKind::Platform => runtime.block_on(platform::start(settings(flags)?)),
     };
     running.map_err(Error::Standin)
 }
--- a/crates/peppercrank-cli/src/words.rs
+++ b/crates/peppercrank-cli/src/words.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Words of the command line, read into types.
+//! Argument types of the command line.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,47 +9,49 @@
 
 use peppercrank_core::objects::ObjectKind;
 
-use crate::errors::Word;
+use crate::errors::ArgumentError;
 
-/// `KindWord` is the kind of an object as an argument.
+/// `KindArg` is an object kind given as an argument.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KindWord(pub ObjectKind);
+pub struct KindArg(pub ObjectKind);
 
-impl FromStr for KindWord {
-    type Err = Word;
+impl FromStr for KindArg {
+    type Err = ArgumentError;
 
-    fn from_str(s: &str) -> Result<Self, Word> {
-        ObjectKind::from_code(s).map(Self).ok_or(Word::Kind)
+    fn from_str(s: &str) -> Result<Self, ArgumentError> {
+        ObjectKind::from_code(s)
+            .map(Self)
+            .ok_or(ArgumentError::ObjectKind)
     }
 }
 
-/// `Form` is the form of the output.
+/// `OutputFormat` is the format of the output.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Form {
-    /// For people.
+pub enum OutputFormat {
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON value a run.
+    /// One JSON value per run.
     Json,
 }
 
-impl FromStr for Form {
-    type Err = Word;
+impl FromStr for OutputFormat {
+    type Err = ArgumentError;
 
-    fn from_str(s: &str) -> Result<Self, Word> {
+    fn from_str(s: &str) -> Result<Self, ArgumentError> {
         match s {
             "text" => Ok(Self::Text),
             "json" => Ok(Self::Json),
-            _ => Err(Word::Form),
+            _ => Err(ArgumentError::OutputFormat),
         }
     }
 }
 
-/// `Span` is a duration with its unit.
+/// `DurationArg` is a duration with a unit, such as `30s`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Span(pub Duration);
+pub struct DurationArg(pub Duration);
 
-impl FromStr for Span {
+impl FromStr for DurationArg {
     type Err = peppercrank_settings::Error;
 
     fn from_str(s: &str) -> Result<Self, Self::Err> {
@@ -57,41 +59,41 @@
     }
 }
 
-/// `OrderWord` is the id of an order, hexadecimal.
+/// `OrderIdArg` is an order id of 32 hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OrderWord(pub u128);
+pub struct OrderIdArg(pub u128);
 
-impl FromStr for OrderWord {
-    type Err = Word;
+impl FromStr for OrderIdArg {
+    type Err = ArgumentError;
 
-    fn from_str(s: &str) -> Result<Self, Word> {
+    fn from_str(s: &str) -> Result<Self, ArgumentError> {
         let plain = s.len() == 32 && s.bytes().all(|b| b.is_ascii_hexdigit());
-        let id = u128::from_str_radix(s, 16).map_err(|_e| Word::Order)?;
-        plain.then_some(Self(id)).ok_or(Word::Order)
+        let id = u128::from_str_radix(s, 16).map_err(|_e| ArgumentError::OrderId)?;
+        plain.then_some(Self(id)).ok_or(ArgumentError::OrderId)
     }
 }
 
-impl fmt::Display for OrderWord {
+impl fmt::Display for OrderIdArg {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:032x}", self.0)
     }
 }
 
-/// `Daemon` is which daemon a settings file is for.
+/// `DaemonKind` is the kind of daemon that a settings file configures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Daemon {
-    /// The router.
+pub enum DaemonKind {
+    /// A router.
     Router,
-    /// The agent.
+    /// An agent.
     Agent,
-    /// The gateway.
+    /// A gateway.
     Gateway,
 }
 
-impl Daemon {
-    /// `word` is the daemon's verb.
+impl DaemonKind {
+    /// Returns the name as given on the command line.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn name(self) -> &'static str {
         match self {
             Self::Router => "router",
             Self::Agent => "agent",
@@ -100,22 +102,22 @@
     }
 }
 
-impl FromStr for Daemon {
-    type Err = Word;
+impl FromStr for DaemonKind {
+    type Err = ArgumentError;
 
-    fn from_str(s: &str) -> Result<Self, Word> {
+    fn from_str(s: &str) -> Result<Self, ArgumentError> {
         match s {
             "router" => Ok(Self::Router),
             "agent" => Ok(Self::Agent),
             "gateway" => Ok(Self::Gateway),
-            _ => Err(Word::Daemon),
+            _ => Err(ArgumentError::DaemonKind),
         }
     }
 }
 
-/// `Part` is which system a stand-in stands in for.
+/// `StandinKind` is the kind of system that a stand-in simulates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
+pub enum StandinKind {
     /// A model engine.
     Engine,
     /// A plain service.
@@ -124,10 +126,10 @@
     Platform,
 }
 
-impl Part {
-    /// `word` is the part's word.
+impl StandinKind {
+    /// Returns the name as given on the command line.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn name(self) -> &'static str {
         match self {
             Self::Engine => "engine",
             Self::Service => "service",
@@ -136,33 +138,33 @@
     }
 }
 
-impl FromStr for Part {
-    type Err = Word;
+impl FromStr for StandinKind {
+    type Err = ArgumentError;
 
-    fn from_str(s: &str) -> Result<Self, Word> {
+    fn from_str(s: &str) -> Result<Self, ArgumentError> {
         match s {
             "engine" => Ok(Self::Engine),
             "service" => Ok(Self::Service),
             "platform" => Ok(Self::Platform),
-            _ => Err(Word::Part),
+            _ => Err(ArgumentError::StandinKind),
         }
     }
 }
 
-/// `Assignment` is one `key=value`; with no value the parameter is the template's again.
+/// `Assignment` is a `key=value` argument. An empty value reverts the parameter to the template's.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Assignment {
-    /// The parameter.
+    /// Name of the parameter.
     pub key: String,
-    /// Its value, empty to take it back.
+    /// New value; empty to revert to the template's.
     pub value: String,
 }
 
 impl FromStr for Assignment {
-    type Err = Word;
+    type Err = ArgumentError;
 
-    fn from_str(s: &str) -> Result<Self, Word> {
-        let (key, value) = s.split_once('=').ok_or(Word::Assignment)?;
+    fn from_str(s: &str) -> Result<Self, ArgumentError> {
+        let (key, value) = s.split_once('=').ok_or(ArgumentError::Assignment)?;
         Ok(Self {
             key: key.to_owned(),
             value: value.to_owned(),
