--- a/crates/peppercrank-cli/src/verbs/local.rs
+++ b/crates/peppercrank-cli/src/verbs/local.rs
@@ -32,7 +32,7 @@
 use peppercrank_settings::fleet::LogLevel;
 use peppercrank_settings::fleet::PlatformApiSettings;
 use peppercrank_settings::keys::Key;
-use peppercrank_standin::Running;
+use peppercrank_standin::ServerHandle;
 use peppercrank_standin::engine;
 use peppercrank_standin::engine::EngineSettings;
 use peppercrank_standin::platform;
@@ -67,8 +67,8 @@
 /// `Local` is a fleet that runs.
 struct Local {
     stopper: Stopper,
-    platform: Running,
-    targets: Vec<Running>,
+    platform: ServerHandle,
+    targets: Vec<ServerHandle>,
     agents: Vec<agent::Running>,
     routers: Vec<router::Running>,
 }
@@ -187,7 +187,7 @@
         name: &str,
         pool: &str,
         kind: TargetKind,
-        target: Running,
+        target: ServerHandle,
         stop: &Stop,
     ) -> Result<()> {
         let target_settings = TargetSettings {
--- a/crates/peppercrank-cli/src/verbs/standin.rs
+++ b/crates/peppercrank-cli/src/verbs/standin.rs
@@ -6,7 +6,7 @@
 use std::io::Write;
 
 use peppercrank_settings::file;
-use peppercrank_standin::Running;
+use peppercrank_standin::ServerHandle;
 use peppercrank_standin::engine;
 use peppercrank_standin::platform;
 use peppercrank_standin::service;
@@ -52,7 +52,7 @@
     ))
 }
 
-fn start(runtime: &Runtime, flags: &flags::Standin) -> Result<Running> {
+fn start(runtime: &Runtime, flags: &flags::Standin) -> Result<ServerHandle> {
     let running = match flags.kind {
         Part::Engine => runtime.block_on(engine::start(settings(flags)?)),
         Part::Service => runtime.block_on(service::start(settings(flags)?)),
--- a/crates/peppercrank-cli/tests/support/mod.rs
+++ b/crates/peppercrank-cli/tests/support/mod.rs
@@ -13,7 +13,7 @@
 use peppercrank_cli::Environment;
 use peppercrank_cli::Exit;
 use peppercrank_settings::FleetSettings;
-use peppercrank_standin::Running;
+use peppercrank_standin::ServerHandle;
 use peppercrank_standin::platform;
 use peppercrank_standin::platform::PlatformSettings;
 use rouille::Request;
@@ -64,7 +64,7 @@
 pub struct Bench {
     pub environment: Environment,
     pub address: SocketAddr,
-    _running: Running,
+    _running: ServerHandle,
     _runtime: Runtime,
 }
 
--- a/crates/peppercrank-cli/tests/verify_daemons.rs
+++ b/crates/peppercrank-cli/tests/verify_daemons.rs
@@ -72,7 +72,7 @@
     agent: agent::Running,
     log: Lines,
     router: router::Running,
-    _engine: peppercrank_standin::Running,
+    _engine: peppercrank_standin::ServerHandle,
     _stopper: stop::Stopper,
     _runtime: Runtime,
 }
--- a/crates/peppercrank-cli/tests/verify_orders.rs
+++ b/crates/peppercrank-cli/tests/verify_orders.rs
@@ -39,7 +39,7 @@
 /// A platform, and engines that check fencing numbers, each with its agent.
 struct Fleet {
     bench: Bench,
-    engines: Vec<peppercrank_standin::Running>,
+    engines: Vec<peppercrank_standin::ServerHandle>,
     agents: Vec<agent::Running>,
     keys: String,
     _stopper: stop::Stopper,
--- a/crates/peppercrank-daemon/examples/path_cost/path.rs
+++ b/crates/peppercrank-daemon/examples/path_cost/path.rs
@@ -21,7 +21,7 @@
 use peppercrank_daemon::router;
 use peppercrank_settings::AgentSettings;
 use peppercrank_settings::RouterSettings;
-use peppercrank_standin::Running;
+use peppercrank_standin::ServerHandle;
 use peppercrank_standin::engine;
 use peppercrank_standin::engine::EngineSettings;
 use peppercrank_standin::platform;
@@ -62,14 +62,14 @@
     _runtimes: Vec<Runtime>,
     daemons: (router::Running, agent::Running, [Stopper; 2]),
     _engine: Origin,
-    _platform: Running,
+    _platform: ServerHandle,
 }
 
 /// What answers chats.
 #[derive(Debug)]
 pub enum Origin {
     /// The engine stand-in.
-    Engine(Running),
+    Engine(ServerHandle),
     /// An origin whose events carry the time of their making.
     Stamps {
         /// Where it listens.
--- a/crates/peppercrank-daemon/tests/bench/mod.rs
+++ b/crates/peppercrank-daemon/tests/bench/mod.rs
@@ -20,7 +20,7 @@
 use peppercrank_daemon::router;
 use peppercrank_settings::AgentSettings;
 use peppercrank_settings::RouterSettings;
-use peppercrank_standin::Running;
+use peppercrank_standin::ServerHandle;
 use peppercrank_standin::engine;
 use peppercrank_standin::engine::EngineSettings;
 use peppercrank_standin::platform;
@@ -106,7 +106,7 @@
     pub name: String,
     /// The agent's settings, to start it anew.
     settings: Value,
-    running: Running,
+    running: ServerHandle,
 }
 
 impl Target {
@@ -121,7 +121,7 @@
     pub router: Option<Daemon<router::Running>>,
     pub second: Option<Daemon<router::Running>>,
     pub targets: Vec<Target>,
-    pub platform: Running,
+    pub platform: ServerHandle,
     vms: Vec<Value>,
     runtime: Runtime,
 }
@@ -201,7 +201,7 @@
         let request = format!("{head}\r\ncontent-length: {length}\r\n\r\n{body}");
         caller.write_all(request.as_bytes()).expect("a request");
         let one = json!(1);
-        let at_work = client::settled(&one, || {
+        let at_work = client::poll_until(&one, || {
             let loads = self.targets.iter().map(|t| client::running(t.at));
             json!(loads.filter_map(|n| n.as_u64()).sum::<u64>())
         });
@@ -242,7 +242,7 @@
     }
 
     /// Starts an agent beside a target.
-    pub fn add_target(&mut self, running: Running, kind: &str, pool: &str, more: &Value) {
+    pub fn add_target(&mut self, running: ServerHandle, kind: &str, pool: &str, more: &Value) {
         let name = format!("{pool}-{}", self.targets.len());
         let at = running.addr;
         let target = json!({"name": name, "pool": pool, "kind": kind, "address": at});
@@ -287,7 +287,7 @@
         let second = self.one_router("r2", &json!({}));
         let at = second.running.address;
         self.second = Some(second);
-        let ready = client::settled(&200, || {
+        let ready = client::poll_until(&200, || {
             let seen = client::send(at, "GET /services/app/warm", &[ACME], "");
             seen.expect("an answer").status
         });
@@ -335,13 +335,13 @@
     pub fn await_targets(&self, pool: &str, count: usize) {
         let pool = PoolName::new(pool).expect("a name");
         let fleet = &self.router.as_ref().expect("a router").running.router.fleet;
-        let seen = client::settled(&(true, count), || {
+        let seen = client::poll_until(&(true, count), || {
             (fleet.is_ready(), fleet.ranking(&pool).len())
         });
         assert_eq!(seen, (true, count), "the router's view");
         for target in &self.targets {
             let agent = &target.agent.as_ref().expect("an agent").running.agent;
-            let ready = client::settled(&true, || {
+            let ready = client::poll_until(&true, || {
                 // Without its pool's policy an agent has no room for anything.
                 agent.fleet.is_ready() && agent.desk.status().cap.0 >= 100_000
             });
@@ -353,7 +353,7 @@
                 agent.desk.status()
             );
         }
-        let warm = client::settled(&200, || {
+        let warm = client::poll_until(&200, || {
             let call = if pool.as_str() == MODELS {
                 CHAT
             } else {
@@ -367,7 +367,7 @@
 
     /// How often the engines' or services' work ran for a request.
     pub fn runs(&self, request: &str) -> u64 {
-        let runs = |t: &Target| client::runs(t.at, request)["requests"].as_u64();
+        let runs = |t: &Target| client::run_counts(t.at, request)["requests"].as_u64();
         self.targets.iter().filter_map(runs).sum()
     }
 
@@ -380,7 +380,7 @@
     /// Sets the same faults at all targets.
     pub fn faults(&self, faults: &Value) {
         for target in &self.targets {
-            client::faults(target.at, faults);
+            client::set_faults(target.at, faults);
         }
     }
 }
--- a/crates/peppercrank-daemon/tests/verify_orders.rs
+++ b/crates/peppercrank-daemon/tests/verify_orders.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use bench::Bench;
-use bench::client::faults;
+use bench::client::poll_until;
 use bench::client::send;
-use bench::client::settled;
+use bench::client::set_faults;
 use bench::quick;
 use peppercrank_standin::engine::EngineSettings;
 use peppercrank_standin::service;
@@ -148,7 +148,7 @@
         assert_eq!(giver.give(to, 5, 1).as_deref(), Ok(OBEYED));
     }
     // Two at once: both are told of the one that was passed.
-    faults(
+    set_faults(
         bench.targets[0].at,
         &json!({"only": "orders", "delay_ms": 300}),
     );
@@ -168,7 +168,7 @@
 fn verify_lost_answer_is_unknown_and_not_passed_again() {
     let bench = bench(true);
     let (giver, to) = (giver(), agent_of(&bench));
-    faults(
+    set_faults(
         bench.targets[0].at,
         &json!({"only": "orders", "drop_after": true}),
     );
@@ -209,14 +209,14 @@
 fn verify_nothing_passes_while_the_lease_is_unread() {
     let mut bench = bench(true);
     bench.targets[0].kill_agent();
-    faults(bench.platform.addr, &json!({"outage": true}));
+    set_faults(bench.platform.addr, &json!({"outage": true}));
     bench.start_agent(0);
     let (giver, to) = (giver(), agent_of(&bench));
     assert_eq!(giver.give(to, 5, 1).as_deref(), Ok(r#""Unread""#));
     assert!(obeyed(&bench).is_empty());
-    faults(bench.platform.addr, &json!({}));
+    set_faults(bench.platform.addr, &json!({}));
     // The same order again: it is judged by the lease that can be read now.
-    let again = settled(&OBEYED.to_owned(), || giver.give(to, 5, 1).expect("told"));
+    let again = poll_until(&OBEYED.to_owned(), || giver.give(to, 5, 1).expect("told"));
     assert_eq!(again, OBEYED);
     assert_eq!(obeyed(&bench), [5]);
 }
--- a/crates/peppercrank-daemon/tests/verify_path_answers.rs
+++ b/crates/peppercrank-daemon/tests/verify_path_answers.rs
@@ -11,7 +11,7 @@
 use bench::ACME;
 use bench::Bench;
 use bench::CHAT;
-use bench::client::Seen;
+use bench::client::Received;
 use bench::client::chat;
 use bench::client::send;
 use bench::client::stream;
@@ -27,7 +27,7 @@
 fn verify_answer_is_the_callers_own() {
     let bench = Bench::engines(vec![quick(), quick()]);
     let told = stream(bench.at(), CHAT, &[ACME], &chat(true, &["abc"]));
-    assert!(told.whole, "{told:?}");
+    assert!(told.complete, "{told:?}");
     assert!(
         told.text().starts_with(&format!("digest:{ABC} ")),
         "{told:?}"
@@ -56,7 +56,7 @@
 }
 
 /// Sets faults for one chat where the chat of `abc` goes, and sends it.
-fn one_fault(bench: &Bench, switches: &Value, streamed: bool, repeatable: &str) -> Seen {
+fn one_fault(bench: &Bench, switches: &Value, streamed: bool, repeatable: &str) -> Received {
     let headers = [ACME, ("x-peppercrank-repeatable", repeatable)];
     let body = chat(streamed, &["abc"]);
     let first = send(bench.at(), CHAT, &headers, &body).expect("an answer");
@@ -65,7 +65,7 @@
     switches["only"] = json!("chat");
     switches["times"] = json!(1);
     let home = bench.target(first.header("x-peppercrank-target"));
-    bench::client::faults(home.at, &switches);
+    bench::client::set_faults(home.at, &switches);
     let seen = send(bench.at(), CHAT, &headers, &body).expect("an answer");
     let left = send(home.at, "GET /faults", &[], "")
         .expect("an answer")
@@ -122,7 +122,7 @@
         let bench = Bench::engines(vec![quick()]);
         bench.faults(&json!({"only": "chat", "cut_after": cut}));
         let told = stream(bench.at(), CHAT, &[ACME], &chat(true, &["abc"]));
-        assert!(told.whole, "cut after {cut}: {told:?}");
+        assert!(told.complete, "cut after {cut}: {told:?}");
         assert_eq!(told.events.len(), 7, "each event once, cut after {cut}");
         assert!(told.text().starts_with(&format!("digest:{ABC} ")));
         let id = told
@@ -143,7 +143,7 @@
     let bench = Bench::engines(vec![forgetful]);
     bench.faults(&json!({"only": "chat", "cut_after": 3}));
     let told = stream(bench.at(), CHAT, &[ACME], &chat(true, &["abc"]));
-    assert!(!told.whole, "a cut answer must not look whole: {told:?}");
+    assert!(!told.complete, "a cut answer must not look whole: {told:?}");
     let error = &told.events.last().expect("an event")["error"];
     assert_eq!(
         (&error["code"], &error["run"]),
@@ -215,7 +215,7 @@
 }
 
 /// Tells whether an answer is to the request that its own head names.
-fn is_own(seen: &Seen) -> bool {
+fn is_own(seen: &Received) -> bool {
     let request = format!("request:{} ", seen.header("x-peppercrank-request"));
     seen.status == 200 && seen.text.matches("request:").count() == 1 && seen.text.contains(&request)
 }
--- a/crates/peppercrank-daemon/tests/verify_path_callers.rs
+++ b/crates/peppercrank-daemon/tests/verify_path_callers.rs
@@ -147,7 +147,7 @@
         );
     }
     let told = beside.join().expect("events");
-    assert!(told.whole, "nobody else is disturbed: {told:?}");
+    assert!(told.complete, "nobody else is disturbed: {told:?}");
 }
 
 #[test]
--- a/crates/peppercrank-daemon/tests/verify_path_claims.rs
+++ b/crates/peppercrank-daemon/tests/verify_path_claims.rs
@@ -10,18 +10,18 @@
 
 use bench::ACME;
 use bench::Bench;
-use bench::client::Seen;
-use bench::client::faults;
-use bench::client::runs;
+use bench::client::Received;
+use bench::client::poll_until;
+use bench::client::run_counts;
 use bench::client::send;
-use bench::client::settled;
+use bench::client::set_faults;
 use serde_json::json;
 
-fn order(bench: &Bench, key: &str) -> Seen {
+fn order(bench: &Bench, key: &str) -> Received {
     order_at(bench.at(), key)
 }
 
-fn order_at(at: SocketAddr, key: &str) -> Seen {
+fn order_at(at: SocketAddr, key: &str) -> Received {
     let headers = [ACME, ("idempotency-key", key)];
     let call = "POST /services/app/order";
     send(at, call, &headers, "one trolley").expect("an answer")
@@ -29,7 +29,7 @@
 
 /// How often the call of a key ran at any target.
 fn ran(bench: &Bench, key: &str) -> u64 {
-    let runs = |t: &bench::Target| runs(t.at, key)["keys"].as_u64();
+    let runs = |t: &bench::Target| run_counts(t.at, key)["keys"].as_u64();
     bench.targets.iter().filter_map(runs).sum()
 }
 
@@ -68,10 +68,10 @@
     ];
     let bench = Bench::services(2);
     for (n, (switches, runs)) in cases.into_iter().enumerate() {
-        faults(bench.platform.addr, &switches);
+        set_faults(bench.platform.addr, &switches);
         let key = format!("k{n}");
         let seen = order(&bench, &key);
-        faults(bench.platform.addr, &json!({}));
+        set_faults(bench.platform.addr, &json!({}));
         let count = ran(&bench, &key);
         let about = format!("{switches}: {count} runs, {}", seen.text);
         assert!(count <= 1, "{about}");
@@ -91,7 +91,7 @@
     bench.faults(&json!({"only": "call", "delay_ms": 1_500}));
     let at = bench.at();
     let first = thread::spawn(move || order_at(at, "k1"));
-    assert_eq!(settled(&1, || ran(&bench, "k1")), 1, "at work");
+    assert_eq!(poll_until(&1, || ran(&bench, "k1")), 1, "at work");
     let during = order_at(other, "k1");
     let first = first.join().expect("an answer");
     assert_eq!(first.status, 200, "{}", first.text);
@@ -123,7 +123,7 @@
     .iter()
     .enumerate()
     {
-        faults(bench.platform.addr, switches);
+        set_faults(bench.platform.addr, switches);
         let key = format!("both-{n}");
         let at = bench.at();
         let seen = thread::scope(|scope| {
@@ -133,7 +133,7 @@
             });
             both.map(|one| one.join().expect("an answer"))
         });
-        faults(bench.platform.addr, &json!({}));
+        set_faults(bench.platform.addr, &json!({}));
         let served = seen.iter().filter(|s| s.status == 200).count();
         let about = format!("{switches}: {} {}", seen[0].text, seen[1].text);
         assert_eq!(ran(&bench, &key), 1, "{about}");
--- a/crates/peppercrank-daemon/tests/verify_path_engines.rs
+++ b/crates/peppercrank-daemon/tests/verify_path_engines.rs
@@ -9,9 +9,9 @@
 use bench::Bench;
 use bench::CHAT;
 use bench::client::chat;
+use bench::client::poll_until;
 use bench::client::running;
 use bench::client::send;
-use bench::client::settled;
 use bench::long;
 use bench::quick;
 use peppercrank_standin::engine::EngineSettings;
@@ -62,7 +62,7 @@
     drop(bench.call(&long(false)));
     let zero = json!(0);
     // At 4,000 tokens the engine would be at work for 1,000 s.
-    let left = settled(&zero, || running(bench.targets[0].at));
+    let left = poll_until(&zero, || running(bench.targets[0].at));
     assert_eq!(left, zero, "nobody waits for it any more");
 }
 
@@ -75,7 +75,7 @@
         let mark = json!({"target": leaving.name, "action": "shutdown"});
         bench.write(&format!("mark/{}", leaving.name), &mark);
         let agent = &leaving.agent.as_ref().expect("an agent").running.agent;
-        let drained = settled(&true, || *agent.desk.drained().borrow());
+        let drained = poll_until(&true, || *agent.desk.drained().borrow());
         assert!(drained, "busy {busy}: {:?}", agent.desk.status());
         drop(begun);
     }
--- a/crates/peppercrank-daemon/tests/verify_path_failures.rs
+++ b/crates/peppercrank-daemon/tests/verify_path_failures.rs
@@ -13,12 +13,12 @@
 use bench::Bench;
 use bench::CHAT;
 use bench::Daemon;
-use bench::client::Seen;
+use bench::client::Received;
 use bench::client::chat;
-use bench::client::faults;
+use bench::client::poll_until;
 use bench::client::running;
 use bench::client::send;
-use bench::client::settled;
+use bench::client::set_faults;
 use bench::client::stream;
 use bench::client::stream_with;
 use bench::long;
@@ -49,10 +49,10 @@
 /// Waits until so many chats run at a target.
 fn await_running(at: SocketAddr, count: u64) {
     let count = json!(count);
-    assert_eq!(settled(&count, || running(at)), count);
+    assert_eq!(poll_until(&count, || running(at)), count);
 }
 
-fn ask(bench: &Bench, repeatable: &str) -> Seen {
+fn ask(bench: &Bench, repeatable: &str) -> Received {
     let headers = [ACME, ("x-peppercrank-repeatable", repeatable)];
     send(bench.at(), CHAT, &headers, &chat(false, &["abc"])).expect("an answer")
 }
@@ -148,7 +148,7 @@
     begun.recv().expect("an event");
     bench.targets[home].kill_agent();
     let told = waiting.join().expect("events");
-    assert!(!told.whole, "a cut answer must not look whole: {told:?}");
+    assert!(!told.complete, "a cut answer must not look whole: {told:?}");
     let error = &told.events.last().expect("an event")["error"];
     assert_eq!(
         (&error["run"], &error["code"]),
@@ -168,7 +168,7 @@
 #[test]
 fn verify_platform_away_at_the_start_and_later() {
     let mut bench = Bench::empty();
-    faults(bench.platform.addr, &json!({"outage": true}));
+    set_faults(bench.platform.addr, &json!({"outage": true}));
     bench.start_router(&json!({}));
     let ready = |bench: &Bench| {
         send(bench.at(), "GET /readyz", &[], "")
@@ -184,9 +184,9 @@
         "{error}"
     );
     assert_eq!(error["code"], "not_ready");
-    faults(bench.platform.addr, &json!({}));
+    set_faults(bench.platform.addr, &json!({}));
     assert_eq!(
-        settled(&200, || ready(&bench)),
+        poll_until(&200, || ready(&bench)),
         200,
         "once the platform is back"
     );
@@ -200,7 +200,7 @@
         json!({"lose_answer": true}),
         json!({"throttle": true}),
     ] {
-        faults(bench.platform.addr, &away);
+        set_faults(bench.platform.addr, &away);
         for _ in 0..20 {
             let seen = ask(&bench, "no");
             assert_eq!(seen.status, 200, "{away}: {}", seen.text);
@@ -220,7 +220,7 @@
     bench.write(&format!("mark/{}", leaving.name), &mark);
     let agent = &leaving.agent.as_ref().expect("an agent").running.agent;
     assert!(
-        settled(&true, || agent.desk.status().leaving),
+        poll_until(&true, || agent.desk.status().leaving),
         "the agent knows"
     );
     let before = total(leaving.at);
@@ -235,7 +235,7 @@
     }
     assert_eq!(total(leaving.at), before, "nothing new");
     let told = begun.join().expect("events");
-    assert!(told.whole, "what was in progress ends whole: {told:?}");
+    assert!(told.complete, "what was in progress ends whole: {told:?}");
 }
 
 fn total(at: SocketAddr) -> Value {
@@ -260,7 +260,7 @@
                 .filter_map(|t| running(t.at).as_u64())
                 .sum()
         };
-        assert_eq!(settled(&24, all), 24, "all at work");
+        assert_eq!(poll_until(&24, all), 24, "all at work");
         let stopped = if router {
             let daemon = bench.router.take().expect("a router");
             daemon.tell_to_stop();
@@ -273,7 +273,7 @@
         assert_eq!(stopped.cut, 0, "router {router}");
         for stream in streams {
             let told = stream.join().expect("events");
-            assert!(told.whole, "router {router}: {told:?}");
+            assert!(told.complete, "router {router}: {told:?}");
         }
     }
 }
--- a/crates/peppercrank-daemon/tests/verify_path_limits.rs
+++ b/crates/peppercrank-daemon/tests/verify_path_limits.rs
@@ -15,11 +15,11 @@
 use bench::Bench;
 use bench::CHAT;
 use bench::MODELS;
-use bench::client::Seen;
+use bench::client::Received;
 use bench::client::chat;
+use bench::client::poll_until;
 use bench::client::running;
 use bench::client::send;
-use bench::client::settled;
 use bench::long;
 use bench::quick;
 use peppercrank_standin::engine::EngineSettings;
@@ -57,18 +57,18 @@
     revise(&bench, &format!("pool/{MODELS}"), &pool);
     for target in &bench.targets {
         let desk = &target.agent.as_ref().expect("an agent").running.agent.desk;
-        let tight = settled(&true, || desk.status().cap.0 <= floor.max(1) * 2);
+        let tight = poll_until(&true, || desk.status().cap.0 <= floor.max(1) * 2);
         assert!(tight, "{:?}", desk.status());
     }
     bench
 }
 
-fn ask(at: SocketAddr, headers: &[(&str, &str)], text: &str) -> Seen {
+fn ask(at: SocketAddr, headers: &[(&str, &str)], text: &str) -> Received {
     let headers = [&[ACME], headers].concat();
     send(at, CHAT, &headers, &chat(false, &[text])).expect("an answer")
 }
 
-fn code(seen: &Seen) -> (u16, Value, Value) {
+fn code(seen: &Received) -> (u16, Value, Value) {
     let error = &seen.json()["error"];
     (seen.status, error["run"].clone(), error["code"].clone())
 }
@@ -80,15 +80,21 @@
     let mark = json!({"target": target.name, "action": "shutdown"});
     bench.write(&format!("mark/{}", target.name), &mark);
     let desk = &target.agent.as_ref().expect("an agent").running.agent.desk;
-    assert!(settled(&true, || desk.status().leaving), "the agent knows");
+    assert!(
+        poll_until(&true, || desk.status().leaving),
+        "the agent knows"
+    );
     let seen = ask(bench.at(), &[], "abc");
     let (status, run, _) = code(&seen);
     assert_eq!((status, run), (503, json!("not_run")), "{}", seen.text);
-    let after = seen.retry.as_deref().and_then(|s| s.parse::<u64>().ok());
+    let after = seen
+        .retry_after
+        .as_deref()
+        .and_then(|s| s.parse::<u64>().ok());
     assert!(
         after.is_some_and(|s| s >= 1),
         "{:?} {}",
-        seen.retry,
+        seen.retry_after,
         seen.text
     );
     assert_eq!(
@@ -106,7 +112,7 @@
     let body = chat(false, &["abc"]);
     let refused = (403, json!("not_run"), json!("template_unknown"));
     let seen = || code(&send(bench.at(), CHAT, &[lost], &body).expect("an answer"));
-    assert_eq!(settled(&refused, seen), refused);
+    assert_eq!(poll_until(&refused, seen), refused);
     assert_eq!(
         ask(bench.at(), &[], "abc").status,
         200,
@@ -126,7 +132,7 @@
         .running
         .agent;
     assert!(
-        settled(&true, || agent.fleet.is_ready()),
+        poll_until(&true, || agent.fleet.is_ready()),
         "it has the configuration"
     );
     for n in 0..10 {
@@ -155,7 +161,7 @@
     };
     let _asked: Vec<_> = (0..16).map(few).collect();
     let all = || bench.targets.iter().all(|t| running(t.at) != json!(0));
-    assert!(settled(&true, all), "both engines are at work");
+    assert!(poll_until(&true, all), "both engines are at work");
     let late = long(false).replace("4000", "60000");
     let headers = [ACME, ("x-peppercrank-deadline-ms", "2000")];
     let seen = send(at, CHAT, &headers, &late).expect("an answer");
--- a/crates/peppercrank-daemon/tests/verify_path_trust.rs
+++ b/crates/peppercrank-daemon/tests/verify_path_trust.rs
@@ -15,12 +15,12 @@
 use bench::ACME;
 use bench::Bench;
 use bench::CHAT;
-use bench::client::Seen;
+use bench::client::Received;
 use bench::client::chat;
-use bench::client::faults;
+use bench::client::poll_until;
 use bench::client::running;
 use bench::client::send;
-use bench::client::settled;
+use bench::client::set_faults;
 use bench::long;
 use bench::quick;
 use http::HeaderMap;
@@ -89,7 +89,7 @@
         .collect()
 }
 
-fn post(bench: &Bench, headers: &[(String, String)]) -> Seen {
+fn post(bench: &Bench, headers: &[(String, String)]) -> Received {
     let headers = headers.iter().map(|(n, v)| (n.as_str(), v.as_str()));
     let headers = headers.collect::<Vec<_>>();
     send(agent_at(bench), CHAT, &headers, &chat(false, &["abc"])).expect("an answer")
@@ -226,7 +226,7 @@
     bench.start_router(&json!({}));
     bench.await_targets("galley", 1);
     bench.router.take().expect("a router").kill();
-    faults(bench.platform.addr, &json!({"outage": true}));
+    set_faults(bench.platform.addr, &json!({"outage": true}));
     let own = ring(&[SECRET], 1);
     let id = Cell::new(100);
     let ask = || {
@@ -234,14 +234,14 @@
         post(&bench, &signed(&bench, id.get(), &own))
     };
     let code = || ask().json()["error"]["code"].clone();
-    assert_eq!(settled(&json!("out_of_touch"), code), "out_of_touch");
+    assert_eq!(poll_until(&json!("out_of_touch"), code), "out_of_touch");
     let before = total(&bench);
     assert_eq!(code(), "out_of_touch");
     assert_eq!(total(&bench), before, "nothing ran");
-    faults(bench.platform.addr, &json!({}));
+    set_faults(bench.platform.addr, &json!({}));
     let status = || ask().status;
     assert_eq!(
-        settled(&200, status),
+        poll_until(&200, status),
         200,
         "once the platform is heard again"
     );
@@ -254,13 +254,13 @@
     bench.router.take().expect("a router").kill();
     let at = bench.targets[0].at;
     assert_eq!(
-        settled(&json!(0), || running(at)),
+        poll_until(&json!(0), || running(at)),
         0,
         "cancelled at the engine"
     );
     let agent = bench.targets[0].agent.as_ref().expect("an agent");
     let desk = &agent.running.agent.desk;
-    let left = settled(&0, || desk.status().reserved.0);
+    let left = poll_until(&0, || desk.status().reserved.0);
     assert_eq!(left, 0, "nothing stays reserved");
     assert_eq!(desk.status().running, 0);
     drop(caller);
--- a/crates/peppercrank-standin/src/engine/answer.rs
+++ b/crates/peppercrank-standin/src/engine/answer.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 
 /// The fewest tokens of an answer: the digest, the request's id and the attempt's id.
-pub const MIN_TOKENS: u32 = 3;
+pub const MIN_ANSWER_TOKENS: u32 = 3;
 
 /// `Usage` is what the engine tells of its work on a chat.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
@@ -37,7 +37,7 @@
 /// `Answer` is the text of one answer, made piece by piece: one piece is one token, one event.
 #[derive(Debug, Clone)]
 pub struct Answer {
-    head: [String; 3],
+    leading: [String; 3],
 }
 
 impl Answer {
@@ -45,7 +45,7 @@
     #[must_use]
     pub fn new(digest: &str, request: &str, attempt: &str) -> Self {
         Self {
-            head: [
+            leading: [
                 format!("digest:{digest} "),
                 format!("request:{request} "),
                 format!("attempt:{attempt}"),
@@ -55,33 +55,33 @@
 
     /// `piece` is the text of the token numbered `at`, from 0.
     #[must_use]
-    pub fn piece(&self, at: u32) -> String {
-        match self.head.get(at as usize) {
+    pub fn token(&self, index: u32) -> String {
+        match self.leading.get(index as usize) {
             Some(text) => text.clone(),
-            None => format!(" t{:02}", at % 100),
+            None => format!(" t{:02}", index % 100),
         }
     }
 
     /// `text` is the first `made` tokens.
     #[must_use]
-    pub fn text(&self, made: u32) -> String {
-        (0..made).map(|at| self.piece(at)).collect()
+    pub fn text(&self, count: u32) -> String {
+        (0..count).map(|at| self.token(at)).collect()
     }
 }
 
 /// `event` is the streamed event of one piece.
 #[must_use]
-pub fn event(id: &str, piece: &str) -> String {
-    let delta = json!({"content": piece});
+pub fn token_event(id: &str, token: &str) -> String {
+    let delta = json!({"content": token});
     let choice = json!({"index": 0, "delta": delta, "finish_reason": null});
-    line(&json!({"id": id, "object": "chat.completion.chunk", "choices": [choice]}))
+    sse_event(&json!({"id": id, "object": "chat.completion.chunk", "choices": [choice]}))
 }
 
 /// `last_event` is the streamed event after the last piece.
 #[must_use]
-pub fn last_event(id: &str, usage: Usage) -> String {
+pub fn final_event(id: &str, usage: Usage) -> String {
     let choice = json!({"index": 0, "delta": {}, "finish_reason": "stop"});
-    line(&json!({
+    sse_event(&json!({
         "id": id,
         "object": "chat.completion.chunk",
         "choices": [choice],
@@ -90,11 +90,11 @@
 }
 
 /// The line that ends a streamed answer.
-pub const DONE: &str = "data: [DONE]\n\n";
+pub const DONE_EVENT: &str = "data: [DONE]\n\n";
 
 /// `whole` is the answer in one body.
 #[must_use]
-pub fn whole(id: &str, model: &str, text: &str, usage: Usage) -> Value {
+pub fn completion(id: &str, model: &str, text: &str, usage: Usage) -> Value {
     let message = json!({"role": "assistant", "content": text});
     let choice = json!({"index": 0, "message": message, "finish_reason": "stop"});
     json!({
@@ -106,6 +106,6 @@
     })
 }
 
-fn line(event: &Value) -> String {
+fn sse_event(event: &Value) -> String {
     format!("data: {event}\n\n")
 }
--- a/crates/peppercrank-standin/src/engine/batch.rs
+++ b/crates/peppercrank-standin/src/engine/batch.rs
@@ -15,21 +15,21 @@
 use crate::Error;
 use crate::Result;
 use crate::engine::answer::Answer;
-use crate::engine::answer::MIN_TOKENS;
+use crate::engine::answer::MIN_ANSWER_TOKENS;
 use crate::engine::answer::Usage;
-use crate::engine::cache::Cache;
+use crate::engine::cache::PrefixCache;
 use crate::engine::journal::CachePage;
 use crate::engine::journal::Journal;
-use crate::engine::orders::Fenced;
-use crate::engine::orders::Orders;
+use crate::engine::orders::FencedOrder;
+use crate::engine::orders::OrderState;
 use crate::engine::prompt;
 use crate::engine::settings::EngineSettings;
-use crate::engine::stream::Chat;
+use crate::engine::stream::ChatRequest;
 use crate::engine::stream::Phase;
 use crate::engine::stream::Stream;
 use crate::engine::stream::StreamKey;
 use crate::lag::Lagged;
-use crate::runs::Runs;
+use crate::runs::RunCounts;
 
 /// `Load` is the engine's load report.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
@@ -47,49 +47,49 @@
 /// `Engine` is the model engine's state; callers pass the time in and carry its answers out.
 #[derive(Debug)]
 pub struct Engine {
-    set: EngineSettings,
-    cache: Cache,
+    settings: EngineSettings,
+    cache: PrefixCache,
     journal: Journal,
-    orders: Orders,
-    runs: Runs,
-    load: Lagged<Load>,
+    orders: OrderState,
+    runs: RunCounts,
+    reported_load: Lagged<Load>,
     streams: SlotMap<StreamKey, Stream>,
-    ids: HashMap<String, StreamKey>,
+    keys_by_id: HashMap<String, StreamKey>,
     waiting: BTreeSet<((u8, u64), StreamKey)>,
     running: BTreeSet<(Instant, StreamKey)>,
-    ended: VecDeque<(Instant, StreamKey)>,
-    news: BTreeSet<StreamKey>,
-    tokens: u64,
-    arrivals: u64,
+    retained: VecDeque<(Instant, StreamKey)>,
+    changed: BTreeSet<StreamKey>,
+    pending_tokens: u64,
+    submitted: u64,
 }
 
 impl Engine {
     /// `new` makes an idle engine with an empty cache.
     #[must_use]
-    pub fn new(set: EngineSettings) -> Self {
-        let orders = Orders {
-            models: set.models.iter().cloned().collect(),
-            ..Orders::default()
+    pub fn new(settings: EngineSettings) -> Self {
+        let orders = OrderState {
+            models: settings.models.iter().cloned().collect(),
+            ..OrderState::default()
         };
         let idle = Load {
-            incarnation: set.incarnation,
+            incarnation: settings.incarnation,
             ..Load::default()
         };
         Self {
-            cache: Cache::new(set.cache_tokens / set.block_tokens.max(1)),
+            cache: PrefixCache::new(settings.cache_tokens / settings.block_tokens.max(1)),
             journal: Journal::default(),
             orders,
-            runs: Runs::default(),
-            load: Lagged::new(idle),
+            runs: RunCounts::default(),
+            reported_load: Lagged::new(idle),
             streams: SlotMap::with_key(),
-            ids: HashMap::new(),
+            keys_by_id: HashMap::new(),
             waiting: BTreeSet::new(),
             running: BTreeSet::new(),
-            ended: VecDeque::new(),
-            news: BTreeSet::new(),
-            tokens: 0,
-            arrivals: 0,
-            set,
+            retained: VecDeque::new(),
+            changed: BTreeSet::new(),
+            pending_tokens: 0,
+            submitted: 0,
+            settings,
         }
     }
 
@@ -99,25 +99,25 @@
     ///
     /// Returns [`Error::Model`] when its model is not loaded and [`Error::Duplicate`] when a
     /// stream of its id has not ended; neither ran.
-    pub fn submit(&mut self, now: Instant, chat: Chat) -> Result<StreamKey> {
-        if !self.orders.serves(&chat.body.model) {
-            return Err(Error::Model(chat.body.model));
+    pub fn submit(&mut self, now: Instant, chat: ChatRequest) -> Result<StreamKey> {
+        if !self.orders.is_loaded(&chat.body.model) {
+            return Err(Error::ModelNotLoaded(chat.body.model));
         }
-        self.forget(now);
-        let id = chat.tags.attempt.clone();
+        self.drop_expired(now);
+        let id = chat.ids.attempt.clone();
         if let Some(old) = self.find(&id) {
             if matches!(self.streams[old].phase, Phase::Waiting | Phase::Running) {
-                return Err(Error::Duplicate);
+                return Err(Error::DuplicateStream);
             }
             self.streams.remove(old);
         }
-        let stream = self.stream(now, chat);
-        let rank = stream.rank;
-        self.tokens += stream.tokens();
+        let stream = self.new_stream(now, chat);
+        let rank = stream.queue_rank;
+        self.pending_tokens += stream.total_tokens();
         let key = self.streams.insert(stream);
-        self.ids.insert(id, key);
+        self.keys_by_id.insert(id, key);
         self.waiting.insert((rank, key));
-        self.fill(now);
+        self.fill_slots(now);
         self.advance(now);
         Ok(key)
     }
@@ -134,16 +134,16 @@
             && due <= now
         {
             self.running.pop_first();
-            self.step(due, key);
+            self.generate_token(due, key);
             // As of when it was due, however late the caller comes.
-            self.report(due);
+            self.update_load(due);
         }
-        self.report(now);
+        self.update_load(now);
     }
 
     /// `take_news` is the streams that got something or ended since it was last asked.
-    pub fn take_news(&mut self) -> BTreeSet<StreamKey> {
-        std::mem::take(&mut self.news)
+    pub fn take_changed(&mut self) -> BTreeSet<StreamKey> {
+        std::mem::take(&mut self.changed)
     }
 
     /// `len` is how many streams are known.
@@ -161,12 +161,12 @@
     /// `find` finds the stream that answers an attempt.
     #[must_use]
     pub fn find(&self, id: &str) -> Option<StreamKey> {
-        self.ids.get(id).copied()
+        self.keys_by_id.get(id).copied()
     }
 
     /// `stream_of` is a stream, unless it is forgotten.
     #[must_use]
-    pub fn stream_of(&self, key: StreamKey) -> Option<&Stream> {
+    pub fn get(&self, key: StreamKey) -> Option<&Stream> {
         self.streams.get(key)
     }
 
@@ -176,31 +176,33 @@
     ///
     /// Returns [`Error::Unknown`] when it ended before or is not known.
     pub fn cancel(&mut self, now: Instant, id: &str) -> Result<StreamKey> {
-        let key = self.find(id).ok_or(Error::Unknown)?;
-        let stream = self.streams.get_mut(key).ok_or(Error::Unknown)?;
+        let key = self.find(id).ok_or(Error::NotFound)?;
+        let stream = self.streams.get_mut(key).ok_or(Error::NotFound)?;
         match stream.phase {
-            Phase::Waiting => self.waiting.remove(&(stream.rank, key)),
-            Phase::Running => self.running.remove(&(stream.due, key)),
-            Phase::Done | Phase::Cancelled => return Err(Error::Unknown),
+            Phase::Waiting => self.waiting.remove(&(stream.queue_rank, key)),
+            Phase::Running => self.running.remove(&(stream.next_token_at, key)),
+            Phase::Done | Phase::Cancelled => return Err(Error::NotFound),
         };
-        self.end(now, key, Phase::Cancelled);
+        self.end_stream(now, key, Phase::Cancelled);
         self.advance(now);
         Ok(key)
     }
 
     /// `load` is the load report that callers see at `now`.
     pub fn load(&mut self, now: Instant) -> Load {
-        let lag = Duration::from_millis(self.set.load_lag_ms);
-        *self.load.seen(now, lag)
+        let lag = Duration::from_millis(self.settings.load_lag_ms);
+        *self.reported_load.visible_at(now, lag)
     }
 
     /// `cache_page` is the cache events that callers see at `now`, numbered `since` and up.
     #[must_use]
     pub fn cache_page(&self, now: Instant, since: u64) -> CachePage {
-        let late = Duration::from_millis(self.set.events_late_ms);
+        let delay = Duration::from_millis(self.settings.events_late_ms);
         CachePage {
-            incarnation: self.set.incarnation,
-            ..self.journal.page(now, since, late, self.set.events_gap)
+            incarnation: self.settings.incarnation,
+            ..self
+                .journal
+                .page(now, since, delay, self.settings.events_gap)
         }
     }
 
@@ -209,31 +211,34 @@
     /// # Errors
     ///
     /// Returns [`Error::OldFence`] for an older number, if this engine checks it.
-    pub fn order(&mut self, order: Fenced) -> Result<u64> {
-        self.orders.obey(order, self.set.check_fence)
+    pub fn apply_order(&mut self, order: FencedOrder) -> Result<u64> {
+        self.orders.apply(order, self.settings.check_fence)
     }
 
     /// `orders` is what the orders so far have made of the engine.
     #[must_use]
-    pub const fn orders(&self) -> &Orders {
+    pub const fn orders(&self) -> &OrderState {
         &self.orders
     }
 
     /// `runs` is how often each request ran.
     #[must_use]
-    pub const fn runs(&self) -> &Runs {
+    pub const fn runs(&self) -> &RunCounts {
         &self.runs
     }
 
     /// The stream of a chat, not yet running.
-    fn stream(&mut self, now: Instant, chat: Chat) -> Stream {
-        self.arrivals += 1;
-        let attempt = &chat.tags.attempt;
-        let request = chat.tags.request.as_deref().unwrap_or(attempt);
-        let output = chat.body.output().unwrap_or(self.set.answer_tokens);
+    fn new_stream(&mut self, now: Instant, chat: ChatRequest) -> Stream {
+        self.submitted += 1;
+        let attempt = &chat.ids.attempt;
+        let request = chat.ids.request.as_deref().unwrap_or(attempt);
+        let output = chat
+            .body
+            .requested_tokens()
+            .unwrap_or(self.settings.answer_tokens);
         let text = chat.body.prompt();
         let usage = Usage {
-            prompt: prompt::tokens(text.len()),
+            prompt: prompt::token_count(text.len()),
             ..Usage::default()
         };
         Stream {
@@ -241,118 +246,133 @@
             phase: Phase::Waiting,
             answer: Answer::new(&chat.body.digest(), request, attempt),
             usage,
-            chain: prompt::chain(&chat.body.model, &text, self.set.block_tokens.max(1)),
+            blocks: prompt::block_hashes(
+                &chat.body.model,
+                &text,
+                self.settings.block_tokens.max(1),
+            ),
             model: chat.body.model,
             text,
-            tags: chat.tags,
-            chat: chat.chat,
-            prefix: chat.prefix,
-            output: output.clamp(MIN_TOKENS, self.set.longest.max(MIN_TOKENS)),
-            rank: (u8::MAX - chat.priority, self.arrivals),
-            due: now,
+            ids: chat.ids,
+            chat_key: chat.chat_key,
+            prefix_key: chat.prefix_key,
+            output_tokens: output.clamp(
+                MIN_ANSWER_TOKENS,
+                self.settings.longest.max(MIN_ANSWER_TOKENS),
+            ),
+            queue_rank: (u8::MAX - chat.priority, self.submitted),
+            next_token_at: now,
         }
     }
 
     /// Gives free slots to those who wait, the highest priority first.
-    fn fill(&mut self, now: Instant) {
-        while self.running.len() < self.set.slots.max(1) {
+    fn fill_slots(&mut self, now: Instant) {
+        while self.running.len() < self.settings.slots.max(1) {
             let Some((_, key)) = self.waiting.pop_first() else {
                 return;
             };
-            self.run(now, key);
+            self.start_stream(now, key);
         }
     }
 
     /// Puts one stream in a slot: reads its prompt, of which the cached part costs no time.
-    fn run(&mut self, now: Instant, key: StreamKey) {
+    fn start_stream(&mut self, now: Instant, key: StreamKey) {
         let stream = &mut self.streams[key];
-        self.runs.add(&stream.tags);
-        let hits = self.cache.hits(&stream.chain);
-        stream.usage.cached = (hits * self.set.block_tokens) as u64;
-        let fresh = stream.usage.prompt - stream.usage.cached;
-        let micros = fresh.saturating_mul(self.set.prefill_us);
+        self.runs.record_run(&stream.ids);
+        let hits = self.cache.cached_prefix(&stream.blocks);
+        stream.usage.cached = (hits * self.settings.block_tokens) as u64;
+        let uncached = stream.usage.prompt - stream.usage.cached;
+        let micros = uncached.saturating_mul(self.settings.prefill_us);
         stream.phase = Phase::Running;
-        stream.due = now + Duration::from_micros(micros.saturating_add(self.set.step_us));
-        self.running.insert((stream.due, key));
-        self.keep_blocks(now, key);
+        stream.next_token_at =
+            now + Duration::from_micros(micros.saturating_add(self.settings.step_us));
+        self.running.insert((stream.next_token_at, key));
+        self.cache_blocks(now, key);
     }
 
     /// Generates one token of a stream.
-    fn step(&mut self, due: Instant, key: StreamKey) {
-        self.news.insert(key);
+    fn generate_token(&mut self, due: Instant, key: StreamKey) {
+        self.changed.insert(key);
         let stream = &mut self.streams[key];
         stream.usage.made += 1;
-        if stream.usage.made < stream.output {
-            stream.due = due + Duration::from_micros(self.set.step_us);
-            self.running.insert((stream.due, key));
+        if stream.usage.made < stream.output_tokens {
+            stream.next_token_at = due + Duration::from_micros(self.settings.step_us);
+            self.running.insert((stream.next_token_at, key));
             return;
         }
-        self.end(due, key, Phase::Done);
+        self.end_stream(due, key, Phase::Done);
     }
 
     /// Ends a stream that is in no queue any more and gives its slot away.
-    fn end(&mut self, now: Instant, key: StreamKey, phase: Phase) {
-        self.news.insert(key);
+    fn end_stream(&mut self, now: Instant, key: StreamKey, phase: Phase) {
+        self.changed.insert(key);
         let stream = &mut self.streams[key];
         let ran = stream.phase == Phase::Running;
         stream.phase = phase;
-        self.tokens -= stream.tokens();
+        self.pending_tokens -= stream.total_tokens();
         stream.text.push_str(&stream.answer.text(stream.usage.made));
         if phase == Phase::Done {
             stream.text.push('\n');
         }
         if ran {
-            stream.chain = prompt::chain(&stream.model, &stream.text, self.set.block_tokens.max(1));
-            self.keep_blocks(now, key);
+            stream.blocks = prompt::block_hashes(
+                &stream.model,
+                &stream.text,
+                self.settings.block_tokens.max(1),
+            );
+            self.cache_blocks(now, key);
         }
         let stream = &mut self.streams[key];
         stream.text = String::new();
-        stream.chain = Vec::new();
-        let until = now + Duration::from_millis(self.set.keep_ms);
-        self.ended.push_back((until, key));
-        self.fill(now);
+        stream.blocks = Vec::new();
+        let until = now + Duration::from_millis(self.settings.keep_ms);
+        self.retained.push_back((until, key));
+        self.fill_slots(now);
     }
 
     /// Caches a stream's blocks and lets them stand for its keys.
-    fn keep_blocks(&mut self, now: Instant, key: StreamKey) {
+    fn cache_blocks(&mut self, now: Instant, key: StreamKey) {
         let stream = &self.streams[key];
-        let chain = &stream.chain;
-        let gone = self.cache.store(chain);
+        let chain = &stream.blocks;
+        let evicted = self.cache.insert(chain);
         // The middle block goes when the latter half of the chat has gone, the first when all has.
         let middle = chain.get(chain.len() / 2);
-        let anchors = [(&stream.chat, middle), (&stream.prefix, chain.first())];
+        let anchors = [
+            (&stream.chat_key, middle),
+            (&stream.prefix_key, chain.first()),
+        ];
         for (name, block) in anchors {
             if let (Some(name), Some(block)) = (name, block)
-                && self.cache.holds(*block)
+                && self.cache.contains(*block)
             {
-                self.journal.anchor(now, name, *block);
+                self.journal.record_stored(now, name, *block);
             }
         }
-        self.journal.evicted(now, &gone);
+        self.journal.record_evicted(now, &evicted);
     }
 
     /// `forget` forgets streams that have been kept for their time.
-    pub fn forget(&mut self, now: Instant) {
-        while let Some((until, key)) = self.ended.front().copied()
+    pub fn drop_expired(&mut self, now: Instant) {
+        while let Some((until, key)) = self.retained.front().copied()
             && until <= now
         {
-            self.ended.pop_front();
+            self.retained.pop_front();
             let Some(stream) = self.streams.remove(key) else {
                 continue;
             };
             if self.find(&stream.id) == Some(key) {
-                self.ids.remove(&stream.id);
+                self.keys_by_id.remove(&stream.id);
             }
         }
     }
 
-    fn report(&mut self, now: Instant) {
+    fn update_load(&mut self, now: Instant) {
         let load = Load {
-            incarnation: self.set.incarnation,
+            incarnation: self.settings.incarnation,
             running: self.running.len(),
             waiting: self.waiting.len(),
-            tokens: self.tokens,
+            tokens: self.pending_tokens,
         };
-        self.load.set(now, load);
+        self.reported_load.set(now, load);
     }
 }
--- a/crates/peppercrank-standin/src/engine/cache.rs
+++ b/crates/peppercrank-standin/src/engine/cache.rs
@@ -10,55 +10,58 @@
 ///
 /// Unlike a real engine's, it may evict blocks that a running chat uses.
 #[derive(Debug)]
-pub struct Cache {
-    limit: usize,
-    stamp: u64,
-    blocks: HashMap<u64, u64>,
-    order: BTreeMap<u64, u64>,
+pub struct PrefixCache {
+    capacity: usize,
+    last_use: u64,
+    use_by_block: HashMap<u64, u64>,
+    block_by_use: BTreeMap<u64, u64>,
 }
 
-impl Cache {
+impl PrefixCache {
     /// `new` makes an empty cache of at most `limit` blocks.
     #[must_use]
-    pub fn new(limit: usize) -> Self {
+    pub fn new(capacity: usize) -> Self {
         Self {
-            limit,
-            stamp: 0,
-            blocks: HashMap::new(),
-            order: BTreeMap::new(),
+            capacity,
+            last_use: 0,
+            use_by_block: HashMap::new(),
+            block_by_use: BTreeMap::new(),
         }
     }
 
     /// `hits` is how many leading blocks of `chain` are held.
     #[must_use]
-    pub fn hits(&self, chain: &[u64]) -> usize {
-        chain.iter().take_while(|block| self.holds(**block)).count()
+    pub fn cached_prefix(&self, blocks: &[u64]) -> usize {
+        blocks
+            .iter()
+            .take_while(|block| self.contains(**block))
+            .count()
     }
 
     /// `holds` tells whether one block is held.
     #[must_use]
-    pub fn holds(&self, block: u64) -> bool {
-        self.blocks.contains_key(&block)
+    pub fn contains(&self, block: u64) -> bool {
+        self.use_by_block.contains_key(&block)
     }
 
     /// `store` takes in or freshens a chain and returns the blocks that had to go.
-    pub fn store(&mut self, chain: &[u64]) -> Vec<u64> {
+    pub fn insert(&mut self, blocks: &[u64]) -> Vec<u64> {
         // From the end, so that of one chain the tail is the older and goes first.
-        for block in chain.iter().rev() {
-            self.stamp += 1;
-            if let Some(old) = self.blocks.insert(*block, self.stamp) {
-                self.order.remove(&old);
+        for block in blocks.iter().rev() {
+            self.last_use += 1;
+            if let Some(old) = self.use_by_block.insert(*block, self.last_use) {
+                self.block_by_use.remove(&old);
             }
-            self.order.insert(self.stamp, *block);
+            self.block_by_use.insert(self.last_use, *block);
         }
-        let over = self.blocks.len().saturating_sub(self.limit);
-        let gone: Vec<u64> = (0..over)
-            .filter_map(|_| self.order.pop_first())
+        let excess = self.use_by_block.len().saturating_sub(self.capacity);
+        let evicted: Vec<u64> = (0..excess)
+            .filter_map(|_| self.block_by_use.pop_first())
             .map(|(_, block)| block)
             .collect();
-        for block in &gone {
-            self.blocks.remove(block);
+        for block in &evicted {
+            self.use_by_block.remove(block);
         }
-        gone
+        evicted
     }
 }
--- a/crates/peppercrank-standin/src/engine/journal.rs
+++ b/crates/peppercrank-standin/src/engine/journal.rs
@@ -16,7 +16,7 @@
 /// `Change` is what happened to a key's context.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Change {
+pub enum CacheChange {
     /// It is held from now on.
     Stored,
     /// It was evicted.
@@ -29,7 +29,7 @@
     /// Its number; each is one above the one before.
     pub seq: u64,
     /// What happened.
-    pub kind: Change,
+    pub kind: CacheChange,
     /// The chat's or prefix's key, 16 hexadecimal digits.
     pub key: String,
 }
@@ -48,29 +48,32 @@
 /// `Journal` numbers the events and remembers which block stands for which key.
 #[derive(Debug, Default)]
 pub struct Journal {
-    next: u64,
-    kept: VecDeque<(Instant, CacheEvent)>,
-    anchors: HashMap<String, u64>,
-    keys: HashMap<u64, Vec<String>>,
+    next_seq: u64,
+    events: VecDeque<(Instant, CacheEvent)>,
+    block_by_key: HashMap<String, u64>,
+    keys_by_block: HashMap<u64, Vec<String>>,
 }
 
 impl Journal {
     /// `anchor` lets `block` stand for `key` and tells of the key if it is new.
-    pub fn anchor(&mut self, now: Instant, key: &str, block: u64) {
-        match self.anchors.insert(key.to_owned(), block) {
+    pub fn record_stored(&mut self, now: Instant, key: &str, block: u64) {
+        match self.block_by_key.insert(key.to_owned(), block) {
             Some(old) if old == block => return,
-            Some(old) => self.detach(key, old),
-            None => self.push(now, Change::Stored, key.to_owned()),
+            Some(old) => self.unbind(key, old),
+            None => self.push(now, CacheChange::Stored, key.to_owned()),
         }
-        self.keys.entry(block).or_default().push(key.to_owned());
+        self.keys_by_block
+            .entry(block)
+            .or_default()
+            .push(key.to_owned());
     }
 
     /// `evicted` tells of the keys for which the evicted blocks stood.
-    pub fn evicted(&mut self, now: Instant, blocks: &[u64]) {
+    pub fn record_evicted(&mut self, now: Instant, blocks: &[u64]) {
         for block in blocks {
-            for key in self.keys.remove(block).unwrap_or_default() {
-                self.anchors.remove(&key);
-                self.push(now, Change::Evicted, key);
+            for key in self.keys_by_block.remove(block).unwrap_or_default() {
+                self.block_by_key.remove(&key);
+                self.push(now, CacheChange::Evicted, key);
             }
         }
     }
@@ -79,34 +82,34 @@
     ///
     /// Events younger than `late` are not seen yet; every `gap`-th is never seen, 0 for none.
     #[must_use]
-    pub fn page(&self, now: Instant, since: u64, late: Duration, gap: u64) -> CachePage {
-        let due = |entry: &&(Instant, CacheEvent)| entry.1.seq >= since && entry.0 + late <= now;
-        let told = |event: &&CacheEvent| gap == 0 || !(event.seq + 1).is_multiple_of(gap);
-        let visible = self.kept.iter().filter(due).map(|(_, event)| event);
+    pub fn page(&self, now: Instant, since: u64, delay: Duration, gap: u64) -> CachePage {
+        let due = |entry: &&(Instant, CacheEvent)| entry.1.seq >= since && entry.0 + delay <= now;
+        let not_skipped = |event: &&CacheEvent| gap == 0 || !(event.seq + 1).is_multiple_of(gap);
+        let visible = self.events.iter().filter(due).map(|(_, event)| event);
         let last = visible.clone().next_back().map(|event| event.seq + 1);
         CachePage {
             incarnation: 0,
             next: last.unwrap_or(since),
-            events: visible.filter(told).cloned().collect(),
+            events: visible.filter(not_skipped).cloned().collect(),
         }
     }
 
-    fn detach(&mut self, key: &str, block: u64) {
-        let Some(keys) = self.keys.get_mut(&block) else {
+    fn unbind(&mut self, key: &str, block: u64) {
+        let Some(keys) = self.keys_by_block.get_mut(&block) else {
             return;
         };
         keys.retain(|k| k != key);
         if keys.is_empty() {
-            self.keys.remove(&block);
+            self.keys_by_block.remove(&block);
         }
     }
 
-    fn push(&mut self, now: Instant, kind: Change, key: String) {
-        let seq = self.next;
-        self.next += 1;
-        self.kept.push_back((now, CacheEvent { seq, kind, key }));
-        if self.kept.len() > MAX_EVENTS {
-            self.kept.pop_front();
+    fn push(&mut self, now: Instant, kind: CacheChange, key: String) {
+        let seq = self.next_seq;
+        self.next_seq += 1;
+        self.events.push_back((now, CacheEvent { seq, kind, key }));
+        if self.events.len() > MAX_EVENTS {
+            self.events.pop_front();
         }
     }
 }
--- a/crates/peppercrank-standin/src/engine/orders.rs
+++ b/crates/peppercrank-standin/src/engine/orders.rs
@@ -26,7 +26,7 @@
 /// `Fenced` is an order under its fencing number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Fenced {
+pub struct FencedOrder {
     /// The fencing number.
     pub fence: u64,
     /// The order.
@@ -35,24 +35,24 @@
 
 /// `Orders` is what the orders so far have made of the engine.
 #[derive(Debug, Default, Serialize)]
-pub struct Orders {
+pub struct OrderState {
     /// The highest fencing number seen.
     pub highest: u64,
     /// The orders obeyed, in turn.
-    pub obeyed: Vec<Fenced>,
+    pub obeyed: Vec<FencedOrder>,
     /// The models loaded; empty when any is served.
     pub models: BTreeSet<String>,
 }
 
-impl Orders {
+impl OrderState {
     /// `obey` does an order; with `check` an older fencing number is refused.
     ///
     /// # Errors
     ///
     /// Returns [`Error::OldFence`] for an older number, if that is checked.
-    pub fn obey(&mut self, order: Fenced, check: bool) -> Result<u64> {
-        if check && order.fence < self.highest {
-            return Err(Error::OldFence {
+    pub fn apply(&mut self, order: FencedOrder, check_fence: bool) -> Result<u64> {
+        if check_fence && order.fence < self.highest {
+            return Err(Error::StaleFence {
                 highest: self.highest,
             });
         }
@@ -68,7 +68,7 @@
 
     /// `serves` tells whether a model is loaded.
     #[must_use]
-    pub fn serves(&self, model: &str) -> bool {
+    pub fn is_loaded(&self, model: &str) -> bool {
         self.models.is_empty() || self.models.contains(model)
     }
 }
--- a/crates/peppercrank-standin/src/engine/prompt.rs
+++ b/crates/peppercrank-standin/src/engine/prompt.rs
@@ -15,7 +15,7 @@
 use crate::errors;
 
 /// Bytes of prompt text that make one token.
-pub const TOKEN_BYTES: usize = 4;
+pub const BYTES_PER_TOKEN: usize = 4;
 
 /// `Message` is one message of a chat.
 #[derive(Debug, Clone, Default, Deserialize)]
@@ -54,7 +54,7 @@
     ///
     /// Returns [`crate::Error::Body`] when it is not a chat.
     pub fn parse(bytes: &[u8]) -> Result<Self> {
-        serde_json::from_slice(bytes).map_err(|e| errors::body(&e))
+        serde_json::from_slice(bytes).map_err(|e| errors::body_error(&e))
     }
 
     /// `prompt` is the text that the engine reads: each message as role and content on lines.
@@ -66,7 +66,7 @@
         for message in &self.messages {
             text.push_str(&message.role);
             text.push('\n');
-            text.push_str(&content(message));
+            text.push_str(&message_text(message));
             text.push('\n');
         }
         text.push_str("assistant\n");
@@ -76,13 +76,13 @@
     /// `digest` is the first 16 hexadecimal digits of the SHA-256 of the last message's text.
     #[must_use]
     pub fn digest(&self) -> String {
-        let text = self.messages.last().map(content).unwrap_or_default();
+        let text = self.messages.last().map(message_text).unwrap_or_default();
         hex(&Sha256::digest(text.as_bytes())[..8])
     }
 
     /// `output` is the number of tokens asked for.
     #[must_use]
-    pub fn output(&self) -> Option<u32> {
+    pub fn requested_tokens(&self) -> Option<u32> {
         self.max_completion_tokens.or(self.max_tokens)
     }
 }
@@ -98,7 +98,7 @@
 }
 
 /// The text of a message's content, its parts joined.
-fn content(message: &Message) -> String {
+fn message_text(message: &Message) -> String {
     match &message.content {
         Value::String(text) => text.clone(),
         Value::Array(parts) => parts.iter().filter_map(|p| p["text"].as_str()).collect(),
@@ -108,19 +108,19 @@
 
 /// `tokens` is the number of tokens of a text of `bytes` bytes.
 #[must_use]
-pub const fn tokens(bytes: usize) -> u64 {
-    bytes.div_ceil(TOKEN_BYTES) as u64
+pub const fn token_count(bytes: usize) -> u64 {
+    bytes.div_ceil(BYTES_PER_TOKEN) as u64
 }
 
 /// `chain` hashes each whole block of `text` together with all before it.
 #[must_use]
-pub fn chain(model: &str, text: &str, block_tokens: usize) -> Vec<u64> {
-    let mut key = hash64(0, model.as_bytes());
+pub fn block_hashes(model: &str, text: &str, block_tokens: usize) -> Vec<u64> {
+    let mut hash = hash64(0, model.as_bytes());
     text.as_bytes()
-        .chunks_exact(block_tokens * TOKEN_BYTES)
+        .chunks_exact(block_tokens * BYTES_PER_TOKEN)
         .map(|block| {
-            key = hash64(key, block);
-            key
+            hash = hash64(hash, block);
+            hash
         })
         .collect()
 }
--- a/crates/peppercrank-standin/src/engine/serve.rs
+++ b/crates/peppercrank-standin/src/engine/serve.rs
@@ -23,22 +23,22 @@
 use crate::engine::batch::Engine;
 use crate::engine::prompt::ChatBody;
 use crate::engine::settings::EngineSettings;
-use crate::engine::stream::Chat;
+use crate::engine::stream::ChatRequest;
 use crate::engine::stream::Phase;
 use crate::engine::stream::StreamKey;
-use crate::engine::tell::View;
-use crate::engine::tell::named;
-use crate::engine::tell::streamed;
-use crate::engine::tell::whole;
-use crate::faults::Ending;
+use crate::engine::tell::AnswerView;
+use crate::engine::tell::complete_reply;
+use crate::engine::tell::streaming_reply;
+use crate::engine::tell::with_request_id;
+use crate::faults::FaultPlan;
 use crate::faults::Faults;
-use crate::faults::Identity;
-use crate::faults::Plan;
-use crate::faults::Role;
+use crate::faults::ResponseEnd;
+use crate::faults::ResponseIdentity;
+use crate::faults::StandinKind;
 use crate::web;
 use crate::web::Clock;
-use crate::web::Running;
-use crate::web::Unit;
+use crate::web::ServerHandle;
+use crate::web::TruncationUnit;
 
 /// `start` serves an engine stand-in on the caller's runtime.
 ///
@@ -46,31 +46,36 @@
 ///
 /// Returns [`Error::Listen`] when the address cannot be taken, [`Error::Switch`] for a fault
 /// that an engine does not have.
-pub async fn start(mut set: EngineSettings) -> Result<Running> {
-    set.faults.check(Role::Engine)?;
-    if set.incarnation == 0 {
-        set.incarnation = wall_millis();
+pub async fn start(mut settings: EngineSettings) -> Result<ServerHandle> {
+    settings.faults.check(StandinKind::Engine)?;
+    if settings.incarnation == 0 {
+        settings.incarnation = wall_clock_ms();
     }
-    let listen = set.listen;
+    let listen = settings.listen;
     let shared = Arc::new(Shared {
         clock: Clock::new(),
-        due: Notify::new(),
+        schedule_changed: Notify::new(),
         state: Mutex::new(State {
-            faults: set.faults.clone(),
-            resumes: set.resumes,
-            engine: Engine::new(set),
+            faults: settings.faults.clone(),
+            resumes: settings.resumes,
+            engine: Engine::new(settings),
             wakers: SecondaryMap::new(),
-            last: None,
+            previous: None,
             calls: 0,
         }),
     });
-    let ticks = Arc::clone(&shared);
-    let answer = move |call| respond(Arc::clone(&shared), call);
-    web::serve(listen, answer, async move { ticks.tick().await }).await
+    let background = Arc::clone(&shared);
+    let handler = move |call| respond(Arc::clone(&shared), call);
+    web::serve(
+        listen,
+        handler,
+        async move { background.run_engine().await },
+    )
+    .await
 }
 
 /// Milliseconds of the wall clock, which tell one life of an engine from the next.
-fn wall_millis() -> u64 {
+fn wall_clock_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(1, |t| u64::try_from(t.as_millis()).unwrap_or(u64::MAX))
 }
@@ -82,7 +87,7 @@
     faults: Faults,
     resumes: bool,
     wakers: SecondaryMap<StreamKey, Arc<Notify>>,
-    last: Option<StreamKey>,
+    previous: Option<StreamKey>,
     calls: u64,
 }
 
@@ -90,7 +95,7 @@
 #[derive(Debug)]
 pub(super) struct Shared {
     clock: Clock,
-    due: Notify,
+    schedule_changed: Notify,
     state: Mutex<State>,
 }
 
@@ -100,19 +105,19 @@
     }
 
     /// Lets the engine's time pass.
-    async fn tick(&self) {
+    async fn run_engine(&self) {
         loop {
             let next = {
                 let mut state = self.state();
                 state.engine.advance(self.clock.now());
-                state.wake();
+                state.wake_readers();
                 state.engine.next_due()
             };
             match next {
-                None => self.due.notified().await,
+                None => self.schedule_changed.notified().await,
                 Some(at) => tokio::select! {
-                    () = sleep_until(self.clock.instant(at)) => {}
-                    () = self.due.notified() => {}
+                    () = sleep_until(self.clock.to_tokio_instant(at)) => {}
+                    () = self.schedule_changed.notified() => {}
                 },
             }
         }
@@ -121,8 +126,8 @@
 
 impl State {
     /// Wakes the readers of streams that got something.
-    fn wake(&mut self) {
-        for key in self.engine.take_news() {
+    fn wake_readers(&mut self) {
+        for key in self.engine.take_changed() {
             if let Some(waker) = self.wakers.get(key) {
                 waker.notify_waiters();
             }
@@ -137,32 +142,38 @@
     }
 
     /// Forgets the wakers of streams that the engine forgot.
-    fn tidy(&mut self) {
+    fn prune_wakers(&mut self) {
         let engine = &self.engine;
         if self.wakers.len() > 2 * engine.len() + 64 {
-            self.wakers.retain(|key, _| engine.stream_of(key).is_some());
+            self.wakers.retain(|key, _| engine.get(key).is_some());
         }
     }
 
     /// The id under which a stream's answer is told.
-    fn view(&self, key: StreamKey, before: Option<StreamKey>, plan: Plan, model: &str) -> View {
-        let id = |key| self.engine.stream_of(key).map(|stream| stream.id.clone());
+    fn answer_view(
+        &self,
+        key: StreamKey,
+        previous: Option<StreamKey>,
+        plan: FaultPlan,
+        model: &str,
+    ) -> AnswerView {
+        let id = |key| self.engine.get(key).map(|stream| stream.id.clone());
         let own = id(key).unwrap_or_default();
-        let mut view = View {
+        let mut view = AnswerView {
             key,
-            head: own.clone(),
-            id: own.clone(),
+            header_id: own.clone(),
+            body_id: own.clone(),
             model: model.to_owned(),
         };
-        match (plan.identity, before.and_then(|k| Some((k, id(k)?)))) {
-            (Identity::Own, _) => {}
-            (Identity::Crossed, Some((before, other))) => {
+        match (plan.identity, previous.and_then(|k| Some((k, id(k)?)))) {
+            (ResponseIdentity::Own, _) => {}
+            (ResponseIdentity::Crossed, Some((before, other))) => {
                 view.key = before;
-                view.id = other;
+                view.body_id = other;
             }
-            (Identity::Crossed | Identity::WrongId, _) => {
-                view.head = web::other(&own);
-                view.id = view.head.clone();
+            (ResponseIdentity::Crossed | ResponseIdentity::WrongId, _) => {
+                view.header_id = web::different_id(&own);
+                view.body_id = view.header_id.clone();
             }
         }
         view
@@ -177,136 +188,153 @@
     match (&method, parts.as_slice()) {
         (&Method::POST, ["v1", "chat", "completions"]) => {
             let plan = shared.state().faults.plan("chat");
-            let id = web::header(&call.head.headers, "x-request-id");
+            let id = web::header_text(&call.head.headers, "x-request-id");
             // The engine's own refusals echo the id; an outage, played before it, does not.
             let work = async {
                 let done = chat(&shared, call, plan).await;
-                let refused = done.or_else(|e| Ok::<_, Error>(web::failed(&e)));
+                let refused = done.or_else(|e| Ok::<_, Error>(web::error_reply(&e)));
                 refused.map(|reply| match id {
-                    Some(id) if !reply.headers().contains_key("x-request-id") => named(reply, &id),
+                    Some(id) if !reply.headers().contains_key("x-request-id") => {
+                        with_request_id(reply, &id)
+                    }
                     _ => reply,
                 })
             };
-            web::play(plan, Unit::Frames, work).await
+            web::respond_with_faults(plan, TruncationUnit::Frames, work).await
         }
         (&Method::GET, ["v1", "streams", id]) => {
             let plan = shared.state().faults.plan("resume");
             let work = async { resume(&shared, &call, id, plan) };
-            web::play(plan, Unit::Frames, work).await
+            web::respond_with_faults(plan, TruncationUnit::Frames, work).await
         }
         (&Method::DELETE, ["v1", "streams", id]) => {
             let plan = shared.state().faults.plan("cancel");
-            web::play(plan, Unit::Bytes, async { cancel(&shared, id) }).await
+            web::respond_with_faults(plan, TruncationUnit::Bytes, async { cancel(&shared, id) })
+                .await
         }
         (&Method::GET, ["load"]) => {
             let plan = shared.state().faults.plan("load");
-            web::play(plan, Unit::Bytes, async { Ok(load(&shared)) }).await
+            web::respond_with_faults(plan, TruncationUnit::Bytes, async {
+                Ok(load_report(&shared))
+            })
+            .await
         }
         (&Method::GET, ["cache-events"]) => {
             let plan = shared.state().faults.plan("cache_events");
-            web::play(plan, Unit::Bytes, async { cache_events(&shared, &call) }).await
+            web::respond_with_faults(plan, TruncationUnit::Bytes, async {
+                cache_events(&shared, &call)
+            })
+            .await
         }
         (&Method::POST, ["orders"]) => {
             let plan = shared.state().faults.plan("orders");
-            web::play(plan, Unit::Bytes, order(&shared, call)).await
+            web::respond_with_faults(plan, TruncationUnit::Bytes, apply_order(&shared, call)).await
         }
-        (&Method::GET, ["orders"]) => web::reply(shared.state().engine.orders()),
-        (&Method::GET, ["runs"]) => web::runs_of(shared.state().engine.runs(), None),
-        (&Method::GET, ["runs", id]) => web::runs_of(shared.state().engine.runs(), Some(id)),
-        (&Method::GET, ["faults"]) => web::reply(&shared.state().faults),
-        (&Method::PUT, ["faults"]) => match web::set_faults(Role::Engine, call).await {
+        (&Method::GET, ["orders"]) => web::json_reply(shared.state().engine.orders()),
+        (&Method::GET, ["runs"]) => web::run_counts_reply(shared.state().engine.runs(), None),
+        (&Method::GET, ["runs", id]) => {
+            web::run_counts_reply(shared.state().engine.runs(), Some(id))
+        }
+        (&Method::GET, ["faults"]) => web::json_reply(&shared.state().faults),
+        (&Method::PUT, ["faults"]) => match web::read_faults(StandinKind::Engine, call).await {
             Ok(faults) => {
                 shared.state().faults = faults;
-                web::ok()
+                web::ok_reply()
             }
-            Err(e) => web::failed(&e),
+            Err(e) => web::error_reply(&e),
         },
-        (&Method::GET, ["healthz"]) => web::ok(),
-        _ => web::failed(&Error::Unknown),
+        (&Method::GET, ["healthz"]) => web::ok_reply(),
+        _ => web::error_reply(&Error::NotFound),
     }
 }
 
 /// Runs a chat.
-async fn chat(shared: &Arc<Shared>, call: Call, plan: Plan) -> Result<Reply> {
+async fn chat(shared: &Arc<Shared>, call: Call, plan: FaultPlan) -> Result<Reply> {
     let headers = call.head.headers.clone();
-    let bytes = web::read(call).await?;
+    let bytes = web::read_body(call).await?;
     let body = ChatBody::parse(&bytes)?;
     let stream = body.stream;
     let model = body.model.clone();
     let view = {
         let mut state = shared.state();
         state.calls += 1;
-        let chat = request(&headers, body, state.calls)?;
+        let chat = chat_request(&headers, body, state.calls)?;
         let key = state.engine.submit(shared.clock.now(), chat)?;
-        state.wake();
-        state.tidy();
-        let before = state.last.replace(key);
-        state.view(key, before, plan, &model)
+        state.wake_readers();
+        state.prune_wakers();
+        let previous = state.previous.replace(key);
+        state.answer_view(key, previous, plan, &model)
     };
-    shared.due.notify_one();
+    shared.schedule_changed.notify_one();
     // The work comes before an answer that is dropped.
-    let unheard = matches!(plan.ending, Ending::Dropped | Ending::Lost);
-    if stream && !unheard {
-        return Ok(streamed(shared, view, 0));
+    let unanswered = matches!(
+        plan.response_end,
+        ResponseEnd::ConnectionClosed | ResponseEnd::Withheld
+    );
+    if stream && !unanswered {
+        return Ok(streaming_reply(shared, view, 0));
     }
-    whole(shared, &view).await
+    complete_reply(shared, &view).await
 }
 
 /// The chat that headers and body ask for.
-fn request(headers: &HeaderMap, body: ChatBody, spare: u64) -> Result<Chat> {
-    let priority = match web::header(headers, "x-priority") {
+fn chat_request(headers: &HeaderMap, body: ChatBody, fallback: u64) -> Result<ChatRequest> {
+    let priority = match web::header_text(headers, "x-priority") {
         None => 0,
         Some(text) => match text.parse() {
             Ok(priority @ 0..=9) => priority,
-            _ => return Err(Error::Parameter("x-priority")),
+            _ => return Err(Error::InvalidParameter("x-priority")),
         },
     };
-    Ok(Chat {
-        tags: web::tags(headers, spare),
+    Ok(ChatRequest {
+        ids: web::request_ids(headers, fallback),
         priority,
-        chat: web::header(headers, "x-chat-key"),
-        prefix: web::header(headers, "x-prefix-key"),
+        chat_key: web::header_text(headers, "x-chat-key"),
+        prefix_key: web::header_text(headers, "x-prefix-key"),
         body,
     })
 }
 
 /// Tells a stream from an event on.
-fn resume(shared: &Arc<Shared>, call: &Call, id: &str, plan: Plan) -> Result<Reply> {
-    let from = web::number(&call.head.uri, "from")?.unwrap_or(0);
-    let from = u32::try_from(from).map_err(|_over| Error::Parameter("from"))?;
+fn resume(shared: &Arc<Shared>, call: &Call, id: &str, plan: FaultPlan) -> Result<Reply> {
+    let from = web::query_number(&call.head.uri, "from")?.unwrap_or(0);
+    let from = u32::try_from(from).map_err(|_over| Error::InvalidParameter("from"))?;
     let mut state = shared.state();
-    state.engine.forget(shared.clock.now());
-    let key = state.engine.find(id).ok_or(Error::Unknown)?;
-    let stream = state.engine.stream_of(key).ok_or(Error::Unknown)?;
+    state.engine.drop_expired(shared.clock.now());
+    let key = state.engine.find(id).ok_or(Error::NotFound)?;
+    let stream = state.engine.get(key).ok_or(Error::NotFound)?;
     if stream.phase == Phase::Cancelled || !state.resumes {
-        return Err(Error::Unknown);
+        return Err(Error::NotFound);
     }
-    let view = state.view(key, None, plan, "");
+    let view = state.answer_view(key, None, plan, "");
     drop(state);
-    Ok(streamed(shared, view, from))
+    Ok(streaming_reply(shared, view, from))
 }
 
 fn cancel(shared: &Shared, id: &str) -> Result<Reply> {
     let mut state = shared.state();
     state.engine.cancel(shared.clock.now(), id)?;
-    state.wake();
-    shared.due.notify_one();
-    Ok(web::reply(&json!({"cancelled": id})))
+    state.wake_readers();
+    shared.schedule_changed.notify_one();
+    Ok(web::json_reply(&json!({"cancelled": id})))
 }
 
-fn load(shared: &Shared) -> Reply {
+fn load_report(shared: &Shared) -> Reply {
     let load = shared.state().engine.load(shared.clock.now());
-    web::reply(&load)
+    web::json_reply(&load)
 }
 
 fn cache_events(shared: &Shared, call: &Call) -> Result<Reply> {
-    let since = web::number(&call.head.uri, "since")?.unwrap_or(0);
+    let since = web::query_number(&call.head.uri, "since")?.unwrap_or(0);
     let page = shared.state().engine.cache_page(shared.clock.now(), since);
-    Ok(web::reply(&page))
+    Ok(web::json_reply(&page))
 }
 
-async fn order(shared: &Shared, call: Call) -> Result<Reply> {
-    let bytes = web::read(call).await?;
-    let highest = shared.state().engine.order(web::parse(&bytes)?)?;
-    Ok(web::reply(&json!({"fence": highest})))
+async fn apply_order(shared: &Shared, call: Call) -> Result<Reply> {
+    let bytes = web::read_body(call).await?;
+    let highest = shared
+        .state()
+        .engine
+        .apply_order(web::parse_json(&bytes)?)?;
+    Ok(web::json_reply(&json!({"fence": highest})))
 }
--- a/crates/peppercrank-standin/src/engine/stream.rs
+++ b/crates/peppercrank-standin/src/engine/stream.rs
@@ -8,7 +8,7 @@
 use crate::engine::answer::Answer;
 use crate::engine::answer::Usage;
 use crate::engine::prompt::ChatBody;
-use crate::runs::Tags;
+use crate::runs::RequestIds;
 
 slotmap::new_key_type! {
     /// `StreamKey` finds one stream in its engine.
@@ -17,15 +17,15 @@
 
 /// `Chat` is one request to the engine.
 #[derive(Debug, Clone, Default)]
-pub struct Chat {
+pub struct ChatRequest {
     /// The ids it carries.
-    pub tags: Tags,
+    pub ids: RequestIds,
     /// Its priority, 0 (last) to 9 (first).
     pub priority: u8,
     /// The chat's key, by which cache events name its context.
-    pub chat: Option<String>,
+    pub chat_key: Option<String>,
     /// The key of its leading prefix.
-    pub prefix: Option<String>,
+    pub prefix_key: Option<String>,
     /// What it asks for.
     pub body: ChatBody,
 }
@@ -56,18 +56,18 @@
     pub usage: Usage,
     pub(super) model: String,
     pub(super) text: String,
-    pub(super) chain: Vec<u64>,
-    pub(super) tags: Tags,
-    pub(super) chat: Option<String>,
-    pub(super) prefix: Option<String>,
-    pub(super) output: u32,
-    pub(super) rank: (u8, u64),
-    pub(super) due: Instant,
+    pub(super) blocks: Vec<u64>,
+    pub(super) ids: RequestIds,
+    pub(super) chat_key: Option<String>,
+    pub(super) prefix_key: Option<String>,
+    pub(super) output_tokens: u32,
+    pub(super) queue_rank: (u8, u64),
+    pub(super) next_token_at: Instant,
 }
 
 impl Stream {
     /// Tells how many tokens the whole work has.
-    pub(super) fn tokens(&self) -> u64 {
-        self.usage.prompt + u64::from(self.output)
+    pub(super) fn total_tokens(&self) -> u64 {
+        self.usage.prompt + u64::from(self.output_tokens)
     }
 }
--- a/crates/peppercrank-standin/src/errors.rs
+++ b/crates/peppercrank-standin/src/errors.rs
@@ -18,24 +18,24 @@
     /// A stand-in could not listen.
     Listen(peppercrank_wire::Error),
     /// A body is not the JSON that the call takes.
-    Body(String),
+    InvalidBody(String),
     /// A header or a parameter of the path is missing or malformed.
-    Parameter(&'static str),
+    InvalidParameter(&'static str),
     /// A fault switch does not exist at this stand-in.
-    Switch(&'static str),
+    UnsupportedFault(&'static str),
     /// Nothing answers to this path or id.
-    Unknown,
+    NotFound,
     /// The model is not loaded.
-    Model(String),
+    ModelNotLoaded(String),
     /// A stream of the same id is still running.
-    Duplicate,
+    DuplicateStream,
     /// An order carries an older fencing number than one before it.
-    OldFence {
+    StaleFence {
         /// The highest number seen.
         highest: u64,
     },
     /// A watch starts before the oldest change that is still known.
-    TooOld,
+    WatchTooOld,
     /// The condition of a write does not hold.
     Conflict {
         /// The object as it is: its version, 0 when it never was, and its body.
@@ -51,8 +51,8 @@
 
 /// `body` makes the error for a body that does not parse.
 #[must_use]
-pub fn body(e: &serde_json::Error) -> Error {
-    Error::Body(e.to_string())
+pub fn body_error(e: &serde_json::Error) -> Error {
+    Error::InvalidBody(e.to_string())
 }
 
 impl Error {
@@ -60,10 +60,10 @@
     #[must_use]
     pub const fn status(&self) -> u16 {
         match self {
-            Self::Body(_) | Self::Parameter(_) | Self::Switch(_) => 400,
-            Self::Unknown | Self::Model(_) => 404,
-            Self::Duplicate | Self::OldFence { .. } => 409,
-            Self::TooOld => 410,
+            Self::InvalidBody(_) | Self::InvalidParameter(_) | Self::UnsupportedFault(_) => 400,
+            Self::NotFound | Self::ModelNotLoaded(_) => 404,
+            Self::DuplicateStream | Self::StaleFence { .. } => 409,
+            Self::WatchTooOld => 410,
             Self::Conflict { .. } => 412,
             Self::TooLarge => 413,
             Self::Throttled => 429,
@@ -77,14 +77,14 @@
     pub const fn code(&self) -> &'static str {
         match self {
             Self::Listen(_) => "listen",
-            Self::Body(_) => "bad_body",
-            Self::Parameter(_) => "bad_parameter",
-            Self::Switch(_) => "no_such_switch",
-            Self::Unknown => "unknown",
-            Self::Model(_) => "unknown_model",
-            Self::Duplicate => "duplicate",
-            Self::OldFence { .. } => "old_fence",
-            Self::TooOld => "too_old",
+            Self::InvalidBody(_) => "bad_body",
+            Self::InvalidParameter(_) => "bad_parameter",
+            Self::UnsupportedFault(_) => "no_such_switch",
+            Self::NotFound => "unknown",
+            Self::ModelNotLoaded(_) => "unknown_model",
+            Self::DuplicateStream => "duplicate",
+            Self::StaleFence { .. } => "old_fence",
+            Self::WatchTooOld => "too_old",
             Self::Conflict { .. } => "conflict",
             Self::TooLarge => "too_large",
             Self::Throttled => "throttled",
@@ -106,14 +106,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Listen(e) => write!(f, "cannot listen: {e}"),
-            Self::Body(reason) => write!(f, "the body is not what the call takes: {reason}"),
-            Self::Parameter(name) => write!(f, "`{name}` is missing or malformed"),
-            Self::Switch(name) => write!(f, "this stand-in has no switch `{name}`"),
-            Self::Unknown => f.write_str("nothing is known by this path or id"),
-            Self::Model(name) => write!(f, "the model `{name}` is not loaded"),
-            Self::Duplicate => f.write_str("a stream of this id is still running"),
-            Self::OldFence { highest } => write!(f, "an order numbered {highest} came before"),
-            Self::TooOld => f.write_str("the watch starts before the oldest known change"),
+            Self::InvalidBody(reason) => write!(f, "the body is not what the call takes: {reason}"),
+            Self::InvalidParameter(name) => write!(f, "`{name}` is missing or malformed"),
+            Self::UnsupportedFault(name) => write!(f, "this stand-in has no switch `{name}`"),
+            Self::NotFound => f.write_str("nothing is known by this path or id"),
+            Self::ModelNotLoaded(name) => write!(f, "the model `{name}` is not loaded"),
+            Self::DuplicateStream => f.write_str("a stream of this id is still running"),
+            Self::StaleFence { highest } => write!(f, "an order numbered {highest} came before"),
+            Self::WatchTooOld => f.write_str("the watch starts before the oldest known change"),
             Self::Conflict { .. } => f.write_str("the condition does not hold"),
             Self::TooLarge => f.write_str("the value is too long"),
             Self::Throttled => f.write_str("the rate limit is used up"),
--- a/crates/peppercrank-standin/src/faults.rs
+++ b/crates/peppercrank-standin/src/faults.rs
@@ -49,7 +49,7 @@
 
 /// `Role` is which stand-in plays the faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Role {
+pub enum StandinKind {
     /// The model engine.
     Engine,
     /// The plain service.
@@ -58,10 +58,10 @@
     Platform,
 }
 
-impl Role {
+impl StandinKind {
     /// `calls` are the kinds of call that faults can meet.
     #[must_use]
-    pub const fn calls(self) -> &'static [&'static str] {
+    pub const fn call_kinds(self) -> &'static [&'static str] {
         match self {
             Self::Engine => &["chat", "resume", "cancel", "load", "cache_events", "orders"],
             Self::Service => &["call", "load"],
@@ -72,21 +72,21 @@
 
 /// `Ending` is how an answer ends.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Ending {
+pub enum ResponseEnd {
     /// As it should.
     #[default]
-    Whole,
+    Complete,
     /// No answer, connection closed.
-    Dropped,
+    ConnectionClosed,
     /// No answer, connection left open.
-    Lost,
+    Withheld,
     /// Cut after this many events or bytes.
-    Cut(u32),
+    Truncated(u32),
 }
 
 /// `Identity` is whose answer a caller gets.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Identity {
+pub enum ResponseIdentity {
     /// Its own.
     #[default]
     Own,
@@ -98,12 +98,12 @@
 
 /// `Start` is what happens to a call before its work.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Start {
+pub enum RequestAction {
     /// The work is done.
     #[default]
     Run,
     /// The connection is closed.
-    Drop,
+    CloseConnection,
     /// The answer is 503.
     Outage,
     /// The answer is 429.
@@ -112,15 +112,15 @@
 
 /// `Plan` is what the switches make of one call.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Plan {
+pub struct FaultPlan {
     /// How it starts.
-    pub start: Start,
+    pub action: RequestAction,
     /// How long its answer is held back.
     pub delay: Duration,
     /// Whose answer it is.
-    pub identity: Identity,
+    pub identity: ResponseIdentity,
     /// How it ends.
-    pub ending: Ending,
+    pub response_end: ResponseEnd,
 }
 
 impl Faults {
@@ -129,8 +129,9 @@
     /// # Errors
     ///
     /// Returns [`Error::Body`] for what is no switch, [`Error::Switch`] for another stand-in's.
-    pub fn parse(role: Role, body: &[u8]) -> Result<Self> {
-        let faults: Self = serde_json::from_slice(body).map_err(|e| crate::errors::body(&e))?;
+    pub fn parse(role: StandinKind, body: &[u8]) -> Result<Self> {
+        let faults: Self =
+            serde_json::from_slice(body).map_err(|e| crate::errors::body_error(&e))?;
         faults.check(role)?;
         Ok(faults)
     }
@@ -140,83 +141,83 @@
     /// # Errors
     ///
     /// Returns [`Error::Switch`] with the name of the first.
-    pub fn check(&self, role: Role) -> Result<()> {
-        let known = |name: &String| role.calls().contains(&name.as_str());
-        let platform = role == Role::Platform;
-        let wrong = [
-            (!self.only.as_ref().is_none_or(known), "only"),
+    pub fn check(&self, role: StandinKind) -> Result<()> {
+        let is_supported = |name: &String| role.call_kinds().contains(&name.as_str());
+        let platform = role == StandinKind::Platform;
+        let unsupported = [
+            (!self.only.as_ref().is_none_or(is_supported), "only"),
             (self.throttle && !platform, "throttle"),
             (self.wrong_id && platform, "wrong_id"),
             (self.crossed && platform, "crossed"),
         ];
-        match wrong.iter().find(|(bad, _)| *bad) {
-            Some((_, name)) => Err(Error::Switch(name)),
+        match unsupported.iter().find(|(bad, _)| *bad) {
+            Some((_, name)) => Err(Error::UnsupportedFault(name)),
             None => Ok(()),
         }
     }
 
     /// `plan` says what becomes of the next call of a kind and counts it.
-    pub fn plan(&mut self, call: &str) -> Plan {
-        if self.only.as_ref().is_some_and(|only| only != call) || !self.is_on() {
-            return Plan::default();
+    pub fn plan(&mut self, call: &str) -> FaultPlan {
+        if self.only.as_ref().is_some_and(|only| only != call) || !self.is_active() {
+            return FaultPlan::default();
         }
         if self.skip > 0 {
             self.skip -= 1;
-            return Plan::default();
+            return FaultPlan::default();
         }
         match &mut self.times {
-            Some(0) => return Plan::default(),
+            Some(0) => return FaultPlan::default(),
             Some(left) => *left -= 1,
             None => {}
         }
-        Plan {
-            start: self.start(),
+        FaultPlan {
+            action: self.action(),
             delay: Duration::from_millis(self.delay_ms),
-            identity: self.identity(),
-            ending: self.ending(),
+            identity: self.response_identity(),
+            response_end: self.response_end(),
         }
     }
 
     /// Tells whether any switch is on.
-    fn is_on(&self) -> bool {
-        self.start() != Start::Run
+    fn is_active(&self) -> bool {
+        self.action() != RequestAction::Run
             || self.delay_ms > 0
-            || self.identity() != Identity::Own
-            || self.ending() != Ending::Whole
+            || self.response_identity() != ResponseIdentity::Own
+            || self.response_end() != ResponseEnd::Complete
     }
 
-    const fn start(&self) -> Start {
+    const fn action(&self) -> RequestAction {
         match self {
-            Self { outage: true, .. } => Start::Outage,
-            Self { throttle: true, .. } => Start::Throttle,
+            Self { outage: true, .. } => RequestAction::Outage,
+            Self { throttle: true, .. } => RequestAction::Throttle,
             Self {
                 drop_before: true, ..
-            } => Start::Drop,
-            _ => Start::Run,
+            } => RequestAction::CloseConnection,
+            _ => RequestAction::Run,
         }
     }
 
-    const fn identity(&self) -> Identity {
+    const fn response_identity(&self) -> ResponseIdentity {
         match self {
-            Self { wrong_id: true, .. } => Identity::WrongId,
-            Self { crossed: true, .. } => Identity::Crossed,
-            _ => Identity::Own,
+            Self { wrong_id: true, .. } => ResponseIdentity::WrongId,
+            Self { crossed: true, .. } => ResponseIdentity::Crossed,
+            _ => ResponseIdentity::Own,
         }
     }
 
-    const fn ending(&self) -> Ending {
+    const fn response_end(&self) -> ResponseEnd {
         match self {
             Self {
                 drop_after: true, ..
-            } => Ending::Dropped,
+            } => ResponseEnd::ConnectionClosed,
             Self {
                 lose_answer: true, ..
-            } => Ending::Lost,
+            } => ResponseEnd::Withheld,
             Self {
                 cut_after: Some(at),
                 ..
-            } => Ending::Cut(*at),
-            _ => Ending::Whole,
+            } => ResponseEnd::Truncated(*at),
+            _ => ResponseEnd::Complete,
         }
     }
 }
--- a/crates/peppercrank-standin/src/lib.rs
+++ b/crates/peppercrank-standin/src/lib.rs
@@ -17,4 +17,4 @@
 
 pub use errors::Error;
 pub use errors::Result;
-pub use web::Running;
+pub use web::ServerHandle;
--- a/crates/peppercrank-standin/src/platform/limits.rs
+++ b/crates/peppercrank-standin/src/platform/limits.rs
@@ -12,7 +12,7 @@
 /// `Call` is one kind of call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Call {
+pub enum CallKind {
     /// An object read.
     Get,
     /// An object written.
@@ -27,7 +27,7 @@
     Vms,
 }
 
-impl Call {
+impl CallKind {
     /// `code` is the kind's word.
     #[must_use]
     pub const fn code(self) -> &'static str {
@@ -43,52 +43,52 @@
 
     /// `writes` tells whether the call counts against the writes.
     #[must_use]
-    pub const fn writes(self) -> bool {
+    pub const fn is_write(self) -> bool {
         matches!(self, Self::Put | Self::Delete)
     }
 }
 
 /// `Bucket` lets through so many calls a second, a second's worth at once.
 #[derive(Debug, Clone, Copy)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: u32,
-    left: f64,
-    filled: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// `new` makes a full bucket of `rate` calls a second; 0 lets everything through.
     #[must_use]
     pub fn new(rate: u32) -> Self {
         Self {
             rate,
-            left: f64::from(rate),
-            filled: Instant::ZERO,
+            tokens: f64::from(rate),
+            refilled_at: Instant::ZERO,
         }
     }
 
     /// `take` takes one call and tells whether it may pass.
-    pub fn take(&mut self, now: Instant) -> bool {
+    pub fn try_take(&mut self, now: Instant) -> bool {
         if self.rate == 0 {
             return true;
         }
         let rate = f64::from(self.rate);
-        let grown = now.since(self.filled).as_secs_f64() * rate;
-        self.left = (self.left + grown).min(rate);
-        self.filled = self.filled.max(now);
-        if self.left < 1.0 {
+        let refill = now.since(self.refilled_at).as_secs_f64() * rate;
+        self.tokens = (self.tokens + refill).min(rate);
+        self.refilled_at = self.refilled_at.max(now);
+        if self.tokens < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
 
 /// `Calls` counts the calls by kind, and those that were turned away.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize)]
-pub struct Calls {
+pub struct CallCounts {
     /// Calls by kind, those turned away included.
-    pub calls: BTreeMap<Call, u64>,
+    pub calls: BTreeMap<CallKind, u64>,
     /// Calls answered 429.
     pub throttled: u64,
     /// Calls answered 503.
@@ -97,36 +97,36 @@
     pub writes: u64,
 }
 
-impl Calls {
+impl CallCounts {
     /// `count` counts one call.
-    pub fn count(&mut self, call: Call) {
+    pub fn record_call(&mut self, call: CallKind) {
         *self.calls.entry(call).or_default() += 1;
     }
 }
 
 /// `Limits` are the platform's rates.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
-    reads: Bucket,
-    writes: Bucket,
+pub struct RateLimits {
+    reads: TokenBucket,
+    writes: TokenBucket,
 }
 
-impl Limits {
+impl RateLimits {
     /// `new` sets the calls a second for reads and writes; 0 for no limit.
     #[must_use]
     pub fn new(reads: u32, writes: u32) -> Self {
         Self {
-            reads: Bucket::new(reads),
-            writes: Bucket::new(writes),
+            reads: TokenBucket::new(reads),
+            writes: TokenBucket::new(writes),
         }
     }
 
     /// `take` tells whether a call may pass.
-    pub fn take(&mut self, now: Instant, call: Call) -> bool {
-        if call.writes() {
-            return self.writes.take(now);
+    pub fn try_take(&mut self, now: Instant, call: CallKind) -> bool {
+        if call.is_write() {
+            return self.writes.try_take(now);
         }
-        self.reads.take(now)
+        self.reads.try_take(now)
     }
 }
 
--- a/crates/peppercrank-standin/src/platform/serve.rs
+++ b/crates/peppercrank-standin/src/platform/serve.rs
@@ -21,26 +21,26 @@
 
 use crate::Error;
 use crate::Result;
-use crate::faults::Ending;
+use crate::faults::FaultPlan;
 use crate::faults::Faults;
-use crate::faults::Plan;
-use crate::faults::Role;
-use crate::faults::Start;
+use crate::faults::RequestAction;
+use crate::faults::ResponseEnd;
+use crate::faults::StandinKind;
 use crate::lag::Lagged;
-use crate::platform::limits::Call;
-use crate::platform::limits::Calls;
-use crate::platform::limits::Limits;
+use crate::platform::limits::CallCounts;
+use crate::platform::limits::CallKind;
+use crate::platform::limits::RateLimits;
 use crate::platform::settings::PlatformSettings;
 use crate::platform::store::Condition;
 use crate::platform::store::Listing;
-use crate::platform::store::MAX_VALUE;
+use crate::platform::store::MAX_VALUE_BYTES;
 use crate::platform::store::Store;
 use crate::platform::vms::Vm;
 use crate::platform::vms::VmList;
 use crate::web;
 use crate::web::Clock;
-use crate::web::Running;
-use crate::web::Unit;
+use crate::web::ServerHandle;
+use crate::web::TruncationUnit;
 
 /// The longest wait of a watch, in milliseconds.
 pub const MAX_WAIT_MS: u64 = 60_000;
@@ -51,27 +51,27 @@
 ///
 /// Returns [`Error::Listen`] when the address cannot be taken, [`Error::Switch`] for a fault
 /// that a platform does not have.
-pub async fn start(set: PlatformSettings) -> Result<Running> {
-    set.faults.check(Role::Platform)?;
+pub async fn start(settings: PlatformSettings) -> Result<ServerHandle> {
+    settings.faults.check(StandinKind::Platform)?;
     let vms = VmList {
         revision: 1,
-        vms: set.vms,
+        vms: settings.vms,
     };
-    let (news, _) = watch::channel(());
+    let (changes, _) = watch::channel(());
     let shared = Arc::new(Shared {
         clock: Clock::new(),
-        lag: Duration::from_millis(set.vms_lag_ms),
-        news,
+        vms_lag: Duration::from_millis(settings.vms_lag_ms),
+        changes,
         state: Mutex::new(State {
-            store: Store::new(set.tombstones),
+            store: Store::new(settings.tombstones),
             vms: Lagged::new(vms),
-            limits: Limits::new(set.reads, set.writes),
-            calls: Calls::default(),
-            faults: set.faults,
+            limits: RateLimits::new(settings.reads, settings.writes),
+            calls: CallCounts::default(),
+            faults: settings.faults,
         }),
     });
-    let answer = move |call| respond(Arc::clone(&shared), call);
-    web::serve(set.listen, answer, std::future::pending()).await
+    let handler = move |call| respond(Arc::clone(&shared), call);
+    web::serve(settings.listen, handler, std::future::pending()).await
 }
 
 /// `State` is the store and what goes with it.
@@ -79,8 +79,8 @@
 struct State {
     store: Store,
     vms: Lagged<VmList>,
-    limits: Limits,
-    calls: Calls,
+    limits: RateLimits,
+    calls: CallCounts,
     faults: Faults,
 }
 
@@ -88,14 +88,14 @@
 #[derive(Debug)]
 struct Shared {
     clock: Clock,
-    lag: Duration,
+    vms_lag: Duration,
     /// Tells waiting watches to look again.
-    news: watch::Sender<()>,
+    changes: watch::Sender<()>,
     state: Mutex<State>,
 }
 
 /// `Target` is what a call of the API is about.
-enum Target<'a> {
+enum Resource<'a> {
     Object { kind: &'a str, name: &'a str },
     Kind(&'a str),
     Vms,
@@ -114,31 +114,31 @@
     }
 
     /// What becomes of a call, which is counted.
-    fn plan(&self, call: Call) -> Plan {
-        self.state().plan(self.clock.now(), call)
+    fn plan_call(&self, call: CallKind) -> FaultPlan {
+        self.state().plan_call(self.clock.now(), call)
     }
 }
 
 impl State {
-    fn plan(&mut self, now: Instant, call: Call) -> Plan {
-        self.calls.count(call);
+    fn plan_call(&mut self, now: Instant, call: CallKind) -> FaultPlan {
+        self.calls.record_call(call);
         let mut plan = self.faults.plan(call.code());
-        if plan.start == Start::Run && !self.limits.take(now, call) {
-            plan.start = Start::Throttle;
-            plan.ending = Ending::Whole;
+        if plan.action == RequestAction::Run && !self.limits.try_take(now, call) {
+            plan.action = RequestAction::Throttle;
+            plan.response_end = ResponseEnd::Complete;
         }
-        match plan.start {
-            Start::Throttle => self.calls.throttled += 1,
-            Start::Outage => self.calls.outages += 1,
-            Start::Run | Start::Drop => {}
+        match plan.action {
+            RequestAction::Throttle => self.calls.throttled += 1,
+            RequestAction::Outage => self.calls.outages += 1,
+            RequestAction::Run | RequestAction::CloseConnection => {}
         }
         plan
     }
 
     /// Tells whether an outage has come over waiting watches.
-    fn watch_is_out(&self) -> bool {
+    fn has_watch_outage(&self) -> bool {
         let only = self.faults.only.as_deref();
-        self.faults.outage && only.is_none_or(|only| only == Call::Watch.code())
+        self.faults.outage && only.is_none_or(|only| only == CallKind::Watch.code())
     }
 }
 
@@ -147,37 +147,39 @@
     let path = request.head.uri.path().to_owned();
     let parts: Vec<&str> = path.split('/').skip(1).collect();
     let method = request.head.method.clone();
-    let (call, target) = match (&method, parts.as_slice()) {
-        (&Method::GET, ["objects", kind, name]) => (Call::Get, Target::Object { kind, name }),
-        (&Method::PUT, ["objects", kind, name]) => (Call::Put, Target::Object { kind, name }),
-        (&Method::DELETE, ["objects", kind, name]) => (Call::Delete, Target::Object { kind, name }),
-        (&Method::GET, ["objects", kind]) => (Call::List, Target::Kind(kind)),
-        (&Method::GET, ["watch", kind]) => (Call::Watch, Target::Kind(kind)),
-        (&Method::GET, ["vms"]) => (Call::Vms, Target::Vms),
-        _ => return steer(&shared, request, &parts).await,
+    let (call, resource) = match (&method, parts.as_slice()) {
+        (&Method::GET, ["objects", kind, name]) => (CallKind::Get, Resource::Object { kind, name }),
+        (&Method::PUT, ["objects", kind, name]) => (CallKind::Put, Resource::Object { kind, name }),
+        (&Method::DELETE, ["objects", kind, name]) => {
+            (CallKind::Delete, Resource::Object { kind, name })
+        }
+        (&Method::GET, ["objects", kind]) => (CallKind::List, Resource::Kind(kind)),
+        (&Method::GET, ["watch", kind]) => (CallKind::Watch, Resource::Kind(kind)),
+        (&Method::GET, ["vms"]) => (CallKind::Vms, Resource::Vms),
+        _ => return respond_control(&shared, request, &parts).await,
     };
-    let plan = shared.plan(call);
-    let work = work(&shared, call, target, request);
-    web::play(plan, Unit::Bytes, work).await
+    let plan = shared.plan_call(call);
+    let work = perform_call(&shared, call, resource, request);
+    web::respond_with_faults(plan, TruncationUnit::Bytes, work).await
 }
 
 /// Answers the calls that are no part of the platform's API.
-async fn steer(shared: &Shared, request: Request, parts: &[&str]) -> Reply {
+async fn respond_control(shared: &Shared, request: Request, parts: &[&str]) -> Reply {
     let method = request.head.method.clone();
     let done = match (&method, parts) {
         (&Method::PUT, ["vms"]) => set_vms(shared, request).await,
         (&Method::PUT, ["faults"]) => set_faults(shared, request).await,
-        (&Method::GET, ["faults"]) => Ok(web::reply(&shared.state().faults)),
-        (&Method::GET, ["calls"]) => Ok(web::reply(&shared.state().calls)),
-        (&Method::GET, ["healthz"]) => Ok(web::ok()),
-        _ => Err(Error::Unknown),
+        (&Method::GET, ["faults"]) => Ok(web::json_reply(&shared.state().faults)),
+        (&Method::GET, ["calls"]) => Ok(web::json_reply(&shared.state().calls)),
+        (&Method::GET, ["healthz"]) => Ok(web::ok_reply()),
+        _ => Err(Error::NotFound),
     };
-    done.unwrap_or_else(|e| web::failed(&e))
+    done.unwrap_or_else(|e| web::error_reply(&e))
 }
 
 async fn set_vms(shared: &Shared, request: Request) -> Result<Reply> {
-    let bytes = web::read(request).await?;
-    let body: VmsBody = web::parse(&bytes)?;
+    let bytes = web::read_body(request).await?;
+    let body: VmsBody = web::parse_json(&bytes)?;
     let mut state = shared.state();
     let revision = state.vms.latest().revision + 1;
     let list = VmList {
@@ -185,107 +187,116 @@
         vms: body.vms,
     };
     state.vms.set(shared.clock.now(), list);
-    Ok(web::reply(&json!({"revision": revision})))
+    Ok(web::json_reply(&json!({"revision": revision})))
 }
 
 async fn set_faults(shared: &Shared, request: Request) -> Result<Reply> {
-    let faults = web::set_faults(Role::Platform, request).await?;
+    let faults = web::read_faults(StandinKind::Platform, request).await?;
     shared.state().faults = faults;
     // An outage ends the watches that wait.
-    shared.news.send_replace(());
-    Ok(web::ok())
+    shared.changes.send_replace(());
+    Ok(web::ok_reply())
 }
 
-async fn work(shared: &Shared, call: Call, target: Target<'_>, request: Request) -> Result<Reply> {
-    match (call, target) {
-        (Call::Put, Target::Object { kind, name }) => put(shared, kind, name, request).await,
-        (Call::Delete, Target::Object { kind, name }) => delete(shared, kind, name, &request),
-        (_, Target::Object { kind, name }) => get(shared, kind, name),
-        (Call::Watch, Target::Kind(kind)) => watch(shared, kind, &request).await,
-        (_, Target::Kind(kind)) => Ok(web::reply(&shared.state().store.list(kind))),
-        (_, Target::Vms) => {
+async fn perform_call(
+    shared: &Shared,
+    call: CallKind,
+    resource: Resource<'_>,
+    request: Request,
+) -> Result<Reply> {
+    match (call, resource) {
+        (CallKind::Put, Resource::Object { kind, name }) => put(shared, kind, name, request).await,
+        (CallKind::Delete, Resource::Object { kind, name }) => delete(shared, kind, name, &request),
+        (_, Resource::Object { kind, name }) => get(shared, kind, name),
+        (CallKind::Watch, Resource::Kind(kind)) => watch(shared, kind, &request).await,
+        (_, Resource::Kind(kind)) => Ok(web::json_reply(&shared.state().store.list(kind))),
+        (_, Resource::Vms) => {
             let now = shared.clock.now();
-            Ok(web::reply(shared.state().vms.seen(now, shared.lag)))
+            Ok(web::json_reply(
+                shared.state().vms.visible_at(now, shared.vms_lag),
+            ))
         }
     }
 }
 
 fn get(shared: &Shared, kind: &str, name: &str) -> Result<Reply> {
     let state = shared.state();
-    let object = state.store.get(kind, name).ok_or(Error::Unknown)?;
-    Ok(web::reply(
+    let object = state.store.get(kind, name).ok_or(Error::NotFound)?;
+    Ok(web::json_reply(
         &json!({"version": object.version, "body": object.body}),
     ))
 }
 
 async fn put(shared: &Shared, kind: &str, name: &str, request: Request) -> Result<Reply> {
-    let on = condition(&request.head.headers)?;
-    let bytes = web::read(request).await?;
-    if bytes.len() > MAX_VALUE {
+    let condition = parse_condition(&request.head.headers)?;
+    let bytes = web::read_body(request).await?;
+    if bytes.len() > MAX_VALUE_BYTES {
         return Err(Error::TooLarge);
     }
-    let body = web::parse(&bytes)?;
+    let body = web::parse_json(&bytes)?;
     let mut state = shared.state();
-    let version = state.store.put(kind, name, on, body)?;
-    Ok(written(shared, &mut state, version))
+    let version = state.store.put(kind, name, condition, body)?;
+    Ok(write_reply(shared, &mut state, version))
 }
 
 fn delete(shared: &Shared, kind: &str, name: &str, request: &Request) -> Result<Reply> {
-    let on = condition(&request.head.headers)?;
+    let condition = parse_condition(&request.head.headers)?;
     let mut state = shared.state();
-    let version = state.store.delete(kind, name, on)?;
-    Ok(written(shared, &mut state, version))
+    let version = state.store.delete(kind, name, condition)?;
+    Ok(write_reply(shared, &mut state, version))
 }
 
-fn written(shared: &Shared, state: &mut State, version: u64) -> Reply {
+fn write_reply(shared: &Shared, state: &mut State, version: u64) -> Reply {
     state.calls.writes += 1;
-    shared.news.send_replace(());
-    web::reply(&json!({"version": version}))
+    shared.changes.send_replace(());
+    web::json_reply(&json!({"version": version}))
 }
 
 /// The condition of a write, without which none is done.
-fn condition(headers: &HeaderMap) -> Result<Condition> {
-    let wrong = || Error::Parameter("if-match");
+fn parse_condition(headers: &HeaderMap) -> Result<Condition> {
+    let invalid = || Error::InvalidParameter("if-match");
     let version = headers.get(header::IF_MATCH);
     let absent = headers.get(header::IF_NONE_MATCH);
     match (version, absent) {
         (None, Some(any)) if any == "*" => Ok(Condition::Absent),
         (Some(version), None) => {
-            let text = version.to_str().map_err(|_e| wrong())?;
+            let text = version.to_str().map_err(|_e| invalid())?;
             let text = text.trim_matches('"');
-            text.parse().map(Condition::Version).map_err(|_e| wrong())
+            text.parse().map(Condition::Version).map_err(|_e| invalid())
         }
-        _ => Err(wrong()),
+        _ => Err(invalid()),
     }
 }
 
 /// Answers at once when something is newer, else when something comes or the time is up.
 async fn watch(shared: &Shared, kind: &str, request: &Request) -> Result<Reply> {
     let uri = &request.head.uri;
-    let since = web::number(uri, "since")?.unwrap_or(0);
-    let wait_ms = web::number(uri, "wait_ms")?.unwrap_or(0).min(MAX_WAIT_MS);
-    let mut news = shared.news.subscribe();
+    let since = web::query_number(uri, "since")?.unwrap_or(0);
+    let wait_ms = web::query_number(uri, "wait_ms")?
+        .unwrap_or(0)
+        .min(MAX_WAIT_MS);
+    let mut changes = shared.changes.subscribe();
     let found = async {
         loop {
-            let listing = newer(shared, kind, since)?;
+            let listing = changes_since(shared, kind, since)?;
             if !listing.objects.is_empty() {
                 return Ok(listing);
             }
-            if news.changed().await.is_err() {
+            if changes.changed().await.is_err() {
                 return Ok(listing);
             }
         }
     };
     match timeout(Duration::from_millis(wait_ms), found).await {
-        Ok(found) => found.map(|listing| web::reply(&listing)),
-        Err(_) => newer(shared, kind, since).map(|listing| web::reply(&listing)),
+        Ok(found) => found.map(|listing| web::json_reply(&listing)),
+        Err(_) => changes_since(shared, kind, since).map(|listing| web::json_reply(&listing)),
     }
 }
 
-fn newer(shared: &Shared, kind: &str, since: u64) -> Result<Listing> {
+fn changes_since(shared: &Shared, kind: &str, since: u64) -> Result<Listing> {
     let state = shared.state();
-    if state.watch_is_out() {
+    if state.has_watch_outage() {
         return Err(Error::Outage);
     }
-    state.store.newer(kind, since)
+    state.store.list_since(kind, since)
 }
--- a/crates/peppercrank-standin/src/platform/store.rs
+++ b/crates/peppercrank-standin/src/platform/store.rs
@@ -13,7 +13,7 @@
 use crate::Result;
 
 /// The longest value, in bytes of JSON text: a megabyte, as the platform says.
-pub const MAX_VALUE: usize = 1_000_000;
+pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
 /// `Condition` is what must hold for a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -50,19 +50,19 @@
 pub struct Store {
     revision: u64,
     /// Tombstones up to this version may be gone.
-    horizon: u64,
-    tombstones: usize,
+    pruned_through: u64,
+    max_tombstones: usize,
     kinds: BTreeMap<String, BTreeMap<String, Object>>,
 }
 
 impl Store {
     /// `new` makes an empty store that keeps at most `tombstones` tombstones of each kind.
     #[must_use]
-    pub const fn new(tombstones: usize) -> Self {
+    pub const fn new(max_tombstones: usize) -> Self {
         Self {
             revision: 0,
-            horizon: 0,
-            tombstones,
+            pruned_through: 0,
+            max_tombstones,
             kinds: BTreeMap::new(),
         }
     }
@@ -79,8 +79,14 @@
     /// # Errors
     ///
     /// Returns [`Error::Conflict`] with the object as it is when the condition does not hold.
-    pub fn put(&mut self, kind: &str, name: &str, on: Condition, body: Value) -> Result<u64> {
-        self.check(kind, name, on)?;
+    pub fn put(
+        &mut self,
+        kind: &str,
+        name: &str,
+        condition: Condition,
+        body: Value,
+    ) -> Result<u64> {
+        self.check_condition(kind, name, condition)?;
         Ok(self.write(kind, name, Some(body)))
     }
 
@@ -89,17 +95,17 @@
     /// # Errors
     ///
     /// Returns [`Error::Conflict`] with the object as it is when the condition does not hold.
-    pub fn delete(&mut self, kind: &str, name: &str, on: Condition) -> Result<u64> {
-        self.check(kind, name, on)?;
+    pub fn delete(&mut self, kind: &str, name: &str, condition: Condition) -> Result<u64> {
+        self.check_condition(kind, name, condition)?;
         let version = self.write(kind, name, None);
-        self.prune(kind);
+        self.prune_tombstones(kind);
         Ok(version)
     }
 
     /// `list` is all objects of a kind, tombstones included.
     #[must_use]
     pub fn list(&self, kind: &str) -> Listing {
-        self.after(kind, 0)
+        self.objects_since(kind, 0)
     }
 
     /// `newer` is the objects of a kind written after `since`.
@@ -108,14 +114,14 @@
     ///
     /// Returns [`Error::TooOld`] when tombstones since then may be gone, or when the store
     /// never was at `since`, as after its restart.
-    pub fn newer(&self, kind: &str, since: u64) -> Result<Listing> {
-        if since < self.horizon || since > self.revision {
-            return Err(Error::TooOld);
+    pub fn list_since(&self, kind: &str, since: u64) -> Result<Listing> {
+        if since < self.pruned_through || since > self.revision {
+            return Err(Error::WatchTooOld);
         }
-        Ok(self.after(kind, since))
+        Ok(self.objects_since(kind, since))
     }
 
-    fn after(&self, kind: &str, since: u64) -> Listing {
+    fn objects_since(&self, kind: &str, since: u64) -> Listing {
         let objects = self.kinds.get(kind).into_iter().flat_map(BTreeMap::values);
         Listing {
             revision: self.revision,
@@ -123,10 +129,10 @@
         }
     }
 
-    fn check(&self, kind: &str, name: &str, on: Condition) -> Result<()> {
+    fn check_condition(&self, kind: &str, name: &str, condition: Condition) -> Result<()> {
         let found = self.kinds.get(kind).and_then(|objects| objects.get(name));
         let live = found.filter(|object| object.body.is_some());
-        let holds = match on {
+        let holds = match condition {
             Condition::Absent => live.is_none(),
             Condition::Version(version) => live.is_some_and(|object| object.version == version),
         };
@@ -158,18 +164,18 @@
     }
 
     /// Forgets the oldest tombstones of a kind past the number that is kept.
-    fn prune(&mut self, kind: &str) {
+    fn prune_tombstones(&mut self, kind: &str) {
         let Some(objects) = self.kinds.get_mut(kind) else {
             return;
         };
-        let gone = objects.values().filter(|object| object.body.is_none());
-        let mut versions: Vec<u64> = gone.map(|object| object.version).collect();
-        if versions.len() <= self.tombstones {
+        let deleted = objects.values().filter(|object| object.body.is_none());
+        let mut versions: Vec<u64> = deleted.map(|object| object.version).collect();
+        if versions.len() <= self.max_tombstones {
             return;
         }
         versions.sort_unstable();
-        let last = versions[versions.len() - self.tombstones - 1];
-        objects.retain(|_, object| object.body.is_some() || object.version > last);
-        self.horizon = self.horizon.max(last);
+        let last_pruned = versions[versions.len() - self.max_tombstones - 1];
+        objects.retain(|_, object| object.body.is_some() || object.version > last_pruned);
+        self.pruned_through = self.pruned_through.max(last_pruned);
     }
 }
--- a/crates/peppercrank-standin/src/service.rs
+++ b/crates/peppercrank-standin/src/service.rs
@@ -25,15 +25,15 @@
 use crate::Error;
 use crate::Result;
 use crate::engine::prompt::hex;
+use crate::faults::FaultPlan;
 use crate::faults::Faults;
-use crate::faults::Identity;
-use crate::faults::Plan;
-use crate::faults::Role;
-use crate::runs::Runs;
-use crate::runs::Tags;
+use crate::faults::ResponseIdentity;
+use crate::faults::StandinKind;
+use crate::runs::RequestIds;
+use crate::runs::RunCounts;
 use crate::web;
-use crate::web::Running;
-use crate::web::Unit;
+use crate::web::ServerHandle;
+use crate::web::TruncationUnit;
 
 /// The header by which a caller asks for a status, so that pass-through of it can be tested.
 pub const STATUS_HEADER: &str = "x-standin-status";
@@ -82,23 +82,23 @@
 #[derive(Debug)]
 struct State {
     faults: Faults,
-    runs: Runs,
+    runs: RunCounts,
     calls: u64,
     running: usize,
-    last: Option<Echo>,
+    previous: Option<Echo>,
 }
 
 /// `Shared` is what all calls share.
 #[derive(Debug)]
 struct Shared {
-    work: Duration,
+    work_time: Duration,
     state: Mutex<State>,
 }
 
 /// `Work` counts a call as running until it is dropped.
-struct Work<'a>(&'a Shared);
+struct RunningGuard<'a>(&'a Shared);
 
-impl Drop for Work<'_> {
+impl Drop for RunningGuard<'_> {
     fn drop(&mut self) {
         self.0.state().running -= 1;
     }
@@ -116,20 +116,20 @@
 ///
 /// Returns [`Error::Listen`] when the address cannot be taken, [`Error::Switch`] for a fault
 /// that a plain service does not have.
-pub async fn start(set: ServiceSettings) -> Result<Running> {
-    set.faults.check(Role::Service)?;
+pub async fn start(settings: ServiceSettings) -> Result<ServerHandle> {
+    settings.faults.check(StandinKind::Service)?;
     let shared = Arc::new(Shared {
-        work: Duration::from_millis(set.work_ms),
+        work_time: Duration::from_millis(settings.work_ms),
         state: Mutex::new(State {
-            faults: set.faults,
-            runs: Runs::default(),
+            faults: settings.faults,
+            runs: RunCounts::default(),
             calls: 0,
             running: 0,
-            last: None,
+            previous: None,
         }),
     });
-    let answer = move |call| respond(Arc::clone(&shared), call);
-    web::serve(set.listen, answer, std::future::pending()).await
+    let handler = move |call| respond(Arc::clone(&shared), call);
+    web::serve(settings.listen, handler, std::future::pending()).await
 }
 
 /// Answers one call.
@@ -140,88 +140,101 @@
     match (&method, parts.as_slice()) {
         (&Method::GET, ["load"]) => {
             let plan = shared.state().faults.plan("load");
-            web::play(plan, Unit::Bytes, async { Ok(load(&shared)) }).await
+            web::respond_with_faults(plan, TruncationUnit::Bytes, async {
+                Ok(load_report(&shared))
+            })
+            .await
         }
-        (&Method::GET, ["runs"]) => web::runs_of(&shared.state().runs, None),
-        (&Method::GET, ["runs", id]) => web::runs_of(&shared.state().runs, Some(id)),
-        (&Method::GET, ["faults"]) => web::reply(&shared.state().faults),
-        (&Method::PUT, ["faults"]) => match web::set_faults(Role::Service, call).await {
+        (&Method::GET, ["runs"]) => web::run_counts_reply(&shared.state().runs, None),
+        (&Method::GET, ["runs", id]) => web::run_counts_reply(&shared.state().runs, Some(id)),
+        (&Method::GET, ["faults"]) => web::json_reply(&shared.state().faults),
+        (&Method::PUT, ["faults"]) => match web::read_faults(StandinKind::Service, call).await {
             Ok(faults) => {
                 shared.state().faults = faults;
-                web::ok()
+                web::ok_reply()
             }
-            Err(e) => web::failed(&e),
+            Err(e) => web::error_reply(&e),
         },
-        (&Method::GET, ["healthz"]) => web::ok(),
+        (&Method::GET, ["healthz"]) => web::ok_reply(),
         _ => {
             let plan = shared.state().faults.plan("call");
-            web::play(plan, Unit::Bytes, run(&shared, call, plan)).await
+            web::respond_with_faults(
+                plan,
+                TruncationUnit::Bytes,
+                perform_call(&shared, call, plan),
+            )
+            .await
         }
     }
 }
 
 /// The load report; a plain service takes in all and keeps none waiting.
-fn load(shared: &Shared) -> Reply {
+fn load_report(shared: &Shared) -> Reply {
     let running = shared.state().running;
-    web::reply(&json!({"incarnation": 0, "running": running, "waiting": 0, "tokens": 0}))
+    web::json_reply(&json!({"incarnation": 0, "running": running, "waiting": 0, "tokens": 0}))
 }
 
 /// Does one call's work, which is to be counted, and echoes the call.
-async fn run(shared: &Shared, call: Call, plan: Plan) -> Result<Reply> {
+async fn perform_call(shared: &Shared, call: Call, plan: FaultPlan) -> Result<Reply> {
     let head = call.head.clone();
-    let bytes = web::read(call).await?;
-    let status = status(web::header(&head.headers, STATUS_HEADER))?;
+    let bytes = web::read_body(call).await?;
+    let status = requested_status(web::header_text(&head.headers, STATUS_HEADER))?;
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let (echo, before, _work) = {
         let mut state = shared.state();
         state.calls += 1;
-        let tags = web::tags(&head.headers, state.calls);
-        let runs = state.runs.add(&tags);
+        let ids = web::request_ids(&head.headers, state.calls);
+        let runs = state.runs.record_run(&ids);
         state.running += 1;
-        let echo = echo(head.method.as_str(), path, &bytes, tags, runs);
-        let before = state.last.replace(echo.clone());
-        (echo, before, Work(shared))
+        let echo = echo(head.method.as_str(), path, &bytes, ids, runs);
+        let previous = state.previous.replace(echo.clone());
+        (echo, previous, RunningGuard(shared))
     };
-    if !shared.work.is_zero() {
-        tokio::time::sleep(shared.work).await;
+    if !shared.work_time.is_zero() {
+        tokio::time::sleep(shared.work_time).await;
     }
-    Ok(told(plan.identity, echo, before, status))
+    Ok(echo_reply(plan.identity, echo, before, status))
 }
 
-fn echo(method: &str, path: &str, bytes: &Bytes, tags: Tags, runs: u32) -> Echo {
+fn echo(method: &str, path: &str, bytes: &Bytes, ids: RequestIds, runs: u32) -> Echo {
     Echo {
         method: method.to_owned(),
         path: path.to_owned(),
         digest: hex(&Sha256::digest(bytes)[..8]),
         bytes: bytes.len(),
-        request: tags.request.unwrap_or_else(|| tags.attempt.clone()),
-        attempt: tags.attempt,
+        request: ids.request.unwrap_or_else(|| ids.attempt.clone()),
+        attempt: ids.attempt,
         runs,
     }
 }
 
 /// The answer to a call, or another's.
-fn told(identity: Identity, echo: Echo, before: Option<Echo>, status: StatusCode) -> Reply {
+fn echo_reply(
+    identity: ResponseIdentity,
+    echo: Echo,
+    previous: Option<Echo>,
+    status: StatusCode,
+) -> Reply {
     let own = echo.attempt.clone();
     let (id, echo) = match identity {
-        Identity::Own => (own, echo),
-        Identity::Crossed => (own, before.unwrap_or(echo)),
-        Identity::WrongId => (web::other(&own), echo),
+        ResponseIdentity::Own => (own, echo),
+        ResponseIdentity::Crossed => (own, previous.unwrap_or(echo)),
+        ResponseIdentity::WrongId => (web::different_id(&own), echo),
     };
-    let mut reply = web::with_status(status, &echo);
+    let mut reply = web::json_reply_with_status(status, &echo);
     if let Ok(id) = HeaderValue::from_str(&id) {
         reply.headers_mut().insert("x-request-id", id);
     }
     reply
 }
 
-fn status(text: Option<String>) -> Result<StatusCode> {
+fn requested_status(text: Option<String>) -> Result<StatusCode> {
     let Some(text) = text else {
         return Ok(StatusCode::OK);
     };
     match StatusCode::from_bytes(text.as_bytes()) {
         // Those below 200 would not end the call.
         Ok(status) if status.as_u16() >= 200 => Ok(status),
-        _ => Err(Error::Parameter(STATUS_HEADER)),
+        _ => Err(Error::InvalidParameter(STATUS_HEADER)),
     }
 }
--- a/crates/peppercrank-standin/src/web.rs
+++ b/crates/peppercrank-standin/src/web.rs
@@ -38,27 +38,27 @@
 
 use crate::Error;
 use crate::Result;
-use crate::faults::Ending;
+use crate::faults::FaultPlan;
 use crate::faults::Faults;
-use crate::faults::Plan;
-use crate::faults::Role;
-use crate::faults::Start;
-use crate::runs::Runs;
-use crate::runs::Tags;
+use crate::faults::RequestAction;
+use crate::faults::ResponseEnd;
+use crate::faults::StandinKind;
+use crate::runs::RequestIds;
+use crate::runs::RunCounts;
 
 /// Time left to answers in progress when a stand-in is told to stop.
-const DRAIN: Duration = Duration::from_secs(2);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// `Running` is a stand-in that serves until it is stopped or dropped.
 #[derive(Debug)]
-pub struct Running {
+pub struct ServerHandle {
     /// Where it listens.
     pub addr: SocketAddr,
     stopper: Stopper,
     tasks: Vec<JoinHandle<()>>,
 }
 
-impl Running {
+impl ServerHandle {
     /// `stop` lets answers in progress end, for two seconds at most, and returns when all has.
     pub async fn stop(mut self) {
         self.stopper.stop();
@@ -78,7 +78,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for ServerHandle {
     fn drop(&mut self) {
         for task in &self.tasks {
             task.abort();
@@ -87,7 +87,11 @@
 }
 
 /// `serve` starts an edge on the caller's runtime, with `also` beside it.
-pub(crate) async fn serve<F, R, A>(listen: SocketAddr, answer: F, also: A) -> Result<Running>
+pub(crate) async fn serve<F, R, A>(
+    listen: SocketAddr,
+    handler: F,
+    background: A,
+) -> Result<ServerHandle>
 where
     F: Fn(Call) -> R + Send + Sync + 'static,
     R: Future<Output = Reply> + Send + 'static,
@@ -97,24 +101,24 @@
     let addr = edge.local_addr();
     let (stopper, mut signal) = stop();
     let limits = Limits {
-        drain: DRAIN,
+        drain: DRAIN_TIMEOUT,
         ..Limits::default()
     };
-    let served = signal.clone();
-    let edge = tokio::spawn(async move {
+    let edge_signal = signal.clone();
+    let edge_task = tokio::spawn(async move {
         // How many were cut is of no interest to a stand-in.
-        let _finished = edge.serve(limits, served, answer).await;
+        let _finished = edge.serve(limits, edge_signal, handler).await;
     });
-    let also = tokio::spawn(async move {
+    let background_task = tokio::spawn(async move {
         tokio::select! {
-            () = also => {}
+            () = background => {}
             () = signal.wait() => {}
         }
     });
-    Ok(Running {
+    Ok(ServerHandle {
         addr,
         stopper,
-        tasks: vec![edge, also],
+        tasks: vec![edge_task, background_task],
     })
 }
 
@@ -132,7 +136,7 @@
     }
 
     /// The clock's reading at a moment.
-    pub(crate) fn instant(self, at: Instant) -> tokio::time::Instant {
+    pub(crate) fn to_tokio_instant(self, at: Instant) -> tokio::time::Instant {
         tokio::time::Instant::from_std(self.0 + at.since_origin())
     }
 }
@@ -143,12 +147,12 @@
 }
 
 /// `reply` is a JSON answer.
-pub(crate) fn reply<T: Serialize>(value: &T) -> Reply {
-    with_status(StatusCode::OK, value)
+pub(crate) fn json_reply<T: Serialize>(value: &T) -> Reply {
+    json_reply_with_status(StatusCode::OK, value)
 }
 
 /// `with_status` is a JSON answer of another status.
-pub(crate) fn with_status<T: Serialize>(status: StatusCode, value: &T) -> Reply {
+pub(crate) fn json_reply_with_status<T: Serialize>(status: StatusCode, value: &T) -> Reply {
     // Only maps with keys that are no strings fail, and none is answered.
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     let mut reply = Reply::new(body::full(bytes));
@@ -159,9 +163,9 @@
 }
 
 /// `failed` is the answer that tells of an error.
-pub(crate) fn failed(error: &Error) -> Reply {
+pub(crate) fn error_reply(error: &Error) -> Reply {
     let status = StatusCode::from_u16(error.status());
-    let mut reply = with_status(
+    let mut reply = json_reply_with_status(
         status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR),
         &error.to_json(),
     );
@@ -175,36 +179,41 @@
 /// `dropped` closes the connection without an answer.
 ///
 /// A body that fails at once fails before its head is flushed.
-pub(crate) fn dropped() -> Reply {
-    Reply::new(cut(body::empty(), 0, Unit::Frames, false))
+pub(crate) fn closed_connection() -> Reply {
+    Reply::new(truncated_body(
+        body::empty(),
+        0,
+        TruncationUnit::Frames,
+        false,
+    ))
 }
 
 /// `play` does a call's work and answers it as the switches say.
-pub(crate) async fn play<W>(plan: Plan, unit: Unit, work: W) -> Reply
+pub(crate) async fn respond_with_faults<W>(plan: FaultPlan, unit: TruncationUnit, work: W) -> Reply
 where
     W: Future<Output = Result<Reply>>,
 {
-    let reply = match plan.start {
-        Start::Run => work.await,
-        Start::Drop => return dropped(),
-        Start::Outage => Err(Error::Outage),
-        Start::Throttle => Err(Error::Throttled),
+    let reply = match plan.action {
+        RequestAction::Run => work.await,
+        RequestAction::CloseConnection => return closed_connection(),
+        RequestAction::Outage => Err(Error::Outage),
+        RequestAction::Throttle => Err(Error::Throttled),
     };
     if !plan.delay.is_zero() {
         tokio::time::sleep(plan.delay).await;
     }
-    let reply = reply.unwrap_or_else(|e| failed(&e));
-    match plan.ending {
-        Ending::Whole => reply,
-        Ending::Dropped => dropped(),
-        Ending::Lost => std::future::pending().await,
-        Ending::Cut(after) => reply.map(|body| cut(body, after, unit, true)),
+    let reply = reply.unwrap_or_else(|e| error_reply(&e));
+    match plan.response_end {
+        ResponseEnd::Complete => reply,
+        ResponseEnd::ConnectionClosed => closed_connection(),
+        ResponseEnd::Withheld => std::future::pending().await,
+        ResponseEnd::Truncated(after) => reply.map(|body| truncated_body(body, after, unit, true)),
     }
 }
 
 /// `Unit` is what a cut counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Unit {
+pub(crate) enum TruncationUnit {
     /// Frames, each of which is an event.
     Frames,
     /// Bytes.
@@ -212,25 +221,25 @@
 }
 
 /// `cut` breaks a body off after so many frames or bytes.
-fn cut(inner: Body, left: u32, unit: Unit, flush: bool) -> Body {
-    Cut {
+fn truncated_body(inner: Body, remaining: u32, unit: TruncationUnit, flush_first: bool) -> Body {
+    TruncatedBody {
         inner,
-        left: left as usize,
+        remaining: remaining as usize,
         unit,
-        flush,
+        flush_first,
     }
     .boxed_unsync()
 }
 
 /// `Cut` is a body that breaks off.
-struct Cut {
+struct TruncatedBody {
     inner: Body,
-    left: usize,
-    unit: Unit,
-    flush: bool,
+    remaining: usize,
+    unit: TruncationUnit,
+    flush_first: bool,
 }
 
-impl HttpBody for Cut {
+impl HttpBody for TruncatedBody {
     type Data = Bytes;
     type Error = peppercrank_wire::Error;
 
@@ -238,12 +247,12 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<std::result::Result<Frame<Bytes>, Self::Error>>> {
-        if self.left == 0 {
-            if !self.flush {
+        if self.remaining == 0 {
+            if !self.flush_first {
                 return Poll::Ready(Some(Err(peppercrank_wire::Error::Aborted)));
             }
             // The server flushes what it has when a body has to wait.
-            self.flush = false;
+            self.flush_first = false;
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
@@ -255,17 +264,17 @@
             return Poll::Ready(None);
         };
         match self.unit {
-            Unit::Frames => self.left -= 1,
-            Unit::Bytes => {
-                bytes.truncate(self.left);
-                self.left -= bytes.len();
+            TruncationUnit::Frames => self.remaining -= 1,
+            TruncationUnit::Bytes => {
+                bytes.truncate(self.remaining);
+                self.remaining -= bytes.len();
             }
         }
         Poll::Ready(Some(Ok(Frame::data(bytes))))
     }
 
     fn size_hint(&self) -> SizeHint {
-        if self.left == 0 && !self.flush {
+        if self.remaining == 0 && !self.flush_first {
             // A body known to be empty would never be polled, and so never fail.
             return SizeHint::default();
         }
@@ -275,68 +284,68 @@
 }
 
 /// `read` reads a call's body.
-pub(crate) async fn read(call: Call) -> Result<Bytes> {
+pub(crate) async fn read_body(call: Call) -> Result<Bytes> {
     call.body
         .read()
         .await
-        .map_err(|e| Error::Body(e.to_string()))
+        .map_err(|e| Error::InvalidBody(e.to_string()))
 }
 
 /// `header` is a header's text, if it has one.
-pub(crate) fn header(headers: &HeaderMap, name: &str) -> Option<String> {
+pub(crate) fn header_text(headers: &HeaderMap, name: &str) -> Option<String> {
     let value = headers.get(name)?.to_str().ok()?;
     Some(value.to_owned())
 }
 
 /// `tags` are the ids that a call carries; one without an attempt's id gets `spare`.
-pub(crate) fn tags(headers: &HeaderMap, spare: u64) -> Tags {
-    let attempt = header(headers, "x-request-id");
-    Tags {
-        attempt: attempt.unwrap_or_else(|| format!("{spare:032x}")),
-        request: header(headers, "x-peppercrank-request"),
-        key: header(headers, "idempotency-key"),
+pub(crate) fn request_ids(headers: &HeaderMap, fallback: u64) -> RequestIds {
+    let attempt = header_text(headers, "x-request-id");
+    RequestIds {
+        attempt: attempt.unwrap_or_else(|| format!("{fallback:032x}")),
+        request: header_text(headers, "x-peppercrank-request"),
+        idempotency_key: header_text(headers, "idempotency-key"),
     }
 }
 
 /// `number` is a number of the query, or `None` when it is not there.
-pub(crate) fn number(uri: &Uri, name: &'static str) -> Result<Option<u64>> {
+pub(crate) fn query_number(uri: &Uri, name: &'static str) -> Result<Option<u64>> {
     let query = uri.query().unwrap_or_default();
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     match pairs.into_iter().find(|(key, _)| *key == name) {
         None => Ok(None),
         Some((_, text)) => match text.parse() {
             Ok(number) => Ok(Some(number)),
-            Err(_) => Err(Error::Parameter(name)),
+            Err(_) => Err(Error::InvalidParameter(name)),
         },
     }
 }
 
 /// `runs_of` answers `GET /runs` and `GET /runs/{id}`.
-pub(crate) fn runs_of(runs: &Runs, id: Option<&str>) -> Reply {
+pub(crate) fn run_counts_reply(runs: &RunCounts, id: Option<&str>) -> Reply {
     match id {
-        Some(id) => reply(&json!({"id": id, "runs": runs.count(id)})),
-        None => reply(runs),
+        Some(id) => json_reply(&json!({"id": id, "runs": runs.count(id)})),
+        None => json_reply(runs),
     }
 }
 
 /// `set_faults` answers `PUT /faults`.
-pub(crate) async fn set_faults(role: Role, call: Call) -> Result<Faults> {
-    let bytes = read(call).await?;
+pub(crate) async fn read_faults(role: StandinKind, call: Call) -> Result<Faults> {
+    let bytes = read_body(call).await?;
     Faults::parse(role, &bytes)
 }
 
 /// `parse` reads a JSON body.
-pub(crate) fn parse<T: serde::de::DeserializeOwned>(bytes: &Bytes) -> Result<T> {
-    serde_json::from_slice(bytes).map_err(|e| crate::errors::body(&e))
+pub(crate) fn parse_json<T: serde::de::DeserializeOwned>(bytes: &Bytes) -> Result<T> {
+    serde_json::from_slice(bytes).map_err(|e| crate::errors::body_error(&e))
 }
 
 /// `ok` is the answer to what has no other.
-pub(crate) fn ok() -> Reply {
-    reply(&json!({"ok": true}))
+pub(crate) fn ok_reply() -> Reply {
+    json_reply(&json!({"ok": true}))
 }
 
 /// `other` is another id than this one, as well formed.
-pub(crate) fn other(id: &str) -> String {
+pub(crate) fn different_id(id: &str) -> String {
     let first = if id.starts_with('0') { '1' } else { '0' };
     first.to_string() + id.get(1..).unwrap_or_default()
 }
--- a/crates/peppercrank-standin/tests/support/mod.rs
+++ b/crates/peppercrank-standin/tests/support/mod.rs
@@ -20,24 +20,24 @@
 use ureq::http::Response;
 
 /// Long enough for a busy machine; a test waits so long only when it fails.
-const PATIENCE: Duration = Duration::from_secs(60);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// How long a caller waits for an answer that is lost.
-const LOST: Duration = Duration::from_millis(300);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(300);
 
-pub type Sent = Result<Seen, ureq::Error>;
+pub type SendResult = Result<Received, ureq::Error>;
 
 /// An answer, read to its end.
 #[derive(Debug)]
-pub struct Seen {
+pub struct Received {
     pub status: u16,
     pub id: String,
-    pub retry: Option<String>,
+    pub retry_after: Option<String>,
     pub text: String,
     pub headers: HeaderMap,
 }
 
-impl Seen {
+impl Received {
     /// A header's text, empty without it.
     pub fn header(&self, name: &str) -> &str {
         let value = self.headers.get(name);
@@ -53,12 +53,12 @@
     Runtime::new().expect("a runtime")
 }
 
-fn agent(patience: Duration) -> Agent {
+fn agent(timeout: Duration) -> Agent {
     let config = Agent::config_builder()
         .http_status_as_error(false)
         // A kept connection that was closed would be tried again unseen.
         .max_idle_connections(0)
-        .timeout_global(Some(patience));
+        .timeout_global(Some(timeout));
     Agent::new_with_config(config.build())
 }
 
@@ -74,24 +74,29 @@
 }
 
 /// Sends `METHOD /path` and reads the answer whole.
-pub fn send(at: SocketAddr, call: &str, headers: &[(&str, &str)], body: &str) -> Sent {
-    seen(agent(PATIENCE).run(request(at, call, headers, body))?)
+pub fn send(at: SocketAddr, call: &str, headers: &[(&str, &str)], body: &str) -> SendResult {
+    read_response(agent(RESPONSE_TIMEOUT).run(request(at, call, headers, body))?)
 }
 
 /// Sends what gets no answer, and gives up soon.
-pub fn send_briefly(at: SocketAddr, call: &str, headers: &[(&str, &str)], body: &str) -> Sent {
-    seen(agent(LOST).run(request(at, call, headers, body))?)
+pub fn send_with_short_timeout(
+    at: SocketAddr,
+    call: &str,
+    headers: &[(&str, &str)],
+    body: &str,
+) -> SendResult {
+    read_response(agent(SHORT_TIMEOUT).run(request(at, call, headers, body))?)
 }
 
-fn seen(mut answer: Response<ureq::Body>) -> Sent {
+fn read_response(mut answer: Response<ureq::Body>) -> SendResult {
     let text_of = |answer: &Response<ureq::Body>, name: &str| {
         let value = answer.headers().get(name)?;
         Some(value.to_str().expect("a text").to_owned())
     };
-    Ok(Seen {
+    Ok(Received {
         status: answer.status().as_u16(),
         id: text_of(&answer, "x-request-id").unwrap_or_default(),
-        retry: text_of(&answer, "retry-after"),
+        retry_after: text_of(&answer, "retry-after"),
         headers: answer.headers().clone(),
         text: answer.body_mut().read_to_string()?,
     })
@@ -99,13 +104,13 @@
 
 /// What came of a streamed answer.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Events {
+pub struct StreamedAnswer {
     pub events: Vec<Value>,
     /// Whether it ended as it should.
-    pub whole: bool,
+    pub complete: bool,
 }
 
-impl Events {
+impl StreamedAnswer {
     pub fn text(&self) -> String {
         let pieces = self.events.iter();
         pieces
@@ -115,7 +120,7 @@
 }
 
 /// Sends and reads the events until the answer ends or breaks.
-pub fn stream(at: SocketAddr, call: &str, headers: &[(&str, &str)], body: &str) -> Events {
+pub fn stream(at: SocketAddr, call: &str, headers: &[(&str, &str)], body: &str) -> StreamedAnswer {
     stream_with(at, call, headers, body, |_| {})
 }
 
@@ -126,8 +131,8 @@
     headers: &[(&str, &str)],
     body: &str,
     mut on_event: impl FnMut(usize),
-) -> Events {
-    let answer = agent(PATIENCE).run(request(at, call, headers, body));
+) -> StreamedAnswer {
+    let answer = agent(RESPONSE_TIMEOUT).run(request(at, call, headers, body));
     let answer = answer.expect("a head");
     assert_eq!(answer.status(), 200, "a stream");
     let mut events = Vec::new();
@@ -135,9 +140,9 @@
         let Ok(line) = line else { break };
         match line.strip_prefix("data: ") {
             Some("[DONE]") => {
-                return Events {
+                return StreamedAnswer {
                     events,
-                    whole: true,
+                    complete: true,
                 };
             }
             Some(event) => {
@@ -147,18 +152,18 @@
             None => {}
         }
     }
-    Events {
+    StreamedAnswer {
         events,
-        whole: false,
+        complete: false,
     }
 }
 
-pub fn faults(at: SocketAddr, faults: &Value) {
+pub fn set_faults(at: SocketAddr, faults: &Value) {
     let set = send(at, "PUT /faults", &[], &faults.to_string()).expect("an answer");
     assert_eq!(set.status, 200, "{}", set.text);
 }
 
-pub fn runs(at: SocketAddr, id: &str) -> Value {
+pub fn run_counts(at: SocketAddr, id: &str) -> Value {
     let seen = send(at, &format!("GET /runs/{id}"), &[], "").expect("an answer");
     seen.json()["runs"].clone()
 }
@@ -170,11 +175,11 @@
 }
 
 /// Asks again until the answer is as awaited, and gives the last one.
-pub fn settled<T: PartialEq>(awaited: &T, ask: impl Fn() -> T) -> T {
-    let begun = Instant::now();
+pub fn poll_until<T: PartialEq>(expected: &T, ask: impl Fn() -> T) -> T {
+    let started = Instant::now();
     loop {
         let seen = ask();
-        if seen == *awaited || begun.elapsed() > PATIENCE {
+        if seen == *expected || started.elapsed() > RESPONSE_TIMEOUT {
             return seen;
         }
     }
--- a/crates/peppercrank-standin/tests/verify_client.rs
+++ b/crates/peppercrank-standin/tests/verify_client.rs
@@ -19,7 +19,7 @@
 use peppercrank_wire::platform::Watched;
 use peppercrank_wire::platform::Written;
 use serde_json::json;
-use support::faults;
+use support::set_faults;
 
 fn vm() -> Vm {
     Vm {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn verify_client_types_every_failure() {
+fn verify_client_classifies_every_failure() {
     let runtime = support::runtime();
     let start = platform::start(PlatformSettings::default());
     let running = runtime.block_on(start).expect("a start");
@@ -85,7 +85,7 @@
         (json!({"cut_after": 3}), Failure::Unknown),
     ];
     for (n, (switches, failure)) in cases.into_iter().enumerate() {
-        faults(running.addr, &switches);
+        set_faults(running.addr, &switches);
         let client = Platform::new(&access);
         let written = client.put("pool", &n.to_string(), Condition::New, &json!(1));
         assert_eq!(written, Err(failure), "{switches}");
--- a/crates/peppercrank-standin/tests/verify_engine.rs
+++ b/crates/peppercrank-standin/tests/verify_engine.rs
@@ -7,27 +7,27 @@
 
 use std::net::SocketAddr;
 
-use peppercrank_standin::Running;
+use peppercrank_standin::ServerHandle;
 use peppercrank_standin::engine;
 use peppercrank_standin::engine::EngineSettings;
 use serde_json::Value;
 use serde_json::json;
 use support::chat;
-use support::faults;
-use support::runs;
+use support::poll_until;
+use support::run_counts;
 use support::send;
-use support::send_briefly;
-use support::settled;
+use support::send_with_short_timeout;
+use support::set_faults;
 use support::stream;
 use tokio::runtime::Runtime;
 
 const CHAT: &str = "POST /v1/chat/completions";
 
 /// The first 16 digits of the SHA-256 of `abc`, as FIPS 180 gives it.
-const ABC: &str = "ba7816bf8f01cfea";
+const ABC_DIGEST: &str = "ba7816bf8f01cfea";
 
 /// An engine that takes no time.
-fn quick() -> EngineSettings {
+fn instant_engine() -> EngineSettings {
     EngineSettings {
         incarnation: 7,
         prefill_us: 0,
@@ -39,17 +39,17 @@
 }
 
 /// An engine whose answers do not end by themselves while a test runs.
-fn stuck() -> EngineSettings {
+fn stalled_engine() -> EngineSettings {
     EngineSettings {
         slots: 1,
         step_us: 3_600_000_000,
-        ..quick()
+        ..instant_engine()
     }
 }
 
-fn started(set: EngineSettings) -> (Runtime, Running, SocketAddr) {
+fn start_engine(settings: EngineSettings) -> (Runtime, ServerHandle, SocketAddr) {
     let runtime = support::runtime();
-    let running = runtime.block_on(engine::start(set)).expect("a start");
+    let running = runtime.block_on(engine::start(settings)).expect("a start");
     let at = running.addr;
     (runtime, running, at)
 }
@@ -61,8 +61,8 @@
 }
 
 #[test]
-fn verify_answer_tells_digest_and_ids() {
-    let (_runtime, _running, at) = started(quick());
+fn verify_answer_contains_digest_and_ids() {
+    let (_runtime, _running, at) = start_engine(instant_engine());
     let ids = [
         ("x-request-id", "a1"),
         ("x-peppercrank-request", "r1"),
@@ -75,7 +75,7 @@
         .expect("a text");
     assert_eq!(
         text,
-        format!("digest:{ABC} request:r1 attempt:a1 t03 t04 t05")
+        format!("digest:{ABC_DIGEST} request:r1 attempt:a1 t03 t04 t05")
     );
     assert_eq!((whole.id.as_str(), &body["id"]), ("a1", &json!("a1")));
     assert_eq!(body["usage"]["completion_tokens"], 6);
@@ -85,26 +85,26 @@
         ("idempotency-key", "k1"),
     ];
     let told = stream(at, CHAT, &ids, &chat(true, &["abc"]));
-    assert!(told.whole);
+    assert!(told.complete);
     assert_eq!(told.text(), text.replace("a1", "a2"));
     assert_eq!(told.events.len(), 7, "six tokens and the usage");
     assert_eq!(
-        runs(at, "a1"),
+        run_counts(at, "a1"),
         json!({"attempts": 1, "requests": 0, "keys": 0})
     );
     assert_eq!(
-        runs(at, "r1"),
+        run_counts(at, "r1"),
         json!({"attempts": 0, "requests": 2, "keys": 0})
     );
     assert_eq!(
-        runs(at, "k1"),
+        run_counts(at, "k1"),
         json!({"attempts": 0, "requests": 0, "keys": 2})
     );
 }
 
 #[test]
-fn verify_returning_chat_reuses_its_context() {
-    let (_runtime, _running, at) = started(quick());
+fn verify_next_turn_of_chat_hits_prefix_cache() {
+    let (_runtime, _running, at) = start_engine(instant_engine());
     let question = "q".repeat(1_000);
     let keys = [
         ("x-chat-key", "00000000000000aa"),
@@ -138,13 +138,13 @@
 }
 
 #[test]
-fn verify_limited_memory_evicts_the_oldest() {
+fn verify_full_cache_evicts_least_recently_used() {
     let set = EngineSettings {
         cache_tokens: 320,
         events_gap: 2,
-        ..quick()
+        ..instant_engine()
     };
-    let (_runtime, _running, at) = started(set);
+    let (_runtime, _running, at) = start_engine(set);
     for (key, letter) in [("0a", "a"), ("0b", "b")] {
         let body = chat(false, &[&letter.repeat(1_000)]);
         let keys = [("x-chat-key", key)];
@@ -161,19 +161,23 @@
 
 #[test]
 fn verify_streams_resume_and_cancel() {
-    let (_runtime, _running, at) = started(quick());
+    let (_runtime, _running, at) = start_engine(instant_engine());
     let ids = [("x-request-id", "a1")];
-    faults(at, &json!({"only": "chat", "times": 1, "cut_after": 2}));
+    set_faults(at, &json!({"only": "chat", "times": 1, "cut_after": 2}));
     let cut = stream(at, CHAT, &ids, &chat(true, &["abc"]));
-    assert_eq!((cut.whole, cut.events.len()), (false, 2));
+    assert_eq!((cut.complete, cut.events.len()), (false, 2));
     let rest = stream(at, "GET /v1/streams/a1?from=2", &[], "");
-    assert_eq!((rest.whole, rest.events.len()), (true, 5));
+    assert_eq!((rest.complete, rest.events.len()), (true, 5));
     let text = cut.text() + &rest.text();
     assert_eq!(
         text,
-        format!("digest:{ABC} request:a1 attempt:a1 t03 t04 t05")
+        format!("digest:{ABC_DIGEST} request:a1 attempt:a1 t03 t04 t05")
+    );
+    assert_eq!(
+        run_counts(at, "a1")["attempts"],
+        1,
+        "a resumed stream runs once"
     );
-    assert_eq!(runs(at, "a1")["attempts"], 1, "a resumed stream runs once");
     let cases = [
         ("GET /v1/streams/a1?from=7", 200),
         ("GET /v1/streams/a1?from=x", 400),
@@ -192,39 +196,44 @@
 
 #[test]
 fn verify_waiting_chat_cancelled_never_runs() {
-    let (_runtime, _running, at) = started(stuck());
+    let (_runtime, _running, at) = start_engine(stalled_engine());
     // Callers give up at once; what they asked for goes on, as with an engine.
     for (waiting, id) in ["a1", "a2", "a3"].into_iter().enumerate() {
-        let sent = send_briefly(at, CHAT, &[("x-request-id", id)], &chat(false, &["abc"]));
+        let sent =
+            send_with_short_timeout(at, CHAT, &[("x-request-id", id)], &chat(false, &["abc"]));
         assert!(sent.is_err(), "{id} does not end");
-        let awaited = (json!(1), json!(waiting));
-        let seen = settled(&awaited, || {
+        let expected = (json!(1), json!(waiting));
+        let seen = poll_until(&expected, || {
             let load = get(at, "/load");
             (load["running"].clone(), load["waiting"].clone())
         });
-        assert_eq!(seen, awaited, "after {id}");
+        assert_eq!(seen, expected, "after {id}");
     }
     let again = send(at, CHAT, &[("x-request-id", "a2")], &chat(false, &["abc"]));
     assert_eq!(again.expect("an answer").status, 409);
     for (id, ran) in [("a2", 0), ("a1", 1)] {
         let cancelled = send(at, &format!("DELETE /v1/streams/{id}"), &[], "");
         assert_eq!(cancelled.expect("an answer").status, 200);
-        assert_eq!(runs(at, id)["attempts"], ran, "{id}");
+        assert_eq!(run_counts(at, id)["attempts"], ran, "{id}");
     }
-    assert_eq!(runs(at, "a3")["attempts"], 1, "the free slot is taken");
+    assert_eq!(
+        run_counts(at, "a3")["attempts"],
+        1,
+        "the free slot is taken"
+    );
     let gone = send(at, "GET /v1/streams/a1?from=0", &[], "").expect("an answer");
     assert_eq!(gone.status, 404);
 }
 
 #[test]
-fn verify_orders_with_and_without_a_check() {
+fn verify_orders_with_and_without_fence_check() {
     for (check_fence, old) in [(true, 409), (false, 200)] {
         let set = EngineSettings {
             check_fence,
             models: vec!["m".to_owned()],
-            ..quick()
+            ..instant_engine()
         };
-        let (_runtime, _running, at) = started(set);
+        let (_runtime, _running, at) = start_engine(set);
         let cases = [
             (json!({"fence": 5, "order": {"load_model": "n"}}), 200),
             (json!({"fence": 4, "order": {"set_role": "prefill"}}), old),
@@ -247,7 +256,7 @@
 
 #[test]
 fn verify_malformed_calls_are_refused() {
-    let (_runtime, _running, at) = started(quick());
+    let (_runtime, _running, at) = start_engine(instant_engine());
     let cases = [
         ("POST /v1/chat/completions", "{", 400, "bad_body"),
         (
--- a/crates/peppercrank-standin/tests/verify_faults.rs
+++ b/crates/peppercrank-standin/tests/verify_faults.rs
@@ -15,11 +15,11 @@
 use serde_json::Value;
 use serde_json::json;
 use support::chat;
-use support::faults;
-use support::runs;
+use support::poll_until;
+use support::run_counts;
 use support::send;
-use support::send_briefly;
-use support::settled;
+use support::send_with_short_timeout;
+use support::set_faults;
 use support::stream;
 
 /// What a caller sees.
@@ -41,7 +41,7 @@
     let headers = [("x-request-id", OWN)];
     // Only where nothing is expected does the caller give up soon.
     let sent = match expected {
-        Outcome::Nothing => send_briefly(at, call, &headers, body),
+        Outcome::Nothing => send_with_short_timeout(at, call, &headers, body),
         Outcome::Answer(..) | Outcome::Broken => send(at, call, &headers, body),
     };
     match sent {
@@ -93,7 +93,7 @@
         };
         let running = runtime.block_on(engine::start(set)).expect("a start");
         let at = running.addr;
-        faults(at, &switches);
+        set_faults(at, &switches);
         let seen = outcome(
             at,
             "POST /v1/chat/completions",
@@ -102,7 +102,7 @@
         );
         assert_eq!(seen, expected, "{switches}");
         let ran = json!(ran);
-        let counted = settled(&ran, || runs(at, OWN)["attempts"].clone());
+        let counted = poll_until(&ran, || run_counts(at, OWN)["attempts"].clone());
         assert_eq!(counted, ran, "{switches}");
     }
 }
@@ -114,11 +114,11 @@
         let start = service::start(ServiceSettings::default());
         let running = runtime.block_on(start).expect("a start");
         let at = running.addr;
-        faults(at, &switches);
+        set_faults(at, &switches);
         let seen = outcome(at, "PATCH /any/path?x=1", "abc", &expected);
         assert_eq!(seen, expected, "{switches}");
         let ran = json!(ran);
-        let counted = settled(&ran, || runs(at, OWN)["attempts"].clone());
+        let counted = poll_until(&ran, || run_counts(at, OWN)["attempts"].clone());
         assert_eq!(counted, ran, "{switches}");
     }
 }
@@ -146,12 +146,12 @@
         );
     }
     for (id, column) in [("a1", "attempts"), ("r1", "requests"), ("k1", "keys")] {
-        assert_eq!(runs(running.addr, id)[column], 2, "{id}");
+        assert_eq!(run_counts(running.addr, id)[column], 2, "{id}");
     }
 }
 
 #[test]
-fn verify_answers_cross() {
+fn verify_crossed_answers() {
     let runtime = support::runtime();
     let set = EngineSettings {
         prefill_us: 0,
@@ -160,7 +160,7 @@
     };
     let running = runtime.block_on(engine::start(set)).expect("a start");
     let at = running.addr;
-    faults(at, &json!({"only": "chat", "skip": 1, "crossed": true}));
+    set_faults(at, &json!({"only": "chat", "skip": 1, "crossed": true}));
     let call = "POST /v1/chat/completions";
     let first = stream(at, call, &[("x-request-id", "a1")], &chat(true, &["abc"]));
     let second = stream(at, call, &[("x-request-id", "a2")], &chat(true, &["xyz"]));
@@ -170,14 +170,14 @@
     );
     assert_eq!(second.events[0]["id"], "a1");
     assert_eq!(
-        runs(at, "a2")["attempts"],
+        run_counts(at, "a2")["attempts"],
         1,
         "its own work ran all the same"
     );
 }
 
 #[test]
-fn verify_streams_are_cut_after_the_event_told() {
+fn verify_streams_are_cut_after_the_given_event() {
     let runtime = support::runtime();
     let set = EngineSettings {
         prefill_us: 0,
@@ -186,7 +186,7 @@
     };
     let running = runtime.block_on(engine::start(set)).expect("a start");
     for events in 1..=8 {
-        faults(running.addr, &json!({"cut_after": events}));
+        set_faults(running.addr, &json!({"cut_after": events}));
         let cut = stream(
             running.addr,
             "POST /v1/chat/completions",
@@ -195,7 +195,7 @@
         );
         // The seventh is the last before the end's mark, which makes an eighth frame.
         assert_eq!(
-            (cut.events.len(), cut.whole),
+            (cut.events.len(), cut.complete),
             (events.min(7), events == 8),
             "{events}"
         );
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn verify_stop_finishes_and_kill_cuts() {
+fn verify_stop_drains_and_kill_aborts() {
     // A call that would never end by itself can only be cut.
     for (kill, work_ms) in [(false, 100), (true, 3_600_000)] {
         let runtime = support::runtime();
@@ -215,7 +215,7 @@
         let at = running.addr;
         let waiting = thread::spawn(move || send(at, "GET /any", &[("x-request-id", OWN)], ""));
         let one = json!(1);
-        let ran = settled(&one, || runs(at, OWN)["attempts"].clone());
+        let ran = poll_until(&one, || run_counts(at, OWN)["attempts"].clone());
         assert_eq!(ran, one);
         if kill {
             runtime.block_on(running.kill());
--- a/crates/peppercrank-standin/tests/verify_parts.rs
+++ b/crates/peppercrank-standin/tests/verify_parts.rs
@@ -10,30 +10,30 @@
 use peppercrank_standin::engine::EngineSettings;
 use peppercrank_standin::engine::batch::Engine;
 use peppercrank_standin::engine::prompt::ChatBody;
-use peppercrank_standin::engine::stream::Chat;
+use peppercrank_standin::engine::stream::ChatRequest;
 use peppercrank_standin::engine::stream::Phase;
 use peppercrank_standin::lag::Lagged;
-use peppercrank_standin::platform::limits::Bucket;
-use peppercrank_standin::runs::MAX_IDS;
-use peppercrank_standin::runs::Runs;
-use peppercrank_standin::runs::Tags;
+use peppercrank_standin::platform::limits::TokenBucket;
+use peppercrank_standin::runs::MAX_TRACKED_IDS;
+use peppercrank_standin::runs::RequestIds;
+use peppercrank_standin::runs::RunCounts;
 
 fn at(millis: u64) -> Instant {
     Instant::from_millis(millis)
 }
 
-fn chat(id: &str, priority: u8, content: &str) -> Chat {
+fn chat(id: &str, priority: u8, content: &str) -> ChatRequest {
     let body =
         serde_json::json!({"max_tokens": 4, "messages": [{"role": "u", "content": content}]});
-    Chat {
-        tags: Tags {
+    ChatRequest {
+        ids: RequestIds {
             attempt: id.to_owned(),
-            ..Tags::default()
+            ..RequestIds::default()
         },
         priority,
-        chat: Some(id.to_owned()),
+        chat_key: Some(id.to_owned()),
         body: ChatBody::parse(body.to_string().as_bytes()).expect("a chat"),
-        ..Chat::default()
+        ..ChatRequest::default()
     }
 }
 
@@ -50,8 +50,8 @@
     })
 }
 
-fn made(engine: &Engine, id: &str) -> Option<(Phase, u32)> {
-    let stream = engine.stream_of(engine.find(id)?)?;
+fn progress(engine: &Engine, id: &str) -> Option<(Phase, u32)> {
+    let stream = engine.get(engine.find(id)?)?;
     Some((stream.phase, stream.usage.made))
 }
 
@@ -62,7 +62,7 @@
     let key = engine
         .submit(at(0), chat("a", 0, &"x".repeat(112)))
         .expect("a stream");
-    assert_eq!(engine.stream_of(key).map(|s| s.usage.prompt), Some(32));
+    assert_eq!(engine.get(key).map(|s| s.usage.prompt), Some(32));
     let cases = [
         (41, 0),
         (42, 1),
@@ -79,18 +79,22 @@
         } else {
             Phase::Done
         };
-        assert_eq!(made(&engine, "a"), Some((phase, pieces)), "at {millis} ms");
+        assert_eq!(
+            progress(&engine, "a"),
+            Some((phase, pieces)),
+            "at {millis} ms"
+        );
     }
     // The first 16 tokens are one block, which the second chat finds; the rest is 16 tokens.
     engine
         .submit(at(1_000), chat("b", 0, &"x".repeat(112)))
         .expect("a stream");
     assert_eq!(engine.next_due(), Some(at(1_026)));
-    assert_eq!(made(&engine, "a"), None, "kept for 500 ms");
+    assert_eq!(progress(&engine, "a"), None, "kept for 500 ms");
 }
 
 #[test]
-fn verify_priority_goes_first_and_equals_in_turn() {
+fn verify_slots_are_filled_by_priority_then_arrival() {
     let mut engine = engine();
     for (id, priority) in [("a", 0), ("b", 3), ("c", 9), ("d", 3)] {
         engine
@@ -101,7 +105,7 @@
     while let Some(due) = engine.next_due() {
         engine.advance(due);
         for id in ["a", "b", "c", "d"] {
-            if made(&engine, id).is_some_and(|m| m.0 == Phase::Done) && !order.contains(&id) {
+            if progress(&engine, id).is_some_and(|m| m.0 == Phase::Done) && !order.contains(&id) {
                 order.push(id);
             }
         }
@@ -114,7 +118,7 @@
 }
 
 #[test]
-fn verify_load_and_events_lag() {
+fn verify_load_report_and_cache_events_lag() {
     let mut engine = engine();
     engine
         .submit(at(0), chat("a", 0, &"x".repeat(112)))
@@ -131,26 +135,26 @@
 }
 
 #[test]
-fn verify_lag_bucket_and_runs() {
+fn verify_lagged_value_token_bucket_and_run_counts() {
     let mut lagged = Lagged::new(0);
     for n in 1..=3_u64 {
         lagged.set(at(n * 10), n);
     }
     let lag = Duration::from_millis(10);
-    let seen = [15, 20, 39, 40].map(|millis| *lagged.seen(at(millis), lag));
+    let seen = [15, 20, 39, 40].map(|millis| *lagged.visible_at(at(millis), lag));
     assert_eq!(seen, [0, 1, 2, 3]);
 
-    let mut bucket = Bucket::new(2);
-    let passed = [0, 0, 0, 400, 500, 501].map(|millis| bucket.take(at(millis)));
+    let mut bucket = TokenBucket::new(2);
+    let passed = [0, 0, 0, 400, 500, 501].map(|millis| bucket.try_take(at(millis)));
     assert_eq!(passed, [true, true, false, false, true, false]);
 
-    let mut runs = Runs::default();
-    for n in 0..=MAX_IDS {
+    let mut runs = RunCounts::default();
+    for n in 0..=MAX_TRACKED_IDS {
         let attempt = n.to_string();
         assert_eq!(
-            runs.add(&Tags {
+            runs.record_run(&RequestIds {
                 attempt,
-                ..Tags::default()
+                ..RequestIds::default()
             }),
             1
         );
--- a/crates/peppercrank-standin/tests/verify_platform.rs
+++ b/crates/peppercrank-standin/tests/verify_platform.rs
@@ -8,22 +8,24 @@
 use std::net::SocketAddr;
 use std::thread;
 
-use peppercrank_standin::Running;
+use peppercrank_standin::ServerHandle;
 use peppercrank_standin::platform;
 use peppercrank_standin::platform::PlatformSettings;
 use serde_json::Value;
 use serde_json::json;
-use support::faults;
+use support::poll_until;
 use support::send;
-use support::send_briefly;
-use support::settled;
+use support::send_with_short_timeout;
+use support::set_faults;
 use tokio::runtime::Runtime;
 
 const NEW: [(&str, &str); 1] = [("if-none-match", "*")];
 
-fn started(set: PlatformSettings) -> (Runtime, Running, SocketAddr) {
+fn start_platform(settings: PlatformSettings) -> (Runtime, ServerHandle, SocketAddr) {
     let runtime = support::runtime();
-    let running = runtime.block_on(platform::start(set)).expect("a start");
+    let running = runtime
+        .block_on(platform::start(settings))
+        .expect("a start");
     let at = running.addr;
     (runtime, running, at)
 }
@@ -37,13 +39,13 @@
 /// Returns once a watch has come in.
 fn await_watch(at: SocketAddr) {
     let one = json!(1);
-    let seen = settled(&one, || get(at, "/calls")["calls"]["watch"].clone());
+    let seen = poll_until(&one, || get(at, "/calls")["calls"]["watch"].clone());
     assert_eq!(seen, one);
 }
 
 #[test]
-fn verify_versions_are_of_the_whole_store() {
-    let (_runtime, _running, at) = started(PlatformSettings::default());
+fn verify_versions_are_store_wide() {
+    let (_runtime, _running, at) = start_platform(PlatformSettings::default());
     let on = |version| [("if-match", version)];
     let cases = [
         ("PUT /objects/pool/a", NEW, "1", 200, json!({"version": 1})),
@@ -142,7 +144,7 @@
 
 #[test]
 fn verify_malformed_calls_are_refused() {
-    let (_runtime, _running, at) = started(PlatformSettings::default());
+    let (_runtime, _running, at) = start_platform(PlatformSettings::default());
     let long = format!("\"{}\"", "x".repeat(1_000_000));
     let cases = [
         ("PUT /objects/pool/a", vec![], "1", 400),
@@ -169,8 +171,8 @@
 }
 
 #[test]
-fn verify_watch_tells_of_a_later_write() {
-    let (_runtime, _running, at) = started(PlatformSettings::default());
+fn verify_watch_returns_later_write() {
+    let (_runtime, _running, at) = start_platform(PlatformSettings::default());
     let waiting = thread::spawn(move || get(at, "/watch/pool?since=0&wait_ms=60000"));
     await_watch(at);
     send(at, "PUT /objects/pool/a", &NEW, "1").expect("an answer");
@@ -180,22 +182,22 @@
 
 #[test]
 fn verify_outage_ends_a_waiting_watch() {
-    let (_runtime, _running, at) = started(PlatformSettings::default());
+    let (_runtime, _running, at) = start_platform(PlatformSettings::default());
     let waiting = thread::spawn(move || {
         send(at, "GET /watch/pool?since=0&wait_ms=60000", &[], "").expect("an answer")
     });
     await_watch(at);
-    faults(at, &json!({"outage": true}));
+    set_faults(at, &json!({"outage": true}));
     assert_eq!(waiting.join().expect("an answer").status, 503);
 }
 
 #[test]
-fn verify_old_tombstones_are_forgotten() {
+fn verify_old_tombstones_are_pruned() {
     let set = PlatformSettings {
         tombstones: 1,
         ..PlatformSettings::default()
     };
-    let (_runtime, _running, at) = started(set);
+    let (_runtime, _running, at) = start_platform(set);
     for (name, version) in [("a", "1"), ("b", "3")] {
         let path = format!("/objects/pool/{name}");
         send(at, &format!("PUT {path}"), &NEW, "1").expect("an answer");
@@ -217,7 +219,7 @@
             vms_lag_ms,
             ..PlatformSettings::default()
         };
-        let (_runtime, _running, at) = started(set);
+        let (_runtime, _running, at) = start_platform(set);
         let set = send(at, "PUT /vms", &[], &json!({"vms": [vm]}).to_string());
         assert_eq!(set.expect("an answer").json()["revision"], 2);
         let seen = get(at, "/vms");
@@ -240,16 +242,16 @@
         (json!({"outage": true, "only": "get"}), Some(200), true),
     ];
     for (switches, status, effect) in cases {
-        let (_runtime, _running, at) = started(PlatformSettings::default());
-        faults(at, &switches);
+        let (_runtime, _running, at) = start_platform(PlatformSettings::default());
+        set_faults(at, &switches);
         let hangs = switches["lose_answer"] == true || switches["delay_ms"] == 60_000;
-        let put = if hangs { send_briefly } else { send };
+        let put = if hangs { send_with_short_timeout } else { send };
         let seen = put(at, "PUT /objects/pool/a", &NEW, "1").ok();
         assert_eq!(seen.as_ref().map(|s| s.status), status, "{switches}");
-        let retry = seen.and_then(|s| s.retry);
+        let retry = seen.and_then(|s| s.retry_after);
         assert_eq!(retry.is_some(), status == Some(429), "{switches}");
-        faults(at, &json!({}));
-        let found = settled(&effect, || {
+        set_faults(at, &json!({}));
+        let found = poll_until(&effect, || {
             let found = send(at, "GET /objects/pool/a", &[], "").expect("an answer");
             found.status == 200
         });
@@ -264,10 +266,10 @@
         reads: 0,
         ..PlatformSettings::default()
     };
-    let (_runtime, _running, at) = started(set);
-    faults(at, &json!({"throttle": true, "times": 1}));
+    let (_runtime, _running, at) = start_platform(set);
+    set_faults(at, &json!({"throttle": true, "times": 1}));
     let seen = send(at, "PUT /objects/pool/a", &NEW, "1").expect("an answer");
-    assert_eq!((seen.status, seen.retry.as_deref()), (429, Some("1")));
+    assert_eq!((seen.status, seen.retry_after.as_deref()), (429, Some("1")));
     assert_eq!(get(at, "/calls")["throttled"], 1);
     let seen = send(at, "GET /objects/pool", &[], "").expect("an answer");
     assert_eq!(
