--- a/crates/peppercrank-standin/src/engine.rs
+++ b/crates/peppercrank-standin/src/engine.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The model engine's stand-in.
+//! Stand-in for a model engine.
 
 pub mod answer;
 pub mod batch;
--- a/crates/peppercrank-standin/src/engine/answer.rs
+++ b/crates/peppercrank-standin/src/engine/answer.rs
@@ -1,28 +1,28 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The answer that the stand-in generates, event by event.
+//! Generated answers and their encoding as completions and events.
 
 use serde::Serialize;
 use serde_json::Value;
 use serde_json::json;
 
-/// The fewest tokens of an answer: the digest, the request's id and the attempt's id.
+/// Minimum number of tokens of an answer: the digest, the request id and the attempt id.
 pub const MIN_ANSWER_TOKENS: u32 = 3;
 
-/// `Usage` is what the engine tells of its work on a chat.
+/// Token usage of a chat, as the engine reports it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Usage {
     /// Tokens of the prompt.
     pub prompt: u64,
-    /// Tokens of the prompt that were cached.
+    /// Tokens of the prompt that were in the prefix cache.
     pub cached: u64,
-    /// Tokens generated.
+    /// Tokens generated so far.
     pub made: u32,
 }
 
 impl Usage {
-    /// `to_json` is the usage as chat APIs write it.
+    /// Returns the usage in the format of chat completion APIs.
     #[must_use]
     pub fn to_json(self) -> Value {
         json!({
@@ -34,14 +34,14 @@
     }
 }
 
-/// `Answer` is the text of one answer, made piece by piece: one piece is one token, one event.
+/// Text of one answer, generated token by token; each token is sent as one event.
 #[derive(Debug, Clone)]
 pub struct Answer {
     leading: [String; 3],
 }
 
 impl Answer {
-    /// `new` makes the answer to a message with this digest and a request with these ids.
+    /// Creates the answer to a message with this digest and a request with these ids.
     #[must_use]
     pub fn new(digest: &str, request: &str, attempt: &str) -> Self {
         Self {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// `piece` is the text of the token numbered `at`, from 0.
+    /// Returns the text of the token at `index`, counted from 0.
     #[must_use]
     pub fn token(&self, index: u32) -> String {
         match self.leading.get(index as usize) {
@@ -62,14 +62,14 @@
         }
     }
 
-    /// `text` is the first `made` tokens.
+    /// Returns the text of the first `count` tokens.
     #[must_use]
     pub fn text(&self, count: u32) -> String {
         (0..count).map(|at| self.token(at)).collect()
     }
 }
 
-/// `event` is the streamed event of one piece.
+/// Returns the streamed event of one token.
 #[must_use]
 pub fn token_event(id: &str, token: &str) -> String {
     let delta = json!({"content": token});
@@ -77,7 +77,7 @@
     sse_event(&json!({"id": id, "object": "chat.completion.chunk", "choices": [choice]}))
 }
 
-/// `last_event` is the streamed event after the last piece.
+/// Returns the streamed event after the last token, with the finish reason and the usage.
 #[must_use]
 pub fn final_event(id: &str, usage: Usage) -> String {
     let choice = json!({"index": 0, "delta": {}, "finish_reason": "stop"});
@@ -89,10 +89,10 @@
     }))
 }
 
-/// The line that ends a streamed answer.
+/// The event that terminates a streamed answer.
 pub const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-/// `whole` is the answer in one body.
+/// Returns the answer as the body of a non-streamed completion.
 #[must_use]
 pub fn completion(id: &str, model: &str, text: &str, usage: Usage) -> Value {
     let message = json!({"role": "assistant", "content": text});
--- a/crates/peppercrank-standin/src/engine/batch.rs
+++ b/crates/peppercrank-standin/src/engine/batch.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The engine itself, without input or output: continuous batching over a prefix cache.
+//! Simulated engine without I/O: continuous batching with a prefix cache.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -31,20 +31,20 @@
 use crate::lag::Lagged;
 use crate::runs::RunCounts;
 
-/// `Load` is the engine's load report.
+/// Load report of the engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Load {
-    /// Which life of the engine reports.
+    /// Incarnation of the engine, which changes with each restart.
     pub incarnation: u64,
-    /// Chats that have a slot.
+    /// Number of chats that have a slot.
     pub running: usize,
-    /// Chats that wait for one.
+    /// Number of chats that wait for a slot.
     pub waiting: usize,
-    /// Prompt and answer tokens of all these, done or not.
+    /// Total prompt and answer tokens of these chats, processed or not.
     pub tokens: u64,
 }
 
-/// `Engine` is the model engine's state; callers pass the time in and carry its answers out.
+/// State of the simulated engine; callers pass in the time and deliver the answers.
 #[derive(Debug)]
 pub struct Engine {
     settings: EngineSettings,
@@ -64,7 +64,7 @@
 }
 
 impl Engine {
-    /// `new` makes an idle engine with an empty cache.
+    /// Creates an idle engine with an empty cache.
     #[must_use]
     pub fn new(settings: EngineSettings) -> Self {
         let orders = OrderState {
@@ -93,12 +93,13 @@
         }
     }
 
-    /// `submit` takes a chat in; it runs at once if a slot is free.
+    /// Queues a chat; it starts at once if a slot is free.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Model`] when its model is not loaded and [`Error::Duplicate`] when a
-    /// stream of its id has not ended; neither ran.
+    /// Returns [`Error::ModelNotLoaded`] if its model is not loaded and
+    /// [`Error::DuplicateStream`] if a stream with its id has not ended; in both cases the chat
+    /// does not run.
     pub fn submit(&mut self, now: Instant, chat: ChatRequest) -> Result<StreamKey> {
         if !self.orders.is_loaded(&chat.body.model) {
             return Err(Error::ModelNotLoaded(chat.body.model));
@@ -122,59 +123,59 @@
         Ok(key)
     }
 
-    /// `next_due` is when [`Engine::advance`] has something to do.
+    /// Returns the time at which [`Engine::advance`] has work to do, or `None` if no stream runs.
     #[must_use]
     pub fn next_due(&self) -> Option<Instant> {
         self.running.first().map(|(due, _)| *due)
     }
 
-    /// `advance` generates what is due by `now`.
+    /// Generates the tokens that are due by `now`.
     pub fn advance(&mut self, now: Instant) {
         while let Some((due, key)) = self.running.first().copied()
             && due <= now
         {
             self.running.pop_first();
             self.generate_token(due, key);
-            // As of when it was due, however late the caller comes.
+            // The load changes when the token was due, even if the caller advances late.
             self.update_load(due);
         }
         self.update_load(now);
     }
 
-    /// `take_news` is the streams that got something or ended since it was last asked.
+    /// Returns the streams that got a token or ended since the previous call.
     pub fn take_changed(&mut self) -> BTreeSet<StreamKey> {
         std::mem::take(&mut self.changed)
     }
 
-    /// `len` is how many streams are known.
+    /// Returns the number of streams, including retained ones that have ended.
     #[must_use]
     pub fn len(&self) -> usize {
         self.streams.len()
     }
 
-    /// `is_empty` tells whether no stream is known.
+    /// Returns whether there are no streams, not even retained ones.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.streams.is_empty()
     }
 
-    /// `find` finds the stream that answers an attempt.
+    /// Returns the stream that answers an attempt, or `None` if there is none.
     #[must_use]
     pub fn find(&self, id: &str) -> Option<StreamKey> {
         self.keys_by_id.get(id).copied()
     }
 
-    /// `stream_of` is a stream, unless it is forgotten.
+    /// Returns a stream, or `None` if it has been discarded.
     #[must_use]
     pub fn get(&self, key: StreamKey) -> Option<&Stream> {
         self.streams.get(key)
     }
 
-    /// `cancel` ends a stream where it is.
+    /// Cancels a waiting or running stream.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Unknown`] when it ended before or is not known.
+    /// Returns [`Error::NotFound`] if it has already ended or does not exist.
     pub fn cancel(&mut self, now: Instant, id: &str) -> Result<StreamKey> {
         let key = self.find(id).ok_or(Error::NotFound)?;
         let stream = self.streams.get_mut(key).ok_or(Error::NotFound)?;
@@ -188,13 +189,13 @@
         Ok(key)
     }
 
-    /// `load` is the load report that callers see at `now`.
+    /// Returns the load report that callers see at `now`.
     pub fn load(&mut self, now: Instant) -> Load {
         let lag = Duration::from_millis(self.settings.load_lag_ms);
         *self.reported_load.visible_at(now, lag)
     }
 
-    /// `cache_page` is the cache events that callers see at `now`, numbered `since` and up.
+    /// Returns the cache events that callers see at `now`, starting at sequence number `since`.
     #[must_use]
     pub fn cache_page(&self, now: Instant, since: u64) -> CachePage {
         let delay = Duration::from_millis(self.settings.events_late_ms);
@@ -206,28 +207,28 @@
         }
     }
 
-    /// `order` obeys or refuses an order and returns the highest fencing number seen.
+    /// Applies an order and returns the highest fencing number received.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::OldFence`] for an older number, if this engine checks it.
+    /// Returns [`Error::StaleFence`] for a lower number than before, if this engine checks it.
     pub fn apply_order(&mut self, order: FencedOrder) -> Result<u64> {
         self.orders.apply(order, self.settings.check_fence)
     }
 
-    /// `orders` is what the orders so far have made of the engine.
+    /// Returns the result of the orders applied so far.
     #[must_use]
     pub const fn orders(&self) -> &OrderState {
         &self.orders
     }
 
-    /// `runs` is how often each request ran.
+    /// Returns how often each request ran.
     #[must_use]
     pub const fn runs(&self) -> &RunCounts {
         &self.runs
     }
 
-    /// The stream of a chat, not yet running.
+    /// Creates the stream of a chat, in the waiting phase.
     fn new_stream(&mut self, now: Instant, chat: ChatRequest) -> Stream {
         self.submitted += 1;
         let attempt = &chat.ids.attempt;
@@ -265,7 +266,7 @@
         }
     }
 
-    /// Gives free slots to those who wait, the highest priority first.
+    /// Assigns free slots to waiting streams, the highest priority first.
     fn fill_slots(&mut self, now: Instant) {
         while self.running.len() < self.settings.slots.max(1) {
             let Some((_, key)) = self.waiting.pop_first() else {
@@ -275,7 +276,7 @@
         }
     }
 
-    /// Puts one stream in a slot: reads its prompt, of which the cached part costs no time.
+    /// Puts a stream in a slot and schedules its prefill; cached prompt blocks take no time.
     fn start_stream(&mut self, now: Instant, key: StreamKey) {
         let stream = &mut self.streams[key];
         self.runs.record_run(&stream.ids);
@@ -303,7 +304,7 @@
         self.end_stream(due, key, Phase::Done);
     }
 
-    /// Ends a stream that is in no queue any more and gives its slot away.
+    /// Ends a stream that was removed from its queue and reassigns its slot.
     fn end_stream(&mut self, now: Instant, key: StreamKey, phase: Phase) {
         self.changed.insert(key);
         let stream = &mut self.streams[key];
@@ -330,12 +331,13 @@
         self.fill_slots(now);
     }
 
-    /// Caches a stream's blocks and lets them stand for its keys.
+    /// Caches the blocks of a stream and records the cache events of its keys.
     fn cache_blocks(&mut self, now: Instant, key: StreamKey) {
         let stream = &self.streams[key];
         let chain = &stream.blocks;
         let evicted = self.cache.insert(chain);
-        // The middle block goes when the latter half of the chat has gone, the first when all has.
+        // A chat counts as evicted with its middle block, when the latter half is gone, and a
+        // prefix with its first block, when all of it is gone.
         let middle = chain.get(chain.len() / 2);
         let anchors = [
             (&stream.chat_key, middle),
@@ -351,7 +353,7 @@
         self.journal.record_evicted(now, &evicted);
     }
 
-    /// `forget` forgets streams that have been kept for their time.
+    /// Discards ended streams whose retention time has elapsed.
     pub fn drop_expired(&mut self, now: Instant) {
         while let Some((until, key)) = self.retained.front().copied()
             && until <= now
--- a/crates/peppercrank-standin/src/engine/cache.rs
+++ b/crates/peppercrank-standin/src/engine/cache.rs
@@ -1,14 +1,14 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The prefix cache: blocks in limited memory, the least recently used evicted first.
+//! Prefix cache with a fixed number of blocks and LRU eviction.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
-/// `Cache` holds blocks by their chained hashes.
+/// Set of cached blocks, identified by their chained hashes.
 ///
-/// Unlike a real engine's, it may evict blocks that a running chat uses.
+/// Unlike the cache of a real engine, it may evict blocks that a running chat uses.
 #[derive(Debug)]
 pub struct PrefixCache {
     capacity: usize,
@@ -18,7 +18,7 @@
 }
 
 impl PrefixCache {
-    /// `new` makes an empty cache of at most `limit` blocks.
+    /// Creates an empty cache of at most `capacity` blocks.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// `hits` is how many leading blocks of `chain` are held.
+    /// Returns how many leading blocks of `blocks` are cached.
     #[must_use]
     pub fn cached_prefix(&self, blocks: &[u64]) -> usize {
         blocks
@@ -38,15 +38,15 @@
             .count()
     }
 
-    /// `holds` tells whether one block is held.
+    /// Returns whether a block is cached.
     #[must_use]
     pub fn contains(&self, block: u64) -> bool {
         self.use_by_block.contains_key(&block)
     }
 
-    /// `store` takes in or freshens a chain and returns the blocks that had to go.
+    /// Inserts the blocks of a text or marks them as used, and returns the blocks evicted.
     pub fn insert(&mut self, blocks: &[u64]) -> Vec<u64> {
-        // From the end, so that of one chain the tail is the older and goes first.
+        // In reverse order, so that the tail of a text is older than its head and evicted first.
         for block in blocks.iter().rev() {
             self.last_use += 1;
             if let Some(old) = self.use_by_block.insert(*block, self.last_use) {
--- a/crates/peppercrank-standin/src/engine/journal.rs
+++ b/crates/peppercrank-standin/src/engine/journal.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Cache events: which chats' and prefixes' context is held, told late and with gaps.
+//! Cache events, which report the chats and prefixes that are cached, with delay and gaps.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -10,42 +10,42 @@
 use peppercrank_core::time::Instant;
 use serde::Serialize;
 
-/// Events kept for readers; older ones are a gap.
+/// Number of events retained for readers; older ones are missing from the pages.
 pub const MAX_EVENTS: usize = 8_192;
 
-/// `Change` is what happened to a key's context.
+/// Change of the cached state of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CacheChange {
-    /// It is held from now on.
+    /// The context of the key was cached.
     Stored,
-    /// It was evicted.
+    /// The context of the key was evicted.
     Evicted,
 }
 
-/// `CacheEvent` is one change of one key.
+/// Change of one key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct CacheEvent {
-    /// Its number; each is one above the one before.
+    /// Sequence number, incremented by 1 with each event.
     pub seq: u64,
-    /// What happened.
+    /// Kind of change.
     pub kind: CacheChange,
-    /// The chat's or prefix's key, 16 hexadecimal digits.
+    /// Key of the chat or prefix, 16 hexadecimal digits.
     pub key: String,
 }
 
-/// `CachePage` is what a reader of the events gets.
+/// Response to a read of the events.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct CachePage {
-    /// Which life of the engine numbers the events.
+    /// Incarnation of the engine that numbered the events.
     pub incarnation: u64,
-    /// Where to go on reading.
+    /// Sequence number at which to continue reading.
     pub next: u64,
-    /// The events.
+    /// Events in order of their sequence numbers; numbers that are missing are gaps.
     pub events: Vec<CacheEvent>,
 }
 
-/// `Journal` numbers the events and remembers which block stands for which key.
+/// Log of events and the block that represents each cached key.
 #[derive(Debug, Default)]
 pub struct Journal {
     next_seq: u64,
@@ -55,7 +55,7 @@
 }
 
 impl Journal {
-    /// `anchor` lets `block` stand for `key` and tells of the key if it is new.
+    /// Makes `block` represent `key`, and records a stored event if the key was not cached.
     pub fn record_stored(&mut self, now: Instant, key: &str, block: u64) {
         match self.block_by_key.insert(key.to_owned(), block) {
             Some(old) if old == block => return,
@@ -68,7 +68,7 @@
             .push(key.to_owned());
     }
 
-    /// `evicted` tells of the keys for which the evicted blocks stood.
+    /// Records evicted events for the keys that the evicted blocks represented.
     pub fn record_evicted(&mut self, now: Instant, blocks: &[u64]) {
         for block in blocks {
             for key in self.keys_by_block.remove(block).unwrap_or_default() {
@@ -78,9 +78,9 @@
         }
     }
 
-    /// `page` is what a reader sees at `now` of the events numbered `since` and up.
+    /// Returns the events that a reader sees at `now`, starting at sequence number `since`.
     ///
-    /// Events younger than `late` are not seen yet; every `gap`-th is never seen, 0 for none.
+    /// Events become visible after `delay`. Every `gap`-th event is omitted; 0 omits none.
     #[must_use]
     pub fn page(&self, now: Instant, since: u64, delay: Duration, gap: u64) -> CachePage {
         let due = |entry: &&(Instant, CacheEvent)| entry.1.seq >= since && entry.0 + delay <= now;
--- a/crates/peppercrank-standin/src/engine/orders.rs
+++ b/crates/peppercrank-standin/src/engine/orders.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Orders to the engine, with or without a check of the fencing number.
+//! Orders to the engine, with an optional check of the fencing number.
 
 use std::collections::BTreeSet;
 
@@ -11,45 +11,47 @@
 use crate::Error;
 use crate::Result;
 
-/// `Order` is one order.
+/// Order to the engine; its value is the name of the model, adapter or role.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
-    /// Load a model.
+    /// Loads a model.
     LoadModel(String),
-    /// Load an adapter.
+    /// Loads an adapter.
     LoadAdapter(String),
-    /// Take a role.
+    /// Sets the role of the engine.
     SetRole(String),
 }
 
-/// `Fenced` is an order under its fencing number.
+/// Order with its fencing number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FencedOrder {
-    /// The fencing number.
+    /// Fencing number, which never decreases from one valid order to the next.
     pub fence: u64,
-    /// The order.
+    /// Order to apply.
     pub order: Order,
 }
 
-/// `Orders` is what the orders so far have made of the engine.
+/// Result of the orders applied so far.
 #[derive(Debug, Default, Serialize)]
 pub struct OrderState {
-    /// The highest fencing number seen.
+    /// The highest fencing number applied.
     pub highest: u64,
-    /// The orders obeyed, in turn.
+    /// Orders applied, oldest first.
     pub obeyed: Vec<FencedOrder>,
-    /// The models loaded; empty when any is served.
+    /// Models that are loaded; empty if the engine serves any model.
     pub models: BTreeSet<String>,
 }
 
 impl OrderState {
-    /// `obey` does an order; with `check` an older fencing number is refused.
+    /// Applies an order and returns the highest fencing number applied.
+    ///
+    /// With `check_fence` it rejects a lower fencing number than before.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::OldFence`] for an older number, if that is checked.
+    /// Returns [`Error::StaleFence`] for a lower number, if that is checked.
     pub fn apply(&mut self, order: FencedOrder, check_fence: bool) -> Result<u64> {
         if check_fence && order.fence < self.highest {
             return Err(Error::StaleFence {
@@ -66,7 +68,7 @@
         Ok(self.highest)
     }
 
-    /// `serves` tells whether a model is loaded.
+    /// Returns whether a model is loaded.
     #[must_use]
     pub fn is_loaded(&self, model: &str) -> bool {
         self.models.is_empty() || self.models.contains(model)
--- a/crates/peppercrank-standin/src/engine/prompt.rs
+++ b/crates/peppercrank-standin/src/engine/prompt.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What a chat's body asks for, its prompt as text, and its tokens.
+//! Parsing of chat bodies, and the prompt with its tokens and block hashes.
 
 use std::fmt::Write;
 
@@ -14,52 +14,53 @@
 use crate::Result;
 use crate::errors;
 
-/// Bytes of prompt text that make one token.
+/// Bytes of prompt text per token.
 pub const BYTES_PER_TOKEN: usize = 4;
 
-/// `Message` is one message of a chat.
+/// One message of a chat.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct Message {
-    /// Who speaks.
+    /// Role of the author.
     #[serde(default)]
     pub role: String,
-    /// A text, or parts with texts.
+    /// Text, or an array of parts of which those with a text count.
     #[serde(default)]
     pub content: Value,
 }
 
-/// `ChatBody` is the part of an OpenAI-style body that the stand-in heeds.
+/// The fields of an OpenAI-style request body that the stand-in uses.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct ChatBody {
-    /// The model.
+    /// Name of the model.
     #[serde(default)]
     pub model: String,
-    /// The chat so far.
+    /// Messages of the chat so far, oldest first.
     pub messages: Vec<Message>,
     /// Whether the answer is streamed.
     #[serde(default)]
     pub stream: bool,
-    /// Tokens to generate.
+    /// Number of tokens to generate; the setting of the engine if absent.
     #[serde(default)]
     pub max_tokens: Option<u32>,
-    /// The newer name of `max_tokens`, which goes before it.
+    /// The newer name of `max_tokens`, which takes precedence over it.
     #[serde(default)]
     pub max_completion_tokens: Option<u32>,
 }
 
 impl ChatBody {
-    /// `parse` reads a body.
+    /// Parses a JSON body.
     ///
     /// # Errors
     ///
-    /// Returns [`crate::Error::Body`] when it is not a chat.
+    /// Returns [`crate::Error::InvalidBody`] if it is not a chat.
     pub fn parse(bytes: &[u8]) -> Result<Self> {
         serde_json::from_slice(bytes).map_err(|e| errors::body_error(&e))
     }
 
-    /// `prompt` is the text that the engine reads: each message as role and content on lines.
+    /// Returns the prompt text: the role and the content of each message on lines of their own.
     ///
-    /// With the answer and a line's end it is a prefix of the prompt of the chat's next request.
+    /// The prompt followed by the answer and a newline is a prefix of the prompt of the chat's next
+    /// request.
     #[must_use]
     pub fn prompt(&self) -> String {
         let mut text = String::new();
@@ -73,21 +74,21 @@
         text
     }
 
-    /// `digest` is the first 16 hexadecimal digits of the SHA-256 of the last message's text.
+    /// Returns the first 16 hexadecimal digits of the SHA-256 of the last message's text.
     #[must_use]
     pub fn digest(&self) -> String {
         let text = self.messages.last().map(message_text).unwrap_or_default();
         hex(&Sha256::digest(text.as_bytes())[..8])
     }
 
-    /// `output` is the number of tokens asked for.
+    /// Returns the number of tokens requested, or `None` if the body sets no limit.
     #[must_use]
     pub fn requested_tokens(&self) -> Option<u32> {
         self.max_completion_tokens.or(self.max_tokens)
     }
 }
 
-/// `hex` writes bytes as lower-case hexadecimal digits.
+/// Encodes bytes as lower-case hexadecimal digits.
 #[must_use]
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
@@ -97,7 +98,7 @@
     })
 }
 
-/// The text of a message's content, its parts joined.
+/// Returns the text of a message, with its parts concatenated.
 fn message_text(message: &Message) -> String {
     match &message.content {
         Value::String(text) => text.clone(),
@@ -106,13 +107,14 @@
     }
 }
 
-/// `tokens` is the number of tokens of a text of `bytes` bytes.
+/// Returns the number of tokens of a text of `bytes` bytes.
 #[must_use]
 pub const fn token_count(bytes: usize) -> u64 {
     bytes.div_ceil(BYTES_PER_TOKEN) as u64
 }
 
-/// `chain` hashes each whole block of `text` together with all before it.
+/// Returns the chained hash of each complete block of `text`, which covers the model and all blocks
+/// before it.
 #[must_use]
 pub fn block_hashes(model: &str, text: &str, block_tokens: usize) -> Vec<u64> {
     let mut hash = hash64(0, model.as_bytes());
--- a/crates/peppercrank-standin/src/engine/serve.rs
+++ b/crates/peppercrank-standin/src/engine/serve.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The engine's HTTP side.
+//! HTTP interface of the engine stand-in.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -40,12 +40,12 @@
 use crate::web::ServerHandle;
 use crate::web::TruncationUnit;
 
-/// `start` serves an engine stand-in on the caller's runtime.
+/// Starts an engine stand-in on the caller's runtime.
 ///
 /// # Errors
 ///
-/// Returns [`Error::Listen`] when the address cannot be taken, [`Error::Switch`] for a fault
-/// that an engine does not have.
+/// Returns [`Error::Listen`] if it cannot listen on the address and
+/// [`Error::UnsupportedFault`] for a fault that an engine does not support.
 pub async fn start(mut settings: EngineSettings) -> Result<ServerHandle> {
     settings.faults.check(StandinKind::Engine)?;
     if settings.incarnation == 0 {
@@ -74,13 +74,13 @@
     .await
 }
 
-/// Milliseconds of the wall clock, which tell one life of an engine from the next.
+/// Returns the wall clock time in milliseconds, which distinguishes incarnations of an engine.
 fn wall_clock_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(1, |t| u64::try_from(t.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// `State` is the engine and what goes with it.
+/// The engine and the state of its HTTP interface.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) engine: Engine,
@@ -91,7 +91,7 @@
     calls: u64,
 }
 
-/// `Shared` is what all calls share.
+/// State shared by all calls.
 #[derive(Debug)]
 pub(super) struct Shared {
     clock: Clock,
@@ -104,7 +104,7 @@
         web::lock(&self.state)
     }
 
-    /// Lets the engine's time pass.
+    /// Advances the engine whenever a token is due or the schedule has changed.
     async fn run_engine(&self) {
         loop {
             let next = {
@@ -125,7 +125,7 @@
 }
 
 impl State {
-    /// Wakes the readers of streams that got something.
+    /// Wakes the readers of streams that got a token or ended.
     fn wake_readers(&mut self) {
         for key in self.engine.take_changed() {
             if let Some(waker) = self.wakers.get(key) {
@@ -141,7 +141,7 @@
         &self.wakers[key]
     }
 
-    /// Forgets the wakers of streams that the engine forgot.
+    /// Removes the wakers of streams that the engine has discarded.
     fn prune_wakers(&mut self) {
         let engine = &self.engine;
         if self.wakers.len() > 2 * engine.len() + 64 {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// The id under which a stream's answer is told.
+    /// Returns the stream and the ids that the response uses, as the faults select them.
     fn answer_view(
         &self,
         key: StreamKey,
@@ -180,7 +180,7 @@
     }
 }
 
-/// Answers one call.
+/// Handles one call.
 async fn respond(shared: Arc<Shared>, call: Call) -> Reply {
     let path = call.head.uri.path().to_owned();
     let parts: Vec<&str> = path.split('/').skip(1).collect();
@@ -189,7 +189,8 @@
         (&Method::POST, ["v1", "chat", "completions"]) => {
             let plan = shared.state().faults.plan("chat");
             let id = web::header_text(&call.head.headers, "x-request-id");
-            // The engine's own refusals echo the id; an outage, played before it, does not.
+            // Error responses of the engine itself echo the id; an injected outage, which precedes
+            // the engine, does not.
             let work = async {
                 let done = chat(&shared, call, plan).await;
                 let refused = done.or_else(|e| Ok::<_, Error>(web::error_reply(&e)));
@@ -266,7 +267,7 @@
         state.answer_view(key, previous, plan, &model)
     };
     shared.schedule_changed.notify_one();
-    // The work comes before an answer that is dropped.
+    // These faults suppress the response after the work ran, so wait for the complete answer.
     let unanswered = matches!(
         plan.response_end,
         ResponseEnd::ConnectionClosed | ResponseEnd::Withheld
@@ -277,7 +278,7 @@
     complete_reply(shared, &view).await
 }
 
-/// The chat that headers and body ask for.
+/// Builds the chat request from the headers and the body.
 fn chat_request(headers: &HeaderMap, body: ChatBody, fallback: u64) -> Result<ChatRequest> {
     let priority = match web::header_text(headers, "x-priority") {
         None => 0,
@@ -295,7 +296,7 @@
     })
 }
 
-/// Tells a stream from an event on.
+/// Resumes a stream at the event given by the `from` parameter.
 fn resume(shared: &Arc<Shared>, call: &Call, id: &str, plan: FaultPlan) -> Result<Reply> {
     let from = web::query_number(&call.head.uri, "from")?.unwrap_or(0);
     let from = u32::try_from(from).map_err(|_over| Error::InvalidParameter("from"))?;
--- a/crates/peppercrank-standin/src/engine/settings.rs
+++ b/crates/peppercrank-standin/src/engine/settings.rs
@@ -11,43 +11,43 @@
 
 use crate::faults::Faults;
 
-/// `EngineSettings` are the settings of one engine stand-in.
+/// Settings of an engine stand-in.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineSettings {
-    /// Where it listens; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Which life of the engine this is; 0 takes the wall clock's milliseconds.
+    /// Incarnation of the engine; 0 uses the wall clock time in milliseconds.
     pub incarnation: u64,
-    /// Models it serves at the start; empty for any.
+    /// Models that are loaded at the start; if empty, any model is served.
     pub models: Vec<String>,
-    /// Chats that are decoded at once; at least 1.
+    /// Number of chats that are decoded concurrently; at least 1.
     pub slots: usize,
-    /// Prefill time of a token that is not cached, in microseconds.
+    /// Prefill time per token that is not cached, in microseconds.
     pub prefill_us: u64,
-    /// Time of one decoding step, which gives each running chat one token, in microseconds.
+    /// Time of one decoding step, in which each running chat gets one token, in microseconds.
     pub step_us: u64,
-    /// Tokens of one cache block; at least 1.
+    /// Tokens per cache block; at least 1.
     pub block_tokens: usize,
-    /// Tokens that the prefix cache holds.
+    /// Capacity of the prefix cache, in tokens.
     pub cache_tokens: usize,
-    /// Tokens of an answer for which the caller sets no maximum.
+    /// Tokens of an answer if the request sets no maximum.
     pub answer_tokens: u32,
-    /// Tokens of the longest answer.
+    /// Maximum number of tokens of an answer.
     pub longest: u32,
-    /// Whether streams can be resumed at all.
+    /// Whether streams can be resumed.
     pub resumes: bool,
-    /// Time for which an ended stream can be resumed, in milliseconds.
+    /// Time for which an ended stream is retained and can be resumed, in milliseconds.
     pub keep_ms: u64,
-    /// Age of what the load report tells, in milliseconds.
+    /// Delay until a change of the load is visible in the report, in milliseconds.
     pub load_lag_ms: u64,
-    /// Age at which a cache event is first told, in milliseconds.
+    /// Delay until a cache event becomes visible, in milliseconds.
     pub events_late_ms: u64,
-    /// Every how-manieth cache event is never told; 0 for none.
+    /// Interval of cache events that are omitted: every `events_gap`-th one; 0 omits none.
     pub events_gap: u64,
-    /// Whether an order with an older fencing number is refused.
+    /// Whether an order with a lower fencing number than an earlier one is rejected.
     pub check_fence: bool,
-    /// Faults from the start.
+    /// Faults that are active at the start.
     pub faults: Faults,
 }
 
--- a/crates/peppercrank-standin/src/engine/stream.rs
+++ b/crates/peppercrank-standin/src/engine/stream.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One request to the engine and the stream that answers it.
+//! A chat request and the stream that answers it.
 
 use peppercrank_core::time::Instant;
 
@@ -11,48 +11,48 @@
 use crate::runs::RequestIds;
 
 slotmap::new_key_type! {
-    /// `StreamKey` finds one stream in its engine.
+    /// Key of a stream within its engine.
     pub struct StreamKey;
 }
 
-/// `Chat` is one request to the engine.
+/// Chat request to the engine.
 #[derive(Debug, Clone, Default)]
 pub struct ChatRequest {
-    /// The ids it carries.
+    /// Ids that the request carries.
     pub ids: RequestIds,
-    /// Its priority, 0 (last) to 9 (first).
+    /// Priority, from 0 (lowest) to 9 (highest).
     pub priority: u8,
-    /// The chat's key, by which cache events name its context.
+    /// Key of the chat in cache events; no events if absent.
     pub chat_key: Option<String>,
-    /// The key of its leading prefix.
+    /// Key of the shared prefix of its prompt in cache events; no events if absent.
     pub prefix_key: Option<String>,
-    /// What it asks for.
+    /// Body of the request.
     pub body: ChatBody,
 }
 
-/// `Phase` is how far a stream has come.
+/// Phase in the life cycle of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// It waits for a slot.
+    /// The stream waits for a slot.
     Waiting,
-    /// It has a slot.
+    /// The stream has a slot.
     Running,
-    /// It was answered whole.
+    /// The answer is complete.
     Done,
-    /// It was cancelled.
+    /// The stream was cancelled.
     Cancelled,
 }
 
-/// `Stream` is one answer in the making, or one that is kept.
+/// Answer that is queued, being generated or retained after its end.
 #[derive(Debug)]
 pub struct Stream {
-    /// The attempt that it answers.
+    /// Id of the attempt that it answers.
     pub id: String,
-    /// How far it has come.
+    /// Current phase.
     pub phase: Phase,
-    /// The text.
+    /// Text of the answer.
     pub answer: Answer,
-    /// What it took so far; `made` is the number of pieces that can be read.
+    /// Token usage so far; `made` is the number of tokens that can be read.
     pub usage: Usage,
     pub(super) model: String,
     pub(super) text: String,
@@ -66,7 +66,7 @@
 }
 
 impl Stream {
-    /// Tells how many tokens the whole work has.
+    /// Returns the total number of prompt and answer tokens.
     pub(super) fn total_tokens(&self) -> u64 {
         self.usage.prompt + u64::from(self.output_tokens)
     }
--- a/crates/peppercrank-standin/src/engine/tell.rs
+++ b/crates/peppercrank-standin/src/engine/tell.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! How a stream's answer is told: event by event, or in one body.
+//! Responses with the answer of a stream, as events or as one body.
 
 use std::sync::Arc;
 
@@ -21,21 +21,21 @@
 use crate::engine::stream::StreamKey;
 use crate::web;
 
-/// Frames of an answer that are made ahead of its reader.
+/// Number of frames that are buffered for the reader of an answer.
 const BUFFERED_FRAMES: usize = 8;
 
-/// `View` is whose answer is told, and under which id.
+/// The stream whose answer a response contains, and the ids it uses.
 #[derive(Debug, Clone)]
 pub(super) struct AnswerView {
     pub(super) key: StreamKey,
-    /// The id in the answer's head.
+    /// Id in the response headers.
     pub(super) header_id: String,
-    /// The id in its body.
+    /// Id in the response body.
     pub(super) body_id: String,
     pub(super) model: String,
 }
 
-/// `Part` is what is new of a stream.
+/// New tokens of a stream and its current state.
 struct StreamUpdate {
     tokens: Vec<String>,
     phase: Phase,
@@ -43,7 +43,8 @@
 }
 
 impl Shared {
-    /// Waits for what comes of a stream after its first `from` pieces.
+    /// Waits until a stream has more than `from` tokens or has ended, and returns the tokens after
+    /// the first `from`.
     async fn next_update(&self, key: StreamKey, from: u32) -> Result<StreamUpdate> {
         loop {
             let waker = {
@@ -59,7 +60,7 @@
                         usage: stream.usage,
                     });
                 }
-                // Made while the lock is held, so that no news slips by.
+                // Created while the lock is held, so that no notification is missed.
                 Arc::clone(state.waker(key)).notified_owned()
             };
             waker.await;
@@ -67,7 +68,7 @@
     }
 }
 
-/// Waits for the whole answer and tells it in one body.
+/// Waits for the complete answer and returns it as one body.
 pub(super) async fn complete_reply(shared: &Shared, view: &AnswerView) -> Result<Reply> {
     let mut text = String::new();
     let mut from = 0;
@@ -86,7 +87,7 @@
     }
 }
 
-/// Tells an answer event by event.
+/// Returns a response that streams the answer as events, starting at event `from`.
 pub(super) fn streaming_reply(shared: &Arc<Shared>, view: AnswerView, from: u32) -> Reply {
     let (feed, body) = body::channel(BUFFERED_FRAMES);
     let mut reply = Reply::new(body);
@@ -107,7 +108,7 @@
     reply
 }
 
-/// Writes the events; tells whether that was the whole answer.
+/// Sends the events; returns whether the answer was sent to its end.
 async fn send_events(shared: &Shared, view: &AnswerView, mut from: u32, feed: &Feed) -> bool {
     loop {
         let Ok(update) = shared.next_update(view.key, from).await else {
@@ -127,9 +128,9 @@
     }
 }
 
-/// Writes what follows the last piece.
+/// Sends the final event and the terminating one.
 async fn send_end(view: &AnswerView, from: u32, usage: Usage, feed: &Feed) -> bool {
-    // The last event is numbered `made`; who resumes after it has it already.
+    // The final event has number `made`; a client that resumes after it has already received it.
     if from <= usage.made {
         let last = answer::final_event(&view.body_id, usage);
         if feed.send(Bytes::from(last)).await.is_err() {
@@ -141,9 +142,9 @@
         .is_ok()
 }
 
-/// Writes the id that an answer is to.
+/// Sets the `x-request-id` header of a response.
 pub(super) fn with_request_id(mut reply: Reply, id: &str) -> Reply {
-    // An id came in as a header, so it can go out as one.
+    // The id was received in a header, so it is a valid header value.
     if let Ok(id) = HeaderValue::from_str(id) {
         reply.headers_mut().insert("x-request-id", id);
     }
--- a/crates/peppercrank-standin/src/errors.rs
+++ b/crates/peppercrank-standin/src/errors.rs
@@ -1,62 +1,63 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The crate's error type, its result and small constructors.
+//! Error and result types of this crate.
 
 use std::fmt;
 
 use serde_json::Value;
 use serde_json::json;
 
-/// `Result` is the result of every fallible function of this crate.
+/// Result of the fallible functions of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` names why a stand-in did not do what it was asked.
+/// Reason why a stand-in failed to start or to serve a request.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum Error {
-    /// A stand-in could not listen.
+    /// The stand-in could not listen on its address.
     Listen(peppercrank_wire::Error),
-    /// A body is not the JSON that the call takes.
+    /// The request body is not valid JSON for this endpoint.
     InvalidBody(String),
-    /// A header or a parameter of the path is missing or malformed.
+    /// A header or query parameter is missing or malformed; contains its name.
     InvalidParameter(&'static str),
-    /// A fault switch does not exist at this stand-in.
+    /// This kind of stand-in does not support the named fault setting.
     UnsupportedFault(&'static str),
-    /// Nothing answers to this path or id.
+    /// No endpoint or resource exists for this path or id.
     NotFound,
-    /// The model is not loaded.
+    /// The named model is not loaded.
     ModelNotLoaded(String),
-    /// A stream of the same id is still running.
+    /// A stream with the same id has not ended.
     DuplicateStream,
-    /// An order carries an older fencing number than one before it.
+    /// The order has a lower fencing number than an earlier one.
     StaleFence {
-        /// The highest number seen.
+        /// The highest fencing number received.
         highest: u64,
     },
-    /// A watch starts before the oldest change that is still known.
+    /// The watch starts before the oldest retained change, or after the newest one.
     WatchTooOld,
-    /// The condition of a write does not hold.
+    /// The precondition of a write failed.
     Conflict {
-        /// The object as it is: its version, 0 when it never was, and its body.
+        /// The current object as JSON: its version (0 if it never existed) and, unless it
+        /// is deleted, its body.
         current: Value,
     },
-    /// A value is longer than the store takes.
+    /// A value exceeds the size limit of the store.
     TooLarge,
-    /// The rate limit is used up.
+    /// The rate limit is exceeded.
     Throttled,
-    /// The stand-in plays an outage.
+    /// An injected outage is active.
     Outage,
 }
 
-/// `body` makes the error for a body that does not parse.
+/// Converts a JSON parse error into [`Error::InvalidBody`].
 #[must_use]
 pub fn body_error(e: &serde_json::Error) -> Error {
     Error::InvalidBody(e.to_string())
 }
 
 impl Error {
-    /// `status` is the HTTP status that tells of the error.
+    /// Returns the HTTP status code of the error.
     #[must_use]
     pub const fn status(&self) -> u16 {
         match self {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// `code` is the error's stable word.
+    /// Returns the stable, machine-readable code of the error.
     #[must_use]
     pub const fn code(&self) -> &'static str {
         match self {
@@ -92,7 +93,9 @@
         }
     }
 
-    /// `to_json` is the body of the answer that tells of the error.
+    /// Returns the body of the error response.
+    ///
+    /// A conflict is answered with the current object, any other error with its code and message.
     #[must_use]
     pub fn to_json(&self) -> Value {
         match self {
@@ -106,17 +109,25 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Listen(e) => write!(f, "cannot listen: {e}"),
-            Self::InvalidBody(reason) => write!(f, "the body is not what the call takes: {reason}"),
+            Self::InvalidBody(reason) => write!(f, "invalid request body: {reason}"),
             Self::InvalidParameter(name) => write!(f, "`{name}` is missing or malformed"),
-            Self::UnsupportedFault(name) => write!(f, "this stand-in has no switch `{name}`"),
-            Self::NotFound => f.write_str("nothing is known by this path or id"),
+            Self::UnsupportedFault(name) => write!(
+                f,
+                "this stand-in does not support the fault setting `{name}`"
+            ),
+            Self::NotFound => f.write_str("no endpoint or resource exists for this path or id"),
             Self::ModelNotLoaded(name) => write!(f, "the model `{name}` is not loaded"),
-            Self::DuplicateStream => f.write_str("a stream of this id is still running"),
-            Self::StaleFence { highest } => write!(f, "an order numbered {highest} came before"),
-            Self::WatchTooOld => f.write_str("the watch starts before the oldest known change"),
-            Self::Conflict { .. } => f.write_str("the condition does not hold"),
-            Self::TooLarge => f.write_str("the value is too long"),
-            Self::Throttled => f.write_str("the rate limit is used up"),
+            Self::DuplicateStream => f.write_str("a stream with this id is still running"),
+            Self::StaleFence { highest } => write!(
+                f,
+                "an order with the higher fencing number {highest} was received before"
+            ),
+            Self::WatchTooOld => {
+                f.write_str("the watch does not start within the retained changes")
+            }
+            Self::Conflict { .. } => f.write_str("the precondition failed"),
+            Self::TooLarge => f.write_str("the value is too large"),
+            Self::Throttled => f.write_str("the rate limit is exceeded"),
             Self::Outage => f.write_str("out of service"),
         }
     }
--- a/crates/peppercrank-standin/src/faults.rs
+++ b/crates/peppercrank-standin/src/faults.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Fault switches, set over HTTP with `PUT /faults`.
+//! Fault injection, configured over HTTP with `PUT /faults`.
 
 use std::time::Duration;
 
@@ -11,43 +11,45 @@
 use crate::Error;
 use crate::Result;
 
-/// `Faults` are the faults that a stand-in plays; all are off by default.
+/// Faults that a stand-in injects; all are off by default.
 ///
-/// Of the calls that a switch can meet, `skip` pass unharmed, then `times` are hit.
+/// Of the matching calls the first `skip` are served normally and the next `times` are affected.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each is a switch that operators set by name"
+    reason = "each is an independent setting that operators set by name"
 )]
 pub struct Faults {
-    /// The one kind of call that is hit, by its name in the operators' page; else all work calls.
+    /// The only kind of call that is affected, one of [`StandinKind::call_kinds`]; if absent, all
+    /// of these are.
     pub only: Option<String>,
-    /// Calls that pass before the first is hit.
+    /// Number of matching calls that are served normally before the first affected one.
     pub skip: u32,
-    /// Calls that are hit; without it all.
+    /// Number of calls that are affected; unlimited if absent.
     pub times: Option<u32>,
-    /// Time by which the answer is held back, in milliseconds.
+    /// Delay of the response, in milliseconds.
     pub delay_ms: u64,
-    /// Answer 503.
+    /// Responds with status 503.
     pub outage: bool,
-    /// Answer 429 (platform).
+    /// Responds with status 429 (platform only).
     pub throttle: bool,
-    /// Close the connection before anything ran.
+    /// Closes the connection before the work runs.
     pub drop_before: bool,
-    /// Close the connection after the work ran, with no answer.
+    /// Closes the connection after the work ran, without a response.
     pub drop_after: bool,
-    /// Do the work and never answer; the connection stays open until the caller gives up.
+    /// Runs the work and never responds; the connection stays open until the caller closes it.
     pub lose_answer: bool,
-    /// Close the connection in the middle of the answer, after this many events or bytes.
+    /// Closes the connection within the response body, after this many events (streams) or bytes.
     pub cut_after: Option<u32>,
-    /// Answer under another request's id (engine, service).
+    /// Responds with the id of another request (engine and service only).
     pub wrong_id: bool,
-    /// Answer with the content of the request before, under one's own id (engine, service).
+    /// Responds with the content of the previous request under the id of this one (engine and
+    /// service only).
     pub crossed: bool,
 }
 
-/// `Role` is which stand-in plays the faults.
+/// Kind of stand-in that injects the faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StandinKind {
     /// The model engine.
@@ -59,7 +61,7 @@
 }
 
 impl StandinKind {
-    /// `calls` are the kinds of call that faults can meet.
+    /// Returns the kinds of call that faults can affect.
     #[must_use]
     pub const fn call_kinds(self) -> &'static [&'static str] {
         match self {
@@ -70,65 +72,66 @@
     }
 }
 
-/// `Ending` is how an answer ends.
+/// How a response ends.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ResponseEnd {
-    /// As it should.
+    /// The response is complete.
     #[default]
     Complete,
-    /// No answer, connection closed.
+    /// The connection is closed without a response.
     ConnectionClosed,
-    /// No answer, connection left open.
+    /// No response is sent and the connection stays open.
     Withheld,
-    /// Cut after this many events or bytes.
+    /// The body breaks off after this many events or bytes.
     Truncated(u32),
 }
 
-/// `Identity` is whose answer a caller gets.
+/// Which id and content a response has.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ResponseIdentity {
-    /// Its own.
+    /// The id and content of the request.
     #[default]
     Own,
-    /// Its own, under another's id.
+    /// The content of the request under a different id.
     WrongId,
-    /// Another's, under its own id.
+    /// The content of the previous request under the id of this one.
     Crossed,
 }
 
-/// `Start` is what happens to a call before its work.
+/// What happens to a call before its work runs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum RequestAction {
-    /// The work is done.
+    /// The work runs.
     #[default]
     Run,
-    /// The connection is closed.
+    /// The connection is closed without running the work.
     CloseConnection,
-    /// The answer is 503.
+    /// The response is status 503; the work does not run.
     Outage,
-    /// The answer is 429.
+    /// The response is status 429; the work does not run.
     Throttle,
 }
 
-/// `Plan` is what the switches make of one call.
+/// The faults that apply to one call.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FaultPlan {
-    /// How it starts.
+    /// Whether the work runs.
     pub action: RequestAction,
-    /// How long its answer is held back.
+    /// Delay of the response.
     pub delay: Duration,
-    /// Whose answer it is.
+    /// Which id and content the response has.
     pub identity: ResponseIdentity,
-    /// How it ends.
+    /// How the response ends.
     pub response_end: ResponseEnd,
 }
 
 impl Faults {
-    /// `parse` reads switches and checks that the stand-in of `role` has them.
+    /// Parses fault settings and checks that stand-ins of kind `role` support them.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Body`] for what is no switch, [`Error::Switch`] for another stand-in's.
+    /// Returns [`Error::InvalidBody`] for malformed or unknown settings and
+    /// [`Error::UnsupportedFault`] for settings of another kind of stand-in.
     pub fn parse(role: StandinKind, body: &[u8]) -> Result<Self> {
         let faults: Self =
             serde_json::from_slice(body).map_err(|e| crate::errors::body_error(&e))?;
@@ -136,11 +139,11 @@
         Ok(faults)
     }
 
-    /// `check` refuses switches that the stand-in of `role` would not heed.
+    /// Checks that stand-ins of kind `role` support the settings.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Switch`] with the name of the first.
+    /// Returns [`Error::UnsupportedFault`] with the name of the first unsupported setting.
     pub fn check(&self, role: StandinKind) -> Result<()> {
         let is_supported = |name: &String| role.call_kinds().contains(&name.as_str());
         let platform = role == StandinKind::Platform;
@@ -156,7 +159,8 @@
         }
     }
 
-    /// `plan` says what becomes of the next call of a kind and counts it.
+    /// Returns the faults that apply to the next call of a kind, and counts the call against `skip`
+    /// and `times`.
     pub fn plan(&mut self, call: &str) -> FaultPlan {
         if self.only.as_ref().is_some_and(|only| only != call) || !self.is_active() {
             return FaultPlan::default();
@@ -178,7 +182,7 @@
         }
     }
 
-    /// Tells whether any switch is on.
+    /// Returns whether any fault is enabled.
     fn is_active(&self) -> bool {
         self.action() != RequestAction::Run
             || self.delay_ms > 0
--- a/crates/peppercrank-standin/src/lag.rs
+++ b/crates/peppercrank-standin/src/lag.rs
@@ -1,14 +1,14 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A value that readers see late.
+//! A value whose changes become visible to readers after a delay.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use peppercrank_core::time::Instant;
 
-/// `Lagged` keeps a value's recent past, so that readers can be shown it as it was.
+/// Keeps the recent changes of a value, so that reads can return an earlier state.
 #[derive(Debug, Clone)]
 pub struct Lagged<T> {
     visible: T,
@@ -16,7 +16,7 @@
 }
 
 impl<T: PartialEq> Lagged<T> {
-    /// `new` starts with `value`, which is visible at once.
+    /// Creates a lagged value; `value` is visible at once.
     pub const fn new(value: T) -> Self {
         Self {
             visible: value,
@@ -24,21 +24,21 @@
         }
     }
 
-    /// `set` takes the value as it is from `now` on.
+    /// Records the value as of `now`.
     pub fn set(&mut self, now: Instant, value: T) {
         if *self.latest() != value {
             self.pending.push_back((now, value));
         }
     }
 
-    /// `latest` is the value as it is.
+    /// Returns the current value, without lag.
     pub fn latest(&self) -> &T {
         self.pending
             .back()
             .map_or(&self.visible, |(_, value)| value)
     }
 
-    /// `seen` is the value as it was `lag` before `now`; what came before it is forgotten.
+    /// Returns the value as it was `lag` before `now`, and discards older values.
     pub fn visible_at(&mut self, now: Instant, lag: Duration) -> &T {
         while self.pending.front().is_some_and(|(at, _)| *at + lag <= now) {
             let Some((_, value)) = self.pending.pop_front() else {
--- a/crates/peppercrank-standin/src/lib.rs
+++ b/crates/peppercrank-standin/src/lib.rs
@@ -1,10 +1,10 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Small stand-ins of the systems that peppercrank meets: engine, plain service, platform.
+//! Small test doubles of the systems that peppercrank works with: engine, plain service, platform.
 //!
-//! Each is a state without input or output, served over HTTP on the caller's runtime, with fault
-//! switches and a count of how often each request ran.
+//! Each is a state machine without I/O, served over HTTP on the caller's runtime. They support
+//! fault injection, and the engine and the service count how often each request ran.
 
 pub mod engine;
 pub mod errors;
--- a/crates/peppercrank-standin/src/platform.rs
+++ b/crates/peppercrank-standin/src/platform.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The platform's stand-in: object API and VM list, all in memory.
+//! Stand-in for the platform: an in-memory object API and VM list.
 
 pub mod limits;
 mod serve;
--- a/crates/peppercrank-standin/src/platform/limits.rs
+++ b/crates/peppercrank-standin/src/platform/limits.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Rate limits and the count of calls by kind.
+//! Rate limits and counts of calls by kind.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,26 +9,26 @@
 use peppercrank_core::time::Instant;
 use serde::Serialize;
 
-/// `Call` is one kind of call.
+/// Kind of call to the platform API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CallKind {
-    /// An object read.
+    /// Read of one object.
     Get,
-    /// An object written.
+    /// Write of one object.
     Put,
-    /// An object deleted.
+    /// Deletion of one object.
     Delete,
-    /// A kind listed.
+    /// List of all objects of a kind.
     List,
-    /// A watch, one call however long it waits.
+    /// Watch of a kind; counts as one call, however long it waits.
     Watch,
-    /// The VM list read.
+    /// Read of the VM list.
     Vms,
 }
 
 impl CallKind {
-    /// `code` is the kind's word.
+    /// Returns the name of the kind, as fault settings and call counts use it.
     #[must_use]
     pub const fn code(self) -> &'static str {
         match self {
@@ -41,14 +41,14 @@
         }
     }
 
-    /// `writes` tells whether the call counts against the writes.
+    /// Returns whether the call counts against the write limit.
     #[must_use]
     pub const fn is_write(self) -> bool {
         matches!(self, Self::Put | Self::Delete)
     }
 }
 
-/// `Bucket` lets through so many calls a second, a second's worth at once.
+/// Token bucket with a capacity of one second's worth of calls.
 #[derive(Debug, Clone, Copy)]
 pub struct TokenBucket {
     rate: u32,
@@ -57,7 +57,7 @@
 }
 
 impl TokenBucket {
-    /// `new` makes a full bucket of `rate` calls a second; 0 lets everything through.
+    /// Creates a full bucket for `rate` calls per second; 0 means no limit.
     #[must_use]
     pub fn new(rate: u32) -> Self {
         Self {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// `take` takes one call and tells whether it may pass.
+    /// Takes one token if there is one and returns whether the call is admitted.
     pub fn try_take(&mut self, now: Instant) -> bool {
         if self.rate == 0 {
             return true;
@@ -84,27 +84,27 @@
     }
 }
 
-/// `Calls` counts the calls by kind, and those that were turned away.
+/// Counts of calls by kind, and of rejected ones.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize)]
 pub struct CallCounts {
-    /// Calls by kind, those turned away included.
+    /// Calls by kind, including rejected ones.
     pub calls: BTreeMap<CallKind, u64>,
-    /// Calls answered 429.
+    /// Calls answered with status 429.
     pub throttled: u64,
-    /// Calls answered 503.
+    /// Calls answered with status 503.
     pub outages: u64,
     /// Writes that took effect.
     pub writes: u64,
 }
 
 impl CallCounts {
-    /// `count` counts one call.
+    /// Counts one call of a kind.
     pub fn record_call(&mut self, call: CallKind) {
         *self.calls.entry(call).or_default() += 1;
     }
 }
 
-/// `Limits` are the platform's rates.
+/// Rate limits of the platform, for reads and writes.
 #[derive(Debug, Clone, Copy)]
 pub struct RateLimits {
     reads: TokenBucket,
@@ -112,7 +112,7 @@
 }
 
 impl RateLimits {
-    /// `new` sets the calls a second for reads and writes; 0 for no limit.
+    /// Creates limits from the calls per second for reads and writes; 0 means no limit.
     #[must_use]
     pub fn new(reads: u32, writes: u32) -> Self {
         Self {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// `take` tells whether a call may pass.
+    /// Takes a token of the limit for this kind and returns whether the call is admitted.
     pub fn try_take(&mut self, now: Instant, call: CallKind) -> bool {
         if call.is_write() {
             return self.writes.try_take(now);
@@ -130,5 +130,5 @@
     }
 }
 
-/// `RETRY_AFTER` is the time that a 429 asks for: a bucket of any rate has a call again by then.
+/// Retry delay sent with status 429: a bucket of any rate has a token again after one second.
 pub const RETRY_AFTER: Duration = Duration::from_secs(1);
--- a/crates/peppercrank-standin/src/platform/serve.rs
+++ b/crates/peppercrank-standin/src/platform/serve.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The platform's HTTP side.
+//! HTTP interface of the platform stand-in.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -42,15 +42,15 @@
 use crate::web::ServerHandle;
 use crate::web::TruncationUnit;
 
-/// The longest wait of a watch, in milliseconds.
+/// Maximum wait of a watch, in milliseconds; a longer one is shortened to it.
 pub const MAX_WAIT_MS: u64 = 60_000;
 
-/// `start` serves a platform stand-in on the caller's runtime.
+/// Starts a platform stand-in on the caller's runtime.
 ///
 /// # Errors
 ///
-/// Returns [`Error::Listen`] when the address cannot be taken, [`Error::Switch`] for a fault
-/// that a platform does not have.
+/// Returns [`Error::Listen`] if it cannot listen on the address and
+/// [`Error::UnsupportedFault`] for a fault that the platform does not support.
 pub async fn start(settings: PlatformSettings) -> Result<ServerHandle> {
     settings.faults.check(StandinKind::Platform)?;
     let vms = VmList {
@@ -74,7 +74,7 @@
     web::serve(settings.listen, handler, std::future::pending()).await
 }
 
-/// `State` is the store and what goes with it.
+/// Mutable state of the platform.
 #[derive(Debug)]
 struct State {
     store: Store,
@@ -84,24 +84,24 @@
     faults: Faults,
 }
 
-/// `Shared` is what all calls share.
+/// State shared by all calls.
 #[derive(Debug)]
 struct Shared {
     clock: Clock,
     vms_lag: Duration,
-    /// Tells waiting watches to look again.
+    /// Notifies waiting watches of writes and of changed faults.
     changes: watch::Sender<()>,
     state: Mutex<State>,
 }
 
-/// `Target` is what a call of the API is about.
+/// Resource that an API call addresses.
 enum Resource<'a> {
     Object { kind: &'a str, name: &'a str },
     Kind(&'a str),
     Vms,
 }
 
-/// `VmsBody` is the body that sets the VM list.
+/// Body of the call that sets the VM list.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct VmsBody {
@@ -113,7 +113,7 @@
         web::lock(&self.state)
     }
 
-    /// What becomes of a call, which is counted.
+    /// Counts a call and returns the faults that apply to it.
     fn plan_call(&self, call: CallKind) -> FaultPlan {
         self.state().plan_call(self.clock.now(), call)
     }
@@ -135,14 +135,14 @@
         plan
     }
 
-    /// Tells whether an outage has come over waiting watches.
+    /// Returns whether an injected outage applies to watches.
     fn has_watch_outage(&self) -> bool {
         let only = self.faults.only.as_deref();
         self.faults.outage && only.is_none_or(|only| only == CallKind::Watch.code())
     }
 }
 
-/// Answers one call: of the API, or of those that steer the stand-in.
+/// Handles one call of the platform API or of the control endpoints of the stand-in.
 async fn respond(shared: Arc<Shared>, request: Request) -> Reply {
     let path = request.head.uri.path().to_owned();
     let parts: Vec<&str> = path.split('/').skip(1).collect();
@@ -163,7 +163,7 @@
     web::respond_with_faults(plan, TruncationUnit::Bytes, work).await
 }
 
-/// Answers the calls that are no part of the platform's API.
+/// Handles the control endpoints, which are not part of the platform API.
 async fn respond_control(shared: &Shared, request: Request, parts: &[&str]) -> Reply {
     let method = request.head.method.clone();
     let done = match (&method, parts) {
@@ -193,7 +193,7 @@
 async fn set_faults(shared: &Shared, request: Request) -> Result<Reply> {
     let faults = web::read_faults(StandinKind::Platform, request).await?;
     shared.state().faults = faults;
-    // An outage ends the watches that wait.
+    // Waiting watches fail if an outage was enabled.
     shared.changes.send_replace(());
     Ok(web::ok_reply())
 }
@@ -252,7 +252,7 @@
     web::json_reply(&json!({"version": version}))
 }
 
-/// The condition of a write, without which none is done.
+/// Parses the precondition headers of a write; exactly one is required.
 fn parse_condition(headers: &HeaderMap) -> Result<Condition> {
     let invalid = || Error::InvalidParameter("if-match");
     let version = headers.get(header::IF_MATCH);
@@ -268,7 +268,7 @@
     }
 }
 
-/// Answers at once when something is newer, else when something comes or the time is up.
+/// Returns the changes after `since`, or waits until there is one or the time has elapsed.
 async fn watch(shared: &Shared, kind: &str, request: &Request) -> Result<Reply> {
     let uri = &request.head.uri;
     let since = web::query_number(uri, "since")?.unwrap_or(0);
--- a/crates/peppercrank-standin/src/platform/settings.rs
+++ b/crates/peppercrank-standin/src/platform/settings.rs
@@ -12,28 +12,29 @@
 use crate::faults::Faults;
 use crate::platform::vms::Vm;
 
-/// `PlatformSettings` are the settings of one platform stand-in.
+/// Settings of a platform stand-in.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlatformSettings {
-    /// Where it listens; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// The VMs at the start.
+    /// VM list at the start.
     pub vms: Vec<Vm>,
-    /// Age of the VM list that callers see, in milliseconds.
+    /// Delay until a change of the VM list becomes visible to callers, in milliseconds.
     pub vms_lag_ms: u64,
-    /// Reads a second, watches included; 0 for no limit.
+    /// Limit of reads per second, including watches; 0 means no limit.
     pub reads: u32,
-    /// Writes a second; 0 for no limit.
+    /// Limit of writes per second; 0 means no limit.
     pub writes: u32,
-    /// Tombstones kept of each kind.
+    /// Number of tombstones retained for each kind.
     pub tombstones: usize,
-    /// Faults from the start.
+    /// Faults that are active at the start.
     pub faults: Faults,
 }
 
 impl Default for PlatformSettings {
-    /// The rates are those that the platform's users give: several hundred writes, 2,000 reads.
+    /// Returns defaults with the rates that users of the platform report: several hundred writes
+    /// and 2,000 reads per second.
     fn default() -> Self {
         Self {
             listen: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
--- a/crates/peppercrank-standin/src/platform/store.rs
+++ b/crates/peppercrank-standin/src/platform/store.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The objects: store-wide versions, conditional writes, tombstones.
+//! Object store with store-wide versions, conditional writes and tombstones.
 
 use std::collections::BTreeMap;
 
@@ -12,51 +12,52 @@
 use crate::Error;
 use crate::Result;
 
-/// The longest value, in bytes of JSON text: a megabyte, as the platform says.
+/// Maximum size of a value, in bytes of JSON text: one megabyte, the limit that the platform
+/// documents.
 pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// `Condition` is what must hold for a write.
+/// Precondition of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
-    /// The object is absent or a tombstone.
+    /// The object is absent or deleted.
     Absent,
-    /// The object has this version and is no tombstone.
+    /// The object has this version and is not deleted.
     Version(u64),
 }
 
-/// `Object` is one object of one kind.
+/// An object or its tombstone.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Object {
-    /// Its name.
+    /// Name of the object, unique within its kind.
     pub name: String,
-    /// The version of its last write.
+    /// Version of its last write.
     pub version: u64,
-    /// Its body; absent for a tombstone.
+    /// Body of the object; absent for a tombstone.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub body: Option<Value>,
 }
 
-/// `Listing` is the objects of one kind at one revision of the store.
+/// Objects of one kind at one revision of the store.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Listing {
-    /// The store's revision: the version of its last write.
+    /// Revision of the store: the version of its last write.
     pub revision: u64,
-    /// The objects.
+    /// Objects and tombstones, sorted by name.
     pub objects: Vec<Object>,
 }
 
-/// `Store` holds the objects; each write takes the next version of the whole store.
+/// In-memory object store; each write takes the next version of the whole store.
 #[derive(Debug)]
 pub struct Store {
     revision: u64,
-    /// Tombstones up to this version may be gone.
+    /// Tombstones up to this version may have been pruned.
     pruned_through: u64,
     max_tombstones: usize,
     kinds: BTreeMap<String, BTreeMap<String, Object>>,
 }
 
 impl Store {
-    /// `new` makes an empty store that keeps at most `tombstones` tombstones of each kind.
+    /// Creates an empty store that retains at most `max_tombstones` tombstones of each kind.
     #[must_use]
     pub const fn new(max_tombstones: usize) -> Self {
         Self {
@@ -67,18 +68,18 @@
         }
     }
 
-    /// `get` finds an object that is no tombstone.
+    /// Returns an object, or `None` if it is absent or deleted.
     #[must_use]
     pub fn get(&self, kind: &str, name: &str) -> Option<&Object> {
         let object = self.kinds.get(kind)?.get(name)?;
         object.body.is_some().then_some(object)
     }
 
-    /// `put` writes a body and returns its version.
+    /// Writes an object and returns its new version.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Conflict`] with the object as it is when the condition does not hold.
+    /// Returns [`Error::Conflict`] with the current object if the condition does not hold.
     pub fn put(
         &mut self,
         kind: &str,
@@ -90,11 +91,11 @@
         Ok(self.write(kind, name, Some(body)))
     }
 
-    /// `delete` leaves a tombstone and returns its version.
+    /// Replaces an object with a tombstone and returns the version of the tombstone.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Conflict`] with the object as it is when the condition does not hold.
+    /// Returns [`Error::Conflict`] with the current object if the condition does not hold.
     pub fn delete(&mut self, kind: &str, name: &str, condition: Condition) -> Result<u64> {
         self.check_condition(kind, name, condition)?;
         let version = self.write(kind, name, None);
@@ -102,18 +103,18 @@
         Ok(version)
     }
 
-    /// `list` is all objects of a kind, tombstones included.
+    /// Returns all objects of a kind, including tombstones.
     #[must_use]
     pub fn list(&self, kind: &str) -> Listing {
         self.objects_since(kind, 0)
     }
 
-    /// `newer` is the objects of a kind written after `since`.
+    /// Returns the objects of a kind written after `since`, including tombstones.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::TooOld`] when tombstones since then may be gone, or when the store
-    /// never was at `since`, as after its restart.
+    /// Returns [`Error::WatchTooOld`] if tombstones since then may have been pruned, or if
+    /// `since` is newer than the store, as after a restart of the store.
     pub fn list_since(&self, kind: &str, since: u64) -> Result<Listing> {
         if since < self.pruned_through || since > self.revision {
             return Err(Error::WatchTooOld);
@@ -163,7 +164,7 @@
         self.revision
     }
 
-    /// Forgets the oldest tombstones of a kind past the number that is kept.
+    /// Removes the oldest tombstones of a kind that exceed the limit.
     fn prune_tombstones(&mut self, kind: &str) {
         let Some(objects) = self.kinds.get_mut(kind) else {
             return;
--- a/crates/peppercrank-standin/src/platform/vms.rs
+++ b/crates/peppercrank-standin/src/platform/vms.rs
@@ -1,43 +1,43 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The list of live and leaving VMs.
+//! The list of running VMs and those that are about to be removed.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// `VmRole` is what runs on a VM.
+/// Process that runs on a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmRole {
     /// A router.
     Router,
-    /// An agent beside its target.
+    /// An agent next to its target.
     Agent,
 }
 
-/// `Vm` is one VM.
+/// Entry of the VM list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Vm {
-    /// Its name.
+    /// Name of the VM.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: String,
-    /// The address of the process on it.
+    /// Address of the process on the VM.
     pub address: String,
-    /// What runs on it.
+    /// Process that runs on the VM.
     pub role: VmRole,
-    /// Whether it is about to go.
+    /// Whether the VM is about to be removed; false if absent.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// `VmList` is all VMs at one revision of the list.
+/// All VMs at one revision of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct VmList {
-    /// The revision; each change of the list takes the next.
+    /// Revision of the list, incremented by each change.
     pub revision: u64,
-    /// The VMs.
+    /// Entries in the order in which they were set.
     pub vms: Vec<Vm>,
 }
--- a/crates/peppercrank-standin/src/runs.rs
+++ b/crates/peppercrank-standin/src/runs.rs
@@ -1,42 +1,42 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! How often each request ran.
+//! Counts of how often each request ran.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
 use serde::Serialize;
 
-/// Ids that are counted at once; past it the oldest is forgotten.
+/// Maximum number of ids that are tracked; beyond it the oldest is discarded.
 ///
-/// An id of 32 digits takes some 150 bytes with its places in map and queue: 15 MB in all.
+/// An id of 32 digits takes about 150 bytes including its map and queue entries: 15 MB in total.
 pub const MAX_TRACKED_IDS: usize = 100_000;
 
-/// `Tags` are the ids that one call carries.
+/// The ids that one call carries.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestIds {
-    /// The attempt, `x-request-id`.
+    /// Id of the attempt, from `x-request-id`.
     pub attempt: String,
-    /// The caller's request, `x-peppercrank-request`.
+    /// Id of the caller's request, from `x-peppercrank-request`.
     pub request: Option<String>,
-    /// The caller's `Idempotency-Key`.
+    /// The caller's idempotency key, from `Idempotency-Key`.
     pub idempotency_key: Option<String>,
 }
 
-/// `Runs` counts how often work ran, by attempt, request and idempotency key.
+/// Counts how often work ran, by attempt, request and idempotency key.
 #[derive(Debug, Default, Serialize)]
 pub struct RunCounts {
     attempts: BTreeMap<String, u32>,
     requests: BTreeMap<String, u32>,
     keys: BTreeMap<String, u32>,
-    /// All runs, those of forgotten ids included.
+    /// All runs, including those of discarded ids.
     total: u64,
     #[serde(skip)]
     order: VecDeque<(IdKind, String)>,
 }
 
-/// `Column` is what an id names.
+/// What an id identifies.
 #[derive(Debug, Clone, Copy)]
 enum IdKind {
     Attempt,
@@ -44,19 +44,19 @@
     IdempotencyKey,
 }
 
-/// `Count` is how often the work of one id ran, by what the id names.
+/// How often work with one id ran, by what the id identifies.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct IdRunCounts {
-    /// Runs with this `x-request-id`.
+    /// Runs with this id as `x-request-id`.
     pub attempts: u32,
-    /// Runs with this `x-peppercrank-request`.
+    /// Runs with this id as `x-peppercrank-request`.
     pub requests: u32,
-    /// Runs with this `Idempotency-Key`.
+    /// Runs with this id as `Idempotency-Key`.
     pub keys: u32,
 }
 
 impl RunCounts {
-    /// `add` counts one run under each of its ids and returns the runs of its attempt.
+    /// Counts one run under each of its ids and returns the number of runs of its attempt.
     pub fn record_run(&mut self, ids: &RequestIds) -> u32 {
         self.total += 1;
         if let Some(request) = &ids.request {
@@ -68,7 +68,7 @@
         self.increment(IdKind::Attempt, &ids.attempt)
     }
 
-    /// `count` is how often the work of `id` ran.
+    /// Returns how often work with `id` ran; zero for unknown and discarded ids.
     #[must_use]
     pub fn count(&self, id: &str) -> IdRunCounts {
         let count_in = |map: &BTreeMap<String, u32>| map.get(id).copied().unwrap_or_default();
--- a/crates/peppercrank-standin/src/service.rs
+++ b/crates/peppercrank-standin/src/service.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The plain service's stand-in: it echoes every call and counts how often each ran.
+//! Stand-in for a plain service: it echoes every call and counts how often each ran.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -35,18 +35,18 @@
 use crate::web::ServerHandle;
 use crate::web::TruncationUnit;
 
-/// The header by which a caller asks for a status, so that pass-through of it can be tested.
+/// Request header that sets the response status, to test that statuses are passed through.
 pub const STATUS_HEADER: &str = "x-standin-status";
 
-/// `ServiceSettings` are the settings of one plain service stand-in.
+/// Settings of a plain service stand-in.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServiceSettings {
-    /// Where it listens; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Time of one call, in milliseconds.
+    /// Processing time of one call, in milliseconds.
     pub work_ms: u64,
-    /// Faults from the start.
+    /// Faults that are active at the start.
     pub faults: Faults,
 }
 
@@ -60,25 +60,25 @@
     }
 }
 
-/// `Echo` is the answer to one call.
+/// Response to one call.
 #[derive(Debug, Clone, Serialize)]
 struct Echo {
     method: String,
     /// Path and query.
     path: String,
-    /// The first 16 hexadecimal digits of the body's SHA-256.
+    /// The first 16 hexadecimal digits of the SHA-256 of the request body.
     digest: String,
-    /// The body's length, in bytes.
+    /// The length of the request body, in bytes.
     bytes: usize,
-    /// The caller's request, `x-peppercrank-request`, or else the attempt.
+    /// Id of the caller's request, from `x-peppercrank-request`, or else of the attempt.
     request: String,
-    /// The attempt, `x-request-id`.
+    /// Id of the attempt, from `x-request-id`, or a generated one.
     attempt: String,
-    /// How often this attempt ran, this time included.
+    /// How often this attempt ran, including this run.
     runs: u32,
 }
 
-/// `State` is what the service remembers.
+/// Mutable state of the service.
 #[derive(Debug)]
 struct State {
     faults: Faults,
@@ -88,14 +88,14 @@
     previous: Option<Echo>,
 }
 
-/// `Shared` is what all calls share.
+/// State shared by all calls.
 #[derive(Debug)]
 struct Shared {
     work_time: Duration,
     state: Mutex<State>,
 }
 
-/// `Work` counts a call as running until it is dropped.
+/// Counts a call as running until the guard is dropped.
 struct RunningGuard<'a>(&'a Shared);
 
 impl Drop for RunningGuard<'_> {
@@ -110,12 +110,12 @@
     }
 }
 
-/// `start` serves a plain service stand-in on the caller's runtime.
+/// Starts a plain service stand-in on the caller's runtime.
 ///
 /// # Errors
 ///
-/// Returns [`Error::Listen`] when the address cannot be taken, [`Error::Switch`] for a fault
-/// that a plain service does not have.
+/// Returns [`Error::Listen`] if it cannot listen on the address and
+/// [`Error::UnsupportedFault`] for a fault that a plain service does not support.
 pub async fn start(settings: ServiceSettings) -> Result<ServerHandle> {
     settings.faults.check(StandinKind::Service)?;
     let shared = Arc::new(Shared {
@@ -132,7 +132,7 @@
     web::serve(settings.listen, handler, std::future::pending()).await
 }
 
-/// Answers one call.
+/// Handles one call.
 async fn respond(shared: Arc<Shared>, call: Call) -> Reply {
     let path = call.head.uri.path().to_owned();
     let parts: Vec<&str> = path.split('/').skip(1).collect();
@@ -168,13 +168,13 @@
     }
 }
 
-/// The load report; a plain service takes in all and keeps none waiting.
+/// Returns the load report; a plain service has no queue, so no call is ever waiting.
 fn load_report(shared: &Shared) -> Reply {
     let running = shared.state().running;
     web::json_reply(&json!({"incarnation": 0, "running": running, "waiting": 0, "tokens": 0}))
 }
 
-/// Does one call's work, which is to be counted, and echoes the call.
+/// Runs and counts the work of one call and echoes the call.
 async fn perform_call(shared: &Shared, call: Call, plan: FaultPlan) -> Result<Reply> {
     let head = call.head.clone();
     let bytes = web::read_body(call).await?;
@@ -208,7 +208,7 @@
     }
 }
 
-/// The answer to a call, or another's.
+/// Returns the response to a call with the id and content that the faults select.
 fn echo_reply(
     identity: ResponseIdentity,
     echo: Echo,
@@ -233,7 +233,7 @@
         return Ok(StatusCode::OK);
     };
     match StatusCode::from_bytes(text.as_bytes()) {
-        // Those below 200 would not end the call.
+        // A status below 200 is informational and would not end the call.
         Ok(status) if status.as_u16() >= 200 => Ok(status),
         _ => Err(Error::InvalidParameter(STATUS_HEADER)),
     }
--- a/crates/peppercrank-standin/src/web.rs
+++ b/crates/peppercrank-standin/src/web.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What the stand-ins share on their HTTP side.
+//! HTTP helpers shared by the stand-ins.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -46,33 +46,34 @@
 use crate::runs::RequestIds;
 use crate::runs::RunCounts;
 
-/// Time left to answers in progress when a stand-in is told to stop.
+/// Time that responses in progress have to finish when a stand-in is stopped.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// `Running` is a stand-in that serves until it is stopped or dropped.
+/// Handle of a running stand-in, which serves until it is stopped, killed or dropped.
 #[derive(Debug)]
 pub struct ServerHandle {
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
     stopper: Stopper,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl ServerHandle {
-    /// `stop` lets answers in progress end, for two seconds at most, and returns when all has.
+    /// Stops listening, waits up to two seconds for responses in progress and returns when all
+    /// tasks have ended.
     pub async fn stop(mut self) {
         self.stopper.stop();
         for task in std::mem::take(&mut self.tasks) {
-            // A task that failed has stopped as well.
+            // A task that panicked has also ended.
             let _over = task.await;
         }
     }
 
-    /// `kill` closes all connections at once, as a killed process would, and listens no more.
+    /// Stops listening and closes all connections at once, as a killed process would.
     pub async fn kill(mut self) {
         for task in std::mem::take(&mut self.tasks) {
             task.abort();
-            // It returns once what the task held is dropped.
+            // Awaiting the task ensures that everything it held is dropped.
             let _over = task.await;
         }
     }
@@ -86,7 +87,7 @@
     }
 }
 
-/// `serve` starts an edge on the caller's runtime, with `also` beside it.
+/// Serves `handler` on the caller's runtime and runs `background` next to it.
 pub(crate) async fn serve<F, R, A>(
     listen: SocketAddr,
     handler: F,
@@ -106,7 +107,7 @@
     };
     let edge_signal = signal.clone();
     let edge_task = tokio::spawn(async move {
-        // How many were cut is of no interest to a stand-in.
+        // A stand-in does not report how many connections were cut.
         let _finished = edge.serve(limits, edge_signal, handler).await;
     });
     let background_task = tokio::spawn(async move {
@@ -122,7 +123,7 @@
     })
 }
 
-/// `Clock` turns the process's clock into moments.
+/// Monotonic clock that starts at zero.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock(StdInstant);
 
@@ -135,25 +136,26 @@
         Instant::from_origin(self.0.elapsed())
     }
 
-    /// The clock's reading at a moment.
+    /// Converts a time of this clock to a tokio instant.
     pub(crate) fn to_tokio_instant(self, at: Instant) -> tokio::time::Instant {
         tokio::time::Instant::from_std(self.0 + at.since_origin())
     }
 }
 
-/// `lock` takes a lock; what a panicked holder left is still whole enough for a stand-in.
+/// Locks a mutex and ignores poisoning: the state is still consistent enough for a stand-in after
+/// a panic.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// `reply` is a JSON answer.
+/// Returns a JSON response with status 200.
 pub(crate) fn json_reply<T: Serialize>(value: &T) -> Reply {
     json_reply_with_status(StatusCode::OK, value)
 }
 
-/// `with_status` is a JSON answer of another status.
+/// Returns a JSON response with the given status.
 pub(crate) fn json_reply_with_status<T: Serialize>(status: StatusCode, value: &T) -> Reply {
-    // Only maps with keys that are no strings fail, and none is answered.
+    // Serialization fails only for maps with keys that are not strings, which no response has.
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     let mut reply = Reply::new(body::full(bytes));
     *reply.status_mut() = status;
@@ -162,7 +164,7 @@
     reply
 }
 
-/// `failed` is the answer that tells of an error.
+/// Returns the response for an error.
 pub(crate) fn error_reply(error: &Error) -> Reply {
     let status = StatusCode::from_u16(error.status());
     let mut reply = json_reply_with_status(
@@ -176,9 +178,9 @@
     reply
 }
 
-/// `dropped` closes the connection without an answer.
+/// Returns a response that closes the connection before anything is sent.
 ///
-/// A body that fails at once fails before its head is flushed.
+/// A body that fails on the first poll fails before the response head is flushed.
 pub(crate) fn closed_connection() -> Reply {
     Reply::new(truncated_body(
         body::empty(),
@@ -188,7 +190,7 @@
     ))
 }
 
-/// `play` does a call's work and answers it as the switches say.
+/// Runs the work of a call and applies its faults to the response.
 pub(crate) async fn respond_with_faults<W>(plan: FaultPlan, unit: TruncationUnit, work: W) -> Reply
 where
     W: Future<Output = Result<Reply>>,
@@ -211,16 +213,18 @@
     }
 }
 
-/// `Unit` is what a cut counts.
+/// Unit of the length at which a body is truncated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TruncationUnit {
-    /// Frames, each of which is an event.
+    /// Body frames; each is one event.
     Frames,
-    /// Bytes.
+    /// Bytes of the body.
     Bytes,
 }
 
-/// `cut` breaks a body off after so many frames or bytes.
+/// Wraps a body so that it fails after `remaining` frames or bytes.
+///
+/// With `flush_first` the data so far is sent before the failure.
 fn truncated_body(inner: Body, remaining: u32, unit: TruncationUnit, flush_first: bool) -> Body {
     TruncatedBody {
         inner,
@@ -231,7 +235,7 @@
     .boxed_unsync()
 }
 
-/// `Cut` is a body that breaks off.
+/// Body that fails after a limited number of frames or bytes.
 struct TruncatedBody {
     inner: Body,
     remaining: usize,
@@ -251,7 +255,7 @@
             if !self.flush_first {
                 return Poll::Ready(Some(Err(peppercrank_wire::Error::Aborted)));
             }
-            // The server flushes what it has when a body has to wait.
+            // The server flushes its buffer when a body is pending.
             self.flush_first = false;
             cx.waker().wake_by_ref();
             return Poll::Pending;
@@ -275,15 +279,15 @@
 
     fn size_hint(&self) -> SizeHint {
         if self.remaining == 0 && !self.flush_first {
-            // A body known to be empty would never be polled, and so never fail.
+            // A body with a known length of 0 would never be polled and so would not fail.
             return SizeHint::default();
         }
-        // Without a length the broken body would be a chunked one, whatever it was before.
+        // Without the length of the inner body the truncated one would always be sent chunked.
         self.inner.size_hint()
     }
 }
 
-/// `read` reads a call's body.
+/// Reads the body of a call.
 pub(crate) async fn read_body(call: Call) -> Result<Bytes> {
     call.body
         .read()
@@ -291,13 +295,13 @@
         .map_err(|e| Error::InvalidBody(e.to_string()))
 }
 
-/// `header` is a header's text, if it has one.
+/// Returns the value of a header, or `None` if it is absent or not text.
 pub(crate) fn header_text(headers: &HeaderMap, name: &str) -> Option<String> {
     let value = headers.get(name)?.to_str().ok()?;
     Some(value.to_owned())
 }
 
-/// `tags` are the ids that a call carries; one without an attempt's id gets `spare`.
+/// Returns the ids that a call carries; `fallback` becomes the attempt id if it has none.
 pub(crate) fn request_ids(headers: &HeaderMap, fallback: u64) -> RequestIds {
     let attempt = header_text(headers, "x-request-id");
     RequestIds {
@@ -307,7 +311,7 @@
     }
 }
 
-/// `number` is a number of the query, or `None` when it is not there.
+/// Returns a numeric query parameter, or `None` if it is absent.
 pub(crate) fn query_number(uri: &Uri, name: &'static str) -> Result<Option<u64>> {
     let query = uri.query().unwrap_or_default();
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -320,7 +324,7 @@
     }
 }
 
-/// `runs_of` answers `GET /runs` and `GET /runs/{id}`.
+/// Returns the response to `GET /runs` and `GET /runs/{id}`.
 pub(crate) fn run_counts_reply(runs: &RunCounts, id: Option<&str>) -> Reply {
     match id {
         Some(id) => json_reply(&json!({"id": id, "runs": runs.count(id)})),
@@ -328,23 +332,23 @@
     }
 }
 
-/// `set_faults` answers `PUT /faults`.
+/// Reads and checks the body of `PUT /faults`.
 pub(crate) async fn read_faults(role: StandinKind, call: Call) -> Result<Faults> {
     let bytes = read_body(call).await?;
     Faults::parse(role, &bytes)
 }
 
-/// `parse` reads a JSON body.
+/// Parses a JSON body.
 pub(crate) fn parse_json<T: serde::de::DeserializeOwned>(bytes: &Bytes) -> Result<T> {
     serde_json::from_slice(bytes).map_err(|e| crate::errors::body_error(&e))
 }
 
-/// `ok` is the answer to what has no other.
+/// Returns the response to a successful call that has no other result.
 pub(crate) fn ok_reply() -> Reply {
     json_reply(&json!({"ok": true}))
 }
 
-/// `other` is another id than this one, as well formed.
+/// Returns a well-formed id that differs from `id`.
 pub(crate) fn different_id(id: &str) -> String {
     let first = if id.starts_with('0') { '1' } else { '0' };
     first.to_string() + id.get(1..).unwrap_or_default()
