--- a/crates/peppercrank-cli/src/verbs/local.rs
+++ b/crates/peppercrank-cli/src/verbs/local.rs
@@ -33,7 +33,7 @@
 use peppercrank_settings::fleet::LogLevel;
 use peppercrank_settings::fleet::PlatformApiSettings;
 use peppercrank_settings::keys::Key;
-use peppercrank_standin::Running;
+use peppercrank_standin::ServerHandle;
 use peppercrank_standin::engine;
 use peppercrank_standin::engine::EngineSettings;
 use peppercrank_standin::platform;
@@ -68,8 +68,8 @@
 /// A running fleet with agents.
 struct AgentFleet {
     stopper: Stopper,
-    platform: Running,
-    targets: Vec<Running>,
+    platform: ServerHandle,
+    targets: Vec<ServerHandle>,
     agents: Vec<agent::Running>,
     routers: Vec<router::Running>,
 }
@@ -188,7 +188,7 @@
         name: &str,
         pool: &str,
         kind: TargetKind,
-        target: Running,
+        target: ServerHandle,
         stop: &Stop,
     ) -> Result<()> {
         let target_settings = TargetSettings {
--- a/crates/peppercrank-standin/src/engine/cache.rs
+++ b/crates/peppercrank-standin/src/engine/cache.rs
@@ -1,64 +1,67 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The prefix cache: blocks in limited memory, the least recently used evicted first.
+//! Prefix cache with a fixed number of blocks and LRU eviction.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
-/// `Cache` holds blocks by their chained hashes.
+/// Set of cached blocks, identified by their chained hashes.
 ///
-/// Unlike a real engine's, it may evict blocks that a running chat uses.
+/// Unlike the cache of a real engine, it may evict blocks that a running chat uses.
 #[derive(Debug)]
-pub struct Cache {
-    limit: usize,
-    stamp: u64,
-    blocks: HashMap<u64, u64>,
-    order: BTreeMap<u64, u64>,
+pub struct PrefixCache {
+    capacity: usize,
+    last_use: u64,
+    use_by_block: HashMap<u64, u64>,
+    block_by_use: BTreeMap<u64, u64>,
 }
 
-impl Cache {
-    /// `new` makes an empty cache of at most `limit` blocks.
+impl PrefixCache {
+    /// Creates an empty cache of at most `capacity` blocks.
     #[must_use]
-    pub fn new(limit: usize) -> Self {
+    pub fn new(capacity: usize) -> Self {
         Self {
-            limit,
-            stamp: 0,
-            blocks: HashMap::new(),
-            order: BTreeMap::new(),
+            capacity,
+            last_use: 0,
+            use_by_block: HashMap::new(),
+            block_by_use: BTreeMap::new(),
         }
     }
 
-    /// `hits` is how many leading blocks of `chain` are held.
+    /// Returns how many leading blocks of `blocks` are cached.
     #[must_use]
-    pub fn hits(&self, chain: &[u64]) -> usize {
-        chain.iter().take_while(|block| self.holds(**block)).count()
+    pub fn cached_prefix(&self, blocks: &[u64]) -> usize {
+        blocks
+            .iter()
+            .take_while(|block| self.contains(**block))
+            .count()
     }
 
-    /// `holds` tells whether one block is held.
+    /// Returns whether a block is cached.
     #[must_use]
-    pub fn holds(&self, block: u64) -> bool {
-        self.blocks.contains_key(&block)
+    pub fn contains(&self, block: u64) -> bool {
+        self.use_by_block.contains_key(&block)
     }
 
-    /// `store` takes in or freshens a chain and returns the blocks that had to go.
-    pub fn store(&mut self, chain: &[u64]) -> Vec<u64> {
-        // From the end, so that of one chain the tail is the older and goes first.
-        for block in chain.iter().rev() {
-            self.stamp += 1;
-            if let Some(old) = self.blocks.insert(*block, self.stamp) {
-                self.order.remove(&old);
+    /// Inserts the blocks of a text or marks them as used, and returns the blocks evicted.
+    pub fn insert(&mut self, blocks: &[u64]) -> Vec<u64> {
+        // In reverse order, so that the tail of a text is older than its head and evicted first.
+        for block in blocks.iter().rev() {
+            self.last_use += 1;
+            if let Some(old) = self.use_by_block.insert(*block, self.last_use) {
+                self.block_by_use.remove(&old);
             }
-            self.order.insert(self.stamp, *block);
+            self.block_by_use.insert(self.last_use, *block);
         }
-        let over = self.blocks.len().saturating_sub(self.limit);
-        let gone: Vec<u64> = (0..over)
-            .filter_map(|_| self.order.pop_first())
+        let excess = self.use_by_block.len().saturating_sub(self.capacity);
+        let evicted: Vec<u64> = (0..excess)
+            .filter_map(|_| self.block_by_use.pop_first())
             .map(|(_, block)| block)
             .collect();
-        for block in &gone {
-            self.blocks.remove(block);
+        for block in &evicted {
+            self.use_by_block.remove(block);
         }
-        gone
+        evicted
     }
 }
--- a/crates/peppercrank-standin/src/engine/prompt.rs
+++ b/crates/peppercrank-standin/src/engine/prompt.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What a chat's body asks for, its prompt as text, and its tokens.
+//! Parsing of chat bodies, and the prompt with its tokens and block hashes.
 
 use std::fmt::Write;
 
@@ -14,80 +14,81 @@
 use crate::Result;
 use crate::errors;
 
-/// Bytes of prompt text that make one token.
-pub const TOKEN_BYTES: usize = 4;
+/// Bytes of prompt text per token.
+pub const BYTES_PER_TOKEN: usize = 4;
 
-/// `Message` is one message of a chat.
+/// One message of a chat.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct Message {
-    /// Who speaks.
+    /// Role of the author.
     #[serde(default)]
     pub role: String,
-    /// A text, or parts with texts.
+    /// Text, or an array of parts of which those with a text count.
     #[serde(default)]
     pub content: Value,
 }
 
-/// `ChatBody` is the part of an OpenAI-style body that the stand-in heeds.
+/// The fields of an OpenAI-style request body that the stand-in uses.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct ChatBody {
-    /// The model.
+    /// Name of the model.
     #[serde(default)]
     pub model: String,
-    /// The chat so far.
+    /// Messages of the chat so far, oldest first.
     pub messages: Vec<Message>,
     /// Whether the answer is streamed.
     #[serde(default)]
     pub stream: bool,
-    /// Tokens to generate.
+    /// Number of tokens to generate; the setting of the engine if absent.
     #[serde(default)]
     pub max_tokens: Option<u32>,
-    /// The newer name of `max_tokens`, which goes before it.
+    /// The newer name of `max_tokens`, which takes precedence over it.
     #[serde(default)]
     pub max_completion_tokens: Option<u32>,
 }
 
 impl ChatBody {
-    /// `parse` reads a body.
+    /// Parses a JSON body.
     ///
     /// # Errors
     ///
-    /// Returns [`crate::Error::Body`] when it is not a chat.
+    /// Returns [`crate::Error::InvalidBody`] if it is not a chat.
     pub fn parse(bytes: &[u8]) -> Result<Self> {
-        serde_json::from_slice(bytes).map_err(|e| errors::body(&e))
+        serde_json::from_slice(bytes).map_err(|e| errors::body_error(&e))
     }
 
-    /// `prompt` is the text that the engine reads: each message as role and content on lines.
+    /// Returns the prompt text: the role and the content of each message on lines of their own.
     ///
-    /// With the answer and a line's end it is a prefix of the prompt of the chat's next request.
+    /// The prompt followed by the answer and a newline is a prefix of the prompt of the chat's next
+    /// request.
     #[must_use]
     pub fn prompt(&self) -> String {
         let mut text = String::new();
         for message in &self.messages {
             text.push_str(&message.role);
             text.push('\n');
-            text.push_str(&content(message));
+            text.push_str(&message_text(message));
             text.push('\n');
         }
         text.push_str("assistant\n");
         text
     }
 
-    /// `digest` is the first 16 hexadecimal digits of the SHA-256 of the last message's text.
+    /// Returns the first 16 hexadecimal digits of the SHA-256 of the last message's text.
     #[must_use]
     pub fn digest(&self) -> String {
-        let text = self.messages.last().map(content).unwrap_or_default();
+        let text = self.messages.last().map(message_text).unwrap_or_default();
         hex(&Sha256::digest(text.as_bytes())[..8])
     }
 
-    /// `output` is the number of tokens asked for.
+    /// Returns the number of tokens requested, or `None` if the body sets no limit.
     #[must_use]
-    pub fn output(&self) -> Option<u32> {
+    pub fn requested_tokens(&self) -> Option<u32> {
         self.max_completion_tokens.or(self.max_tokens)
     }
 }
 
-/// `hex` writes bytes as lower-case hexadecimal digits.
+/// Encodes bytes as lower-case hexadecimal digits.
 #[must_use]
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
@@ -97,8 +98,8 @@
     })
 }
 
-/// The text of a message's content, its parts joined.
-fn content(message: &Message) -> String {
+/// Returns the text of a message, with its parts concatenated.
+fn message_text(message: &Message) -> String {
     match &message.content {
         Value::String(text) => text.clone(),
         Value::Array(parts) => parts.iter().filter_map(|p| p["text"].as_str()).collect(),
@@ -106,21 +107,22 @@
     }
 }
 
-/// `tokens` is the number of tokens of a text of `bytes` bytes.
+/// Returns the number of tokens of a text of `bytes` bytes.
 #[must_use]
-pub const fn tokens(bytes: usize) -> u64 {
-    bytes.div_ceil(TOKEN_BYTES) as u64
+pub const fn token_count(bytes: usize) -> u64 {
+    bytes.div_ceil(BYTES_PER_TOKEN) as u64
 }
 
-/// `chain` hashes each whole block of `text` together with all before it.
+/// Returns the chained hash of each complete block of `text`, which covers the model and all blocks
+/// before it.
 #[must_use]
-pub fn chain(model: &str, text: &str, block_tokens: usize) -> Vec<u64> {
-    let mut key = hash64(0, model.as_bytes());
+pub fn block_hashes(model: &str, text: &str, block_tokens: usize) -> Vec<u64> {
+    let mut hash = hash64(0, model.as_bytes());
     text.as_bytes()
-        .chunks_exact(block_tokens * TOKEN_BYTES)
+        .chunks_exact(block_tokens * BYTES_PER_TOKEN)
         .map(|block| {
-            key = hash64(key, block);
-            key
+            hash = hash64(hash, block);
+            hash
         })
         .collect()
 }
--- a/crates/peppercrank-standin/src/engine/stream.rs
+++ b/crates/peppercrank-standin/src/engine/stream.rs
@@ -1,73 +1,73 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One request to the engine and the stream that answers it.
+//! A chat request and the stream that answers it.
 
 use peppercrank_core::time::Instant;
 
 use crate::engine::answer::Answer;
 use crate::engine::answer::Usage;
 use crate::engine::prompt::ChatBody;
-use crate::runs::Tags;
+use crate::runs::RequestIds;
 
 slotmap::new_key_type! {
-    /// `StreamKey` finds one stream in its engine.
+    /// Key of a stream within its engine.
     pub struct StreamKey;
 }
 
-/// `Chat` is one request to the engine.
+/// Chat request to the engine.
 #[derive(Debug, Clone, Default)]
-pub struct Chat {
-    /// The ids it carries.
-    pub tags: Tags,
-    /// Its priority, 0 (last) to 9 (first).
+pub struct ChatRequest {
+    /// Ids that the request carries.
+    pub ids: RequestIds,
+    /// Priority, from 0 (lowest) to 9 (highest).
     pub priority: u8,
-    /// The chat's key, by which cache events name its context.
-    pub chat: Option<String>,
-    /// The key of its leading prefix.
-    pub prefix: Option<String>,
-    /// What it asks for.
+    /// Key of the chat in cache events; no events if absent.
+    pub chat_key: Option<String>,
+    /// Key of the shared prefix of its prompt in cache events; no events if absent.
+    pub prefix_key: Option<String>,
+    /// Body of the request.
     pub body: ChatBody,
 }
 
-/// `Phase` is how far a stream has come.
+/// Phase in the life cycle of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// It waits for a slot.
+    /// The stream waits for a slot.
     Waiting,
-    /// It has a slot.
+    /// The stream has a slot.
     Running,
-    /// It was answered whole.
+    /// The answer is complete.
     Done,
-    /// It was cancelled.
+    /// The stream was cancelled.
     Cancelled,
 }
 
-/// `Stream` is one answer in the making, or one that is kept.
+/// Answer that is queued, being generated or retained after its end.
 #[derive(Debug)]
 pub struct Stream {
-    /// The attempt that it answers.
+    /// Id of the attempt that it answers.
     pub id: String,
-    /// How far it has come.
+    /// Current phase.
     pub phase: Phase,
-    /// The text.
+    /// Text of the answer.
     pub answer: Answer,
-    /// What it took so far; `made` is the number of pieces that can be read.
+    /// Token usage so far; `made` is the number of tokens that can be read.
     pub usage: Usage,
     pub(super) model: String,
     pub(super) text: String,
-    pub(super) chain: Vec<u64>,
-    pub(super) tags: Tags,
-    pub(super) chat: Option<String>,
-    pub(super) prefix: Option<String>,
-    pub(super) output: u32,
-    pub(super) rank: (u8, u64),
-    pub(super) due: Instant,
+    pub(super) blocks: Vec<u64>,
+    pub(super) ids: RequestIds,
+    pub(super) chat_key: Option<String>,
+    pub(super) prefix_key: Option<String>,
+    pub(super) output_tokens: u32,
+    pub(super) queue_rank: (u8, u64),
+    pub(super) next_token_at: Instant,
 }
 
 impl Stream {
-    /// Tells how many tokens the whole work has.
-    pub(super) fn tokens(&self) -> u64 {
-        self.usage.prompt + u64::from(self.output)
+    /// Returns the total number of prompt and answer tokens.
+    pub(super) fn total_tokens(&self) -> u64 {
+        self.usage.prompt + u64::from(self.output_tokens)
     }
 }
--- a/crates/peppercrank-standin/src/platform/store.rs
+++ b/crates/peppercrank-standin/src/platform/store.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The objects: store-wide versions, conditional writes, tombstones.
+//! Object store with store-wide versions, conditional writes and tombstones.
 
 use std::collections::BTreeMap;
 
@@ -12,110 +12,117 @@
 use crate::Error;
 use crate::Result;
 
-/// The longest value, in bytes of JSON text: a megabyte, as the platform says.
-pub const MAX_VALUE: usize = 1_000_000;
+/// Maximum size of a value, in bytes of JSON text: one megabyte, the limit that the platform
+/// documents.
+pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// `Condition` is what must hold for a write.
+/// Precondition of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
-    /// The object is absent or a tombstone.
+    /// The object is absent or deleted.
     Absent,
-    /// The object has this version and is no tombstone.
+    /// The object has this version and is not deleted.
     Version(u64),
 }
 
-/// `Object` is one object of one kind.
+/// An object or its tombstone.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Object {
-    /// Its name.
+    /// Name of the object, unique within its kind.
     pub name: String,
-    /// The version of its last write.
+    /// Version of its last write.
     pub version: u64,
-    /// Its body; absent for a tombstone.
+    /// Body of the object; absent for a tombstone.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub body: Option<Value>,
 }
 
-/// `Listing` is the objects of one kind at one revision of the store.
+/// Objects of one kind at one revision of the store.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Listing {
-    /// The store's revision: the version of its last write.
+    /// Revision of the store: the version of its last write.
     pub revision: u64,
-    /// The objects.
+    /// Objects and tombstones, sorted by name.
     pub objects: Vec<Object>,
 }
 
-/// `Store` holds the objects; each write takes the next version of the whole store.
+/// In-memory object store; each write takes the next version of the whole store.
 #[derive(Debug)]
 pub struct Store {
     revision: u64,
-    /// Tombstones up to this version may be gone.
-    horizon: u64,
-    tombstones: usize,
+    /// Tombstones up to this version may have been pruned.
+    pruned_through: u64,
+    max_tombstones: usize,
     kinds: BTreeMap<String, BTreeMap<String, Object>>,
 }
 
 impl Store {
-    /// `new` makes an empty store that keeps at most `tombstones` tombstones of each kind.
+    /// Creates an empty store that retains at most `max_tombstones` tombstones of each kind.
     #[must_use]
-    pub const fn new(tombstones: usize) -> Self {
+    pub const fn new(max_tombstones: usize) -> Self {
         Self {
             revision: 0,
-            horizon: 0,
-            tombstones,
+            pruned_through: 0,
+            max_tombstones,
             kinds: BTreeMap::new(),
         }
     }
 
-    /// `get` finds an object that is no tombstone.
+    /// Returns an object, or `None` if it is absent or deleted.
     #[must_use]
     pub fn get(&self, kind: &str, name: &str) -> Option<&Object> {
         let object = self.kinds.get(kind)?.get(name)?;
         object.body.is_some().then_some(object)
     }
 
-    /// `put` writes a body and returns its version.
+    /// Writes an object and returns its new version.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Conflict`] with the object as it is when the condition does not hold.
-    pub fn put(&mut self, kind: &str, name: &str, on: Condition, body: Value) -> Result<u64> {
-        self.check(kind, name, on)?;
+    /// Returns [`Error::Conflict`] with the current object if the condition does not hold.
+    pub fn put(
+        &mut self,
+        kind: &str,
+        name: &str,
+        condition: Condition,
+        body: Value,
+    ) -> Result<u64> {
+        self.check_condition(kind, name, condition)?;
         Ok(self.write(kind, name, Some(body)))
     }
 
-    /// `delete` leaves a tombstone and returns its version.
+    /// Replaces an object with a tombstone and returns the version of the tombstone.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Conflict`] with the object as it is when the condition does not hold.
-    pub fn delete(&mut self, kind: &str, name: &str, on: Condition) -> Result<u64> {
-        self.check(kind, name, on)?;
+    /// Returns [`Error::Conflict`] with the current object if the condition does not hold.
+    pub fn delete(&mut self, kind: &str, name: &str, condition: Condition) -> Result<u64> {
+        self.check_condition(kind, name, condition)?;
         let version = self.write(kind, name, None);
-        self.prune(kind);
+        self.prune_tombstones(kind);
         Ok(version)
     }
 
-    /// `list` is all objects of a kind, tombstones included.
+    /// Returns all objects of a kind, including tombstones.
     #[must_use]
     pub fn list(&self, kind: &str) -> Listing {
-        self.after(kind, 0)
+        self.objects_since(kind, 0)
     }
 
-    /// `newer` is the objects of a kind written after `since`.
+    /// Returns the objects of a kind written after `since`, including tombstones.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::TooOld`] when tombstones since then may be gone, or when the store
-    /// never was at `since`, as after its restart.
-    pub fn newer(&self, kind: &str, since: u64) -> Result<Listing> {
-        if since < self.horizon || since > self.revision {
-            return Err(Error::TooOld);
+    /// Returns [`Error::WatchTooOld`] if tombstones since then may have been pruned, or if
+    /// `since` is newer than the store, as after a restart of the store.
+    pub fn list_since(&self, kind: &str, since: u64) -> Result<Listing> {
+        if since < self.pruned_through || since > self.revision {
+            return Err(Error::WatchTooOld);
         }
-        Ok(self.after(kind, since))
+        Ok(self.objects_since(kind, since))
     }
 
-    fn after(&self, kind: &str, since: u64) -> Listing {
+    fn objects_since(&self, kind: &str, since: u64) -> Listing {
         let objects = self.kinds.get(kind).into_iter().flat_map(BTreeMap::values);
         Listing {
             revision: self.revision,
@@ -123,10 +130,10 @@
         }
     }
 
-    fn check(&self, kind: &str, name: &str, on: Condition) -> Result<()> {
+    fn check_condition(&self, kind: &str, name: &str, condition: Condition) -> Result<()> {
         let found = self.kinds.get(kind).and_then(|objects| objects.get(name));
         let live = found.filter(|object| object.body.is_some());
-        let holds = match on {
+        let holds = match condition {
             Condition::Absent => live.is_none(),
             Condition::Version(version) => live.is_some_and(|object| object.version == version),
         };
@@ -157,19 +164,19 @@
         self.revision
     }
 
-    /// Forgets the oldest tombstones of a kind past the number that is kept.
-    fn prune(&mut self, kind: &str) {
+    /// Removes the oldest tombstones of a kind that exceed the limit.
+    fn prune_tombstones(&mut self, kind: &str) {
         let Some(objects) = self.kinds.get_mut(kind) else {
             return;
         };
-        let gone = objects.values().filter(|object| object.body.is_none());
-        let mut versions: Vec<u64> = gone.map(|object| object.version).collect();
-        if versions.len() <= self.tombstones {
+        let deleted = objects.values().filter(|object| object.body.is_none());
+        let mut versions: Vec<u64> = deleted.map(|object| object.version).collect();
+        if versions.len() <= self.max_tombstones {
             return;
         }
         versions.sort_unstable();
-        let last = versions[versions.len() - self.tombstones - 1];
-        objects.retain(|_, object| object.body.is_some() || object.version > last);
-        self.horizon = self.horizon.max(last);
+        let last_pruned = versions[versions.len() - self.max_tombstones - 1];
+        objects.retain(|_, object| object.body.is_some() || object.version > last_pruned);
+        self.pruned_through = self.pruned_through.max(last_pruned);
     }
 }
--- a/crates/peppercrank-standin/src/web.rs
+++ b/crates/peppercrank-standin/src/web.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What the stand-ins share on their HTTP side.
+//! HTTP helpers shared by the stand-ins.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -38,47 +38,48 @@
 
 use crate::Error;
 use crate::Result;
-use crate::faults::Ending;
+use crate::faults::FaultPlan;
 use crate::faults::Faults;
-use crate::faults::Plan;
-use crate::faults::Role;
-use crate::faults::Start;
-use crate::runs::Runs;
-use crate::runs::Tags;
+use crate::faults::RequestAction;
+use crate::faults::ResponseEnd;
+use crate::faults::StandinKind;
+use crate::runs::RequestIds;
+use crate::runs::RunCounts;
 
-/// Time left to answers in progress when a stand-in is told to stop.
-const DRAIN: Duration = Duration::from_secs(2);
+/// Time that responses in progress have to finish when a stand-in is stopped.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// `Running` is a stand-in that serves until it is stopped or dropped.
+/// Handle of a running stand-in, which serves until it is stopped, killed or dropped.
 #[derive(Debug)]
-pub struct Running {
-    /// Where it listens.
+pub struct ServerHandle {
+    /// Address that it listens on.
     pub addr: SocketAddr,
     stopper: Stopper,
     tasks: Vec<JoinHandle<()>>,
 }
 
-impl Running {
-    /// `stop` lets answers in progress end, for two seconds at most, and returns when all has.
+impl ServerHandle {
+    /// Stops listening, waits up to two seconds for responses in progress and returns when all
+    /// tasks have ended.
     pub async fn stop(mut self) {
         self.stopper.stop();
         for task in std::mem::take(&mut self.tasks) {
-            // A task that failed has stopped as well.
+            // A task that panicked has also ended.
             let _over = task.await;
         }
     }
 
-    /// `kill` closes all connections at once, as a killed process would, and listens no more.
+    /// Stops listening and closes all connections at once, as a killed process would.
     pub async fn kill(mut self) {
         for task in std::mem::take(&mut self.tasks) {
             task.abort();
-            // It returns once what the task held is dropped.
+            // Awaiting the task ensures that everything it held is dropped.
             let _over = task.await;
         }
     }
 }
 
-impl Drop for Running {
+impl Drop for ServerHandle {
     fn drop(&mut self) {
         for task in &self.tasks {
             task.abort();
@@ -86,8 +87,12 @@
     }
 }
 
-/// `serve` starts an edge on the caller's runtime, with `also` beside it.
-pub(crate) async fn serve<F, R, A>(listen: SocketAddr, answer: F, also: A) -> Result<Running>
+/// Serves `handler` on the caller's runtime and runs `background` next to it.
+pub(crate) async fn serve<F, R, A>(
+    listen: SocketAddr,
+    handler: F,
+    background: A,
+) -> Result<ServerHandle>
 where
     F: Fn(Call) -> R + Send + Sync + 'static,
     R: Future<Output = Reply> + Send + 'static,
@@ -97,28 +102,28 @@
     let addr = edge.local_addr();
     let (stopper, mut signal) = stop();
     let limits = Limits {
-        drain: DRAIN,
+        drain: DRAIN_TIMEOUT,
         ..Limits::default()
     };
-    let served = signal.clone();
-    let edge = tokio::spawn(async move {
-        // How many were cut is of no interest to a stand-in.
-        let _finished = edge.serve(limits, served, answer).await;
+    let edge_signal = signal.clone();
+    let edge_task = tokio::spawn(async move {
+        // A stand-in does not report how many connections were cut.
+        let _finished = edge.serve(limits, edge_signal, handler).await;
     });
-    let also = tokio::spawn(async move {
+    let background_task = tokio::spawn(async move {
         tokio::select! {
-            () = also => {}
+            () = background => {}
             () = signal.wait() => {}
         }
     });
-    Ok(Running {
+    Ok(ServerHandle {
         addr,
         stopper,
-        tasks: vec![edge, also],
+        tasks: vec![edge_task, background_task],
     })
 }
 
-/// `Clock` turns the process's clock into moments.
+/// Monotonic clock that starts at zero.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock(StdInstant);
 
@@ -131,25 +136,26 @@
         Instant::from_origin(self.0.elapsed())
     }
 
-    /// The clock's reading at a moment.
-    pub(crate) fn instant(self, at: Instant) -> tokio::time::Instant {
+    /// Converts a time of this clock to a tokio instant.
+    pub(crate) fn to_tokio_instant(self, at: Instant) -> tokio::time::Instant {
         tokio::time::Instant::from_std(self.0 + at.since_origin())
     }
 }
 
-/// `lock` takes a lock; what a panicked holder left is still whole enough for a stand-in.
+/// Locks a mutex and ignores poisoning: the state is still consistent enough for a stand-in after
+/// a panic.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// `reply` is a JSON answer.
-pub(crate) fn reply<T: Serialize>(value: &T) -> Reply {
-    with_status(StatusCode::OK, value)
+/// Returns a JSON response with status 200.
+pub(crate) fn json_reply<T: Serialize>(value: &T) -> Reply {
+    json_reply_with_status(StatusCode::OK, value)
 }
 
-/// `with_status` is a JSON answer of another status.
-pub(crate) fn with_status<T: Serialize>(status: StatusCode, value: &T) -> Reply {
-    // Only maps with keys that are no strings fail, and none is answered.
+/// Returns a JSON response with the given status.
+pub(crate) fn json_reply_with_status<T: Serialize>(status: StatusCode, value: &T) -> Reply {
+    // Serialization fails only for maps with keys that are not strings, which no response has.
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     let mut reply = Reply::new(body::full(bytes));
     *reply.status_mut() = status;
@@ -158,10 +164,10 @@
     reply
 }
 
-/// `failed` is the answer that tells of an error.
-pub(crate) fn failed(error: &Error) -> Reply {
+/// Returns the response for an error.
+pub(crate) fn error_reply(error: &Error) -> Reply {
     let status = StatusCode::from_u16(error.status());
-    let mut reply = with_status(
+    let mut reply = json_reply_with_status(
         status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR),
         &error.to_json(),
     );
@@ -172,65 +178,72 @@
     reply
 }
 
-/// `dropped` closes the connection without an answer.
+/// Returns a response that closes the connection before anything is sent.
 ///
-/// A body that fails at once fails before its head is flushed.
-pub(crate) fn dropped() -> Reply {
-    Reply::new(cut(body::empty(), 0, Unit::Frames, false))
+/// A body that fails on the first poll fails before the response head is flushed.
+pub(crate) fn closed_connection() -> Reply {
+    Reply::new(truncated_body(
+        body::empty(),
+        0,
+        TruncationUnit::Frames,
+        false,
+    ))
 }
 
-/// `play` does a call's work and answers it as the switches say.
-pub(crate) async fn play<W>(plan: Plan, unit: Unit, work: W) -> Reply
+/// Runs the work of a call and applies its faults to the response.
+pub(crate) async fn respond_with_faults<W>(plan: FaultPlan, unit: TruncationUnit, work: W) -> Reply
 where
     W: Future<Output = Result<Reply>>,
 {
-    let reply = match plan.start {
-        Start::Run => work.await,
-        Start::Drop => return dropped(),
-        Start::Outage => Err(Error::Outage),
-        Start::Throttle => Err(Error::Throttled),
+    let reply = match plan.action {
+        RequestAction::Run => work.await,
+        RequestAction::CloseConnection => return closed_connection(),
+        RequestAction::Outage => Err(Error::Outage),
+        RequestAction::Throttle => Err(Error::Throttled),
     };
     if !plan.delay.is_zero() {
         tokio::time::sleep(plan.delay).await;
     }
-    let reply = reply.unwrap_or_else(|e| failed(&e));
-    match plan.ending {
-        Ending::Whole => reply,
-        Ending::Dropped => dropped(),
-        Ending::Lost => std::future::pending().await,
-        Ending::Cut(after) => reply.map(|body| cut(body, after, unit, true)),
+    let reply = reply.unwrap_or_else(|e| error_reply(&e));
+    match plan.response_end {
+        ResponseEnd::Complete => reply,
+        ResponseEnd::ConnectionClosed => closed_connection(),
+        ResponseEnd::Withheld => std::future::pending().await,
+        ResponseEnd::Truncated(after) => reply.map(|body| truncated_body(body, after, unit, true)),
     }
 }
 
-/// `Unit` is what a cut counts.
+/// Unit of the length at which a body is truncated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Unit {
-    /// Frames, each of which is an event.
+pub(crate) enum TruncationUnit {
+    /// Body frames; each is one event.
     Frames,
-    /// Bytes.
+    /// Bytes of the body.
     Bytes,
 }
 
-/// `cut` breaks a body off after so many frames or bytes.
-fn cut(inner: Body, left: u32, unit: Unit, flush: bool) -> Body {
-    Cut {
+/// Wraps a body so that it fails after `remaining` frames or bytes.
+///
+/// With `flush_first` the data so far is sent before the failure.
+fn truncated_body(inner: Body, remaining: u32, unit: TruncationUnit, flush_first: bool) -> Body {
+    TruncatedBody {
         inner,
-        left: left as usize,
+        remaining: remaining as usize,
         unit,
-        flush,
+        flush_first,
     }
     .boxed_unsync()
 }
 
-/// `Cut` is a body that breaks off.
-struct Cut {
+/// Body that fails after a limited number of frames or bytes.
+struct TruncatedBody {
     inner: Body,
-    left: usize,
-    unit: Unit,
-    flush: bool,
+    remaining: usize,
+    unit: TruncationUnit,
+    flush_first: bool,
 }
 
-impl HttpBody for Cut {
+impl HttpBody for TruncatedBody {
     type Data = Bytes;
     type Error = peppercrank_wire::Error;
 
@@ -238,12 +251,12 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<std::result::Result<Frame<Bytes>, Self::Error>>> {
-        if self.left == 0 {
-            if !self.flush {
+        if self.remaining == 0 {
+            if !self.flush_first {
                 return Poll::Ready(Some(Err(peppercrank_wire::Error::Aborted)));
             }
-            // The server flushes what it has when a body has to wait.
-            self.flush = false;
+            // The server flushes its buffer when a body is pending.
+            self.flush_first = false;
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
@@ -255,88 +268,88 @@
             return Poll::Ready(None);
         };
         match self.unit {
-            Unit::Frames => self.left -= 1,
-            Unit::Bytes => {
-                bytes.truncate(self.left);
-                self.left -= bytes.len();
+            TruncationUnit::Frames => self.remaining -= 1,
+            TruncationUnit::Bytes => {
+                bytes.truncate(self.remaining);
+                self.remaining -= bytes.len();
             }
         }
         Poll::Ready(Some(Ok(Frame::data(bytes))))
     }
 
     fn size_hint(&self) -> SizeHint {
-        if self.left == 0 && !self.flush {
-            // A body known to be empty would never be polled, and so never fail.
+        if self.remaining == 0 && !self.flush_first {
+            // A body with a known length of 0 would never be polled and so would not fail.
             return SizeHint::default();
         }
-        // Without a length the broken body would be a chunked one, whatever it was before.
+        // Without the length of the inner body the truncated one would always be sent chunked.
         self.inner.size_hint()
     }
 }
 
-/// `read` reads a call's body.
-pub(crate) async fn read(call: Call) -> Result<Bytes> {
+/// Reads the body of a call.
+pub(crate) async fn read_body(call: Call) -> Result<Bytes> {
     call.body
         .read()
         .await
-        .map_err(|e| Error::Body(e.to_string()))
+        .map_err(|e| Error::InvalidBody(e.to_string()))
 }
 
-/// `header` is a header's text, if it has one.
-pub(crate) fn header(headers: &HeaderMap, name: &str) -> Option<String> {
+/// Returns the value of a header, or `None` if it is absent or not text.
+pub(crate) fn header_text(headers: &HeaderMap, name: &str) -> Option<String> {
     let value = headers.get(name)?.to_str().ok()?;
     Some(value.to_owned())
 }
 
-/// `tags` are the ids that a call carries; one without an attempt's id gets `spare`.
-pub(crate) fn tags(headers: &HeaderMap, spare: u64) -> Tags {
-    let attempt = header(headers, "x-request-id");
-    Tags {
-        attempt: attempt.unwrap_or_else(|| format!("{spare:032x}")),
-        request: header(headers, "x-peppercrank-request"),
-        key: header(headers, "idempotency-key"),
+/// Returns the ids that a call carries; `fallback` becomes the attempt id if it has none.
+pub(crate) fn request_ids(headers: &HeaderMap, fallback: u64) -> RequestIds {
+    let attempt = header_text(headers, "x-request-id");
+    RequestIds {
+        attempt: attempt.unwrap_or_else(|| format!("{fallback:032x}")),
+        request: header_text(headers, "x-peppercrank-request"),
+        idempotency_key: header_text(headers, "idempotency-key"),
     }
 }
 
-/// `number` is a number of the query, or `None` when it is not there.
-pub(crate) fn number(uri: &Uri, name: &'static str) -> Result<Option<u64>> {
+/// Returns a numeric query parameter, or `None` if it is absent.
+pub(crate) fn query_number(uri: &Uri, name: &'static str) -> Result<Option<u64>> {
     let query = uri.query().unwrap_or_default();
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     match pairs.into_iter().find(|(key, _)| *key == name) {
         None => Ok(None),
         Some((_, text)) => match text.parse() {
             Ok(number) => Ok(Some(number)),
-            Err(_) => Err(Error::Parameter(name)),
+            Err(_) => Err(Error::InvalidParameter(name)),
         },
     }
 }
 
-/// `runs_of` answers `GET /runs` and `GET /runs/{id}`.
-pub(crate) fn runs_of(runs: &Runs, id: Option<&str>) -> Reply {
+/// Returns the response to `GET /runs` and `GET /runs/{id}`.
+pub(crate) fn run_counts_reply(runs: &RunCounts, id: Option<&str>) -> Reply {
     match id {
-        Some(id) => reply(&json!({"id": id, "runs": runs.count(id)})),
-        None => reply(runs),
+        Some(id) => json_reply(&json!({"id": id, "runs": runs.count(id)})),
+        None => json_reply(runs),
     }
 }
 
-/// `set_faults` answers `PUT /faults`.
-pub(crate) async fn set_faults(role: Role, call: Call) -> Result<Faults> {
-    let bytes = read(call).await?;
+/// Reads and checks the body of `PUT /faults`.
+pub(crate) async fn read_faults(role: StandinKind, call: Call) -> Result<Faults> {
+    let bytes = read_body(call).await?;
     Faults::parse(role, &bytes)
 }
 
-/// `parse` reads a JSON body.
-pub(crate) fn parse<T: serde::de::DeserializeOwned>(bytes: &Bytes) -> Result<T> {
-    serde_json::from_slice(bytes).map_err(|e| crate::errors::body(&e))
+/// Parses a JSON body.
+pub(crate) fn parse_json<T: serde::de::DeserializeOwned>(bytes: &Bytes) -> Result<T> {
+    serde_json::from_slice(bytes).map_err(|e| crate::errors::body_error(&e))
 }
 
-/// `ok` is the answer to what has no other.
-pub(crate) fn ok() -> Reply {
-    reply(&json!({"ok": true}))
+/// Returns the response to a successful call that has no other result.
+pub(crate) fn ok_reply() -> Reply {
+    json_reply(&json!({"ok": true}))
 }
 
-/// `other` is another id than this one, as well formed.
-pub(crate) fn other(id: &str) -> String {
+/// Returns a well-formed id that differs from `id`.
+pub(crate) fn different_id(id: &str) -> String {
     let first = if id.starts_with('0') { '1' } else { '0' };
     first.to_string() + id.get(1..).unwrap_or_default()
 }
