--- a/crates/peppercrank-standin/src/faults.rs
+++ b/crates/peppercrank-standin/src/faults.rs
@@ -126,32 +126,32 @@
 }
 
 impl Faults {
-    /// Parses fault settings and checks that stand-ins of kind `role` support them.
+    /// Parses fault settings and checks that this kind of stand-in supports them.
     ///
     /// # Errors
     ///
     /// Returns [`Error::InvalidBody`] for malformed or unknown settings and
     /// [`Error::UnsupportedFault`] for settings of another kind of stand-in.
-    pub fn parse(role: StandinKind, body: &[u8]) -> Result<Self> {
+    pub fn parse(kind: StandinKind, body: &[u8]) -> Result<Self> {
         let faults: Self =
             serde_json::from_slice(body).map_err(|e| crate::errors::body_error(&e))?;
-        faults.check(role)?;
+        faults.check(kind)?;
         Ok(faults)
     }
 
-    /// Checks that stand-ins of kind `role` support the settings.
+    /// Checks that this kind of stand-in supports the settings.
     ///
     /// # Errors
     ///
     /// Returns [`Error::UnsupportedFault`] with the name of the first unsupported setting.
-    pub fn check(&self, role: StandinKind) -> Result<()> {
-        let is_supported = |name: &String| role.call_kinds().contains(&name.as_str());
-        let platform = role == StandinKind::Platform;
+    pub fn check(&self, kind: StandinKind) -> Result<()> {
+        let is_supported = |name: &String| kind.call_kinds().contains(&name.as_str());
+        let is_platform = kind == StandinKind::Platform;
         let unsupported = [
             (!self.only.as_ref().is_none_or(is_supported), "only"),
-            (self.throttle && !platform, "throttle"),
-            (self.wrong_id && platform, "wrong_id"),
-            (self.crossed && platform, "crossed"),
+            (self.throttle && !is_platform, "throttle"),
+            (self.wrong_id && is_platform, "wrong_id"),
+            (self.crossed && is_platform, "crossed"),
         ];
         match unsupported.iter().find(|(bad, _)| *bad) {
             Some((_, name)) => Err(Error::UnsupportedFault(name)),
--- a/crates/peppercrank-standin/src/runs.rs
+++ b/crates/peppercrank-standin/src/runs.rs
@@ -93,9 +93,9 @@
             return *runs;
         }
         if self.order.len() >= MAX_TRACKED_IDS
-            && let Some((column, oldest)) = self.order.pop_front()
+            && let Some((oldest_kind, oldest)) = self.order.pop_front()
         {
-            self.counts_mut(column).remove(&oldest);
+            self.counts_mut(oldest_kind).remove(&oldest);
         }
         self.order.push_back((kind, id.to_owned()));
         self.counts_mut(kind).insert(id.to_owned(), 1);
--- a/crates/peppercrank-standin/src/service.rs
+++ b/crates/peppercrank-standin/src/service.rs
@@ -180,7 +180,7 @@
     let bytes = web::read_body(call).await?;
     let status = requested_status(web::header_text(&head.headers, STATUS_HEADER))?;
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
-    let (echo, before, _work) = {
+    let (echo, previous, _running) = {
         let mut state = shared.state();
         state.calls += 1;
         let ids = web::request_ids(&head.headers, state.calls);
@@ -193,7 +193,7 @@
     if !shared.work_time.is_zero() {
         tokio::time::sleep(shared.work_time).await;
     }
-    Ok(echo_reply(plan.identity, echo, before, status))
+    Ok(echo_reply(plan.identity, echo, previous, status))
 }
 
 fn echo(method: &str, path: &str, bytes: &Bytes, ids: RequestIds, runs: u32) -> Echo {
--- a/crates/peppercrank-standin/src/web.rs
+++ b/crates/peppercrank-standin/src/web.rs
@@ -333,9 +333,9 @@
 }
 
 /// Reads and checks the body of `PUT /faults`.
-pub(crate) async fn read_faults(role: StandinKind, call: Call) -> Result<Faults> {
+pub(crate) async fn read_faults(kind: StandinKind, call: Call) -> Result<Faults> {
     let bytes = read_body(call).await?;
-    Faults::parse(role, &bytes)
+    Faults::parse(kind, &bytes)
 }
 
 /// Parses a JSON body.
--- a/crates/peppercrank-standin/tests/support/mod.rs
+++ b/crates/peppercrank-standin/tests/support/mod.rs
@@ -159,28 +159,28 @@
 }
 
 pub fn set_faults(at: SocketAddr, faults: &Value) {
-    let set = send(at, "PUT /faults", &[], &faults.to_string()).expect("an answer");
-    assert_eq!(set.status, 200, "{}", set.text);
+    let response = send(at, "PUT /faults", &[], &faults.to_string()).expect("an answer");
+    assert_eq!(response.status, 200, "{}", response.text);
 }
 
 pub fn run_counts(at: SocketAddr, id: &str) -> Value {
-    let seen = send(at, &format!("GET /runs/{id}"), &[], "").expect("an answer");
-    seen.json()["runs"].clone()
+    let response = send(at, &format!("GET /runs/{id}"), &[], "").expect("an answer");
+    response.json()["runs"].clone()
 }
 
 /// How many chats or calls a target is at work on.
 pub fn running(at: SocketAddr) -> Value {
-    let load = send(at, "GET /load", &[], "").expect("an answer");
-    load.json()["running"].clone()
+    let response = send(at, "GET /load", &[], "").expect("an answer");
+    response.json()["running"].clone()
 }
 
 /// Asks again until the answer is as awaited, and gives the last one.
 pub fn poll_until<T: PartialEq>(expected: &T, ask: impl Fn() -> T) -> T {
     let started = Instant::now();
     loop {
-        let seen = ask();
-        if seen == *expected || started.elapsed() > RESPONSE_TIMEOUT {
-            return seen;
+        let latest = ask();
+        if latest == *expected || started.elapsed() > RESPONSE_TIMEOUT {
+            return latest;
         }
     }
 }
--- a/crates/peppercrank-standin/tests/verify_client.rs
+++ b/crates/peppercrank-standin/tests/verify_client.rs
@@ -34,11 +34,13 @@
 #[test]
 fn verify_client_reads_every_answer() {
     let runtime = support::runtime();
-    let set = PlatformSettings {
+    let settings = PlatformSettings {
         vms: vec![vm()],
         ..PlatformSettings::default()
     };
-    let running = runtime.block_on(platform::start(set)).expect("a start");
+    let running = runtime
+        .block_on(platform::start(settings))
+        .expect("a start");
     let client = Platform::new(&Access::new(running.addr));
     let put = |on| client.put("pool", "a", on, &json!({"x": 1}));
     assert_eq!(client.get("pool", "a"), Ok(Fetched::Absent));
--- a/crates/peppercrank-standin/tests/verify_engine.rs
+++ b/crates/peppercrank-standin/tests/verify_engine.rs
@@ -68,8 +68,8 @@
         ("x-peppercrank-request", "r1"),
         ("idempotency-key", "k1"),
     ];
-    let whole = send(at, CHAT, &ids, &chat(false, &["abc"])).expect("an answer");
-    let body = whole.json();
+    let response = send(at, CHAT, &ids, &chat(false, &["abc"])).expect("an answer");
+    let body = response.json();
     let text = body["choices"][0]["message"]["content"]
         .as_str()
         .expect("a text");
@@ -77,17 +77,17 @@
         text,
         format!("digest:{ABC_DIGEST} request:r1 attempt:a1 t03 t04 t05")
     );
-    assert_eq!((whole.id.as_str(), &body["id"]), ("a1", &json!("a1")));
+    assert_eq!((response.id.as_str(), &body["id"]), ("a1", &json!("a1")));
     assert_eq!(body["usage"]["completion_tokens"], 6);
     let ids = [
         ("x-request-id", "a2"),
         ("x-peppercrank-request", "r1"),
         ("idempotency-key", "k1"),
     ];
-    let told = stream(at, CHAT, &ids, &chat(true, &["abc"]));
-    assert!(told.complete);
-    assert_eq!(told.text(), text.replace("a1", "a2"));
-    assert_eq!(told.events.len(), 7, "six tokens and the usage");
+    let streamed = stream(at, CHAT, &ids, &chat(true, &["abc"]));
+    assert!(streamed.complete);
+    assert_eq!(streamed.text(), text.replace("a1", "a2"));
+    assert_eq!(streamed.events.len(), 7, "six tokens and the usage");
     assert_eq!(
         run_counts(at, "a1"),
         json!({"attempts": 1, "requests": 0, "keys": 0})
@@ -139,12 +139,12 @@
 
 #[test]
 fn verify_full_cache_evicts_least_recently_used() {
-    let set = EngineSettings {
+    let settings = EngineSettings {
         cache_tokens: 320,
         events_gap: 2,
         ..instant_engine()
     };
-    let (_runtime, _running, at) = start_engine(set);
+    let (_runtime, _running, at) = start_engine(settings);
     for (key, letter) in [("0a", "a"), ("0b", "b")] {
         let body = chat(false, &[&letter.repeat(1_000)]);
         let keys = [("x-chat-key", key)];
@@ -152,11 +152,11 @@
     }
     let page = get(at, "/cache-events?since=0");
     // Events 0 stored 0a, 1 stored 0b (a gap), 2 evicted 0a, which lost half of its context.
-    let told = json!([
+    let expected = json!([
         {"seq": 0, "kind": "stored", "key": "0a"},
         {"seq": 2, "kind": "evicted", "key": "0a"},
     ]);
-    assert_eq!((&page["events"], &page["next"]), (&told, &json!(3)));
+    assert_eq!((&page["events"], &page["next"]), (&expected, &json!(3)));
 }
 
 #[test]
@@ -199,18 +199,18 @@
     let (_runtime, _running, at) = start_engine(stalled_engine());
     // Callers give up at once; what they asked for goes on, as with an engine.
     for (waiting, id) in ["a1", "a2", "a3"].into_iter().enumerate() {
-        let sent =
+        let response =
             send_with_short_timeout(at, CHAT, &[("x-request-id", id)], &chat(false, &["abc"]));
-        assert!(sent.is_err(), "{id} does not end");
+        assert!(response.is_err(), "{id} does not end");
         let expected = (json!(1), json!(waiting));
-        let seen = poll_until(&expected, || {
-            let load = get(at, "/load");
-            (load["running"].clone(), load["waiting"].clone())
+        let load = poll_until(&expected, || {
+            let report = get(at, "/load");
+            (report["running"].clone(), report["waiting"].clone())
         });
-        assert_eq!(seen, expected, "after {id}");
+        assert_eq!(load, expected, "after {id}");
     }
-    let again = send(at, CHAT, &[("x-request-id", "a2")], &chat(false, &["abc"]));
-    assert_eq!(again.expect("an answer").status, 409);
+    let duplicate = send(at, CHAT, &[("x-request-id", "a2")], &chat(false, &["abc"]));
+    assert_eq!(duplicate.expect("an answer").status, 409);
     for (id, ran) in [("a2", 0), ("a1", 1)] {
         let cancelled = send(at, &format!("DELETE /v1/streams/{id}"), &[], "");
         assert_eq!(cancelled.expect("an answer").status, 200);
@@ -221,19 +221,19 @@
         1,
         "the free slot is taken"
     );
-    let gone = send(at, "GET /v1/streams/a1?from=0", &[], "").expect("an answer");
-    assert_eq!(gone.status, 404);
+    let resumed = send(at, "GET /v1/streams/a1?from=0", &[], "").expect("an answer");
+    assert_eq!(resumed.status, 404);
 }
 
 #[test]
 fn verify_orders_with_and_without_fence_check() {
     for (check_fence, old) in [(true, 409), (false, 200)] {
-        let set = EngineSettings {
+        let settings = EngineSettings {
             check_fence,
             models: vec!["m".to_owned()],
             ..instant_engine()
         };
-        let (_runtime, _running, at) = start_engine(set);
+        let (_runtime, _running, at) = start_engine(settings);
         let cases = [
             (json!({"fence": 5, "order": {"load_model": "n"}}), 200),
             (json!({"fence": 4, "order": {"set_role": "prefill"}}), old),
@@ -246,9 +246,10 @@
             assert_eq!(answer.status, status, "{body} checked: {check_fence}");
         }
         assert_eq!(get(at, "/orders")["highest"], 5);
-        let named = |model: &str| chat(false, &["abc"]).replace("\"m\"", &format!("\"{model}\""));
+        let chat_with =
+            |model: &str| chat(false, &["abc"]).replace("\"m\"", &format!("\"{model}\""));
         for (model, status) in [("m", 200), ("n", 200), ("o", 404)] {
-            let answer = send(at, CHAT, &[], &named(model)).expect("an answer");
+            let answer = send(at, CHAT, &[], &chat_with(model)).expect("an answer");
             assert_eq!(answer.status, status, "{model}");
         }
     }
@@ -272,14 +273,14 @@
         ("GET /nowhere", "", 404, "unknown"),
     ];
     for (call, body, status, code) in cases {
-        let sent = send(at, call, &[], body).expect("an answer");
+        let response = send(at, call, &[], body).expect("an answer");
         assert_eq!(
-            (sent.status, &sent.json()["error"]["code"]),
+            (response.status, &response.json()["error"]["code"]),
             (status, &json!(code)),
             "{call}"
         );
     }
     let ids = [("x-priority", "10"), ("x-request-id", "a1")];
-    let sent = send(at, CHAT, &ids, &chat(false, &["abc"])).expect("an answer");
-    assert_eq!((sent.status, sent.id.as_str()), (400, "a1"));
+    let response = send(at, CHAT, &ids, &chat(false, &["abc"])).expect("an answer");
+    assert_eq!((response.status, response.id.as_str()), (400, "a1"));
 }
--- a/crates/peppercrank-standin/tests/verify_faults.rs
+++ b/crates/peppercrank-standin/tests/verify_faults.rs
@@ -40,14 +40,14 @@
 fn outcome(at: SocketAddr, call: &str, body: &str, expected: &Outcome) -> Outcome {
     let headers = [("x-request-id", OWN)];
     // Only where nothing is expected does the caller give up soon.
-    let sent = match expected {
+    let result = match expected {
         Outcome::Nothing => send_with_short_timeout(at, call, &headers, body),
         Outcome::Answer(..) | Outcome::Broken => send(at, call, &headers, body),
     };
-    match sent {
-        Ok(seen) if seen.id == OWN => Outcome::Answer(seen.status, OWN),
-        Ok(seen) if seen.id == OTHER => Outcome::Answer(seen.status, OTHER),
-        Ok(seen) => Outcome::Answer(seen.status, ""),
+    match result {
+        Ok(response) if response.id == OWN => Outcome::Answer(response.status, OWN),
+        Ok(response) if response.id == OTHER => Outcome::Answer(response.status, OTHER),
+        Ok(response) => Outcome::Answer(response.status, ""),
         Err(ureq::Error::Timeout(_)) => Outcome::Nothing,
         Err(_) => Outcome::Broken,
     }
@@ -86,21 +86,21 @@
 fn verify_engine_faults() {
     for (switches, expected, ran) in cases() {
         let runtime = support::runtime();
-        let set = EngineSettings {
+        let settings = EngineSettings {
             prefill_us: 0,
             step_us: 0,
             ..EngineSettings::default()
         };
-        let running = runtime.block_on(engine::start(set)).expect("a start");
+        let running = runtime.block_on(engine::start(settings)).expect("a start");
         let at = running.addr;
         set_faults(at, &switches);
-        let seen = outcome(
+        let actual = outcome(
             at,
             "POST /v1/chat/completions",
             &chat(false, &["abc"]),
             &expected,
         );
-        assert_eq!(seen, expected, "{switches}");
+        assert_eq!(actual, expected, "{switches}");
         let ran = json!(ran);
         let counted = poll_until(&ran, || run_counts(at, OWN)["attempts"].clone());
         assert_eq!(counted, ran, "{switches}");
@@ -115,8 +115,8 @@
         let running = runtime.block_on(start).expect("a start");
         let at = running.addr;
         set_faults(at, &switches);
-        let seen = outcome(at, "PATCH /any/path?x=1", "abc", &expected);
-        assert_eq!(seen, expected, "{switches}");
+        let actual = outcome(at, "PATCH /any/path?x=1", "abc", &expected);
+        assert_eq!(actual, expected, "{switches}");
         let ran = json!(ran);
         let counted = poll_until(&ran, || run_counts(at, OWN)["attempts"].clone());
         assert_eq!(counted, ran, "{switches}");
@@ -135,13 +135,14 @@
         ("x-standin-status", "418"),
     ];
     for runs in 1..=2 {
-        let seen = send(running.addr, "PATCH /any/path?x=1", &headers, "abc").expect("an answer");
+        let response =
+            send(running.addr, "PATCH /any/path?x=1", &headers, "abc").expect("an answer");
         let echo = json!({
             "method": "PATCH", "path": "/any/path?x=1", "digest": "ba7816bf8f01cfea", "bytes": 3,
             "request": "r1", "attempt": "a1", "runs": runs,
         });
         assert_eq!(
-            (seen.status, seen.id.as_str(), seen.json()),
+            (response.status, response.id.as_str(), response.json()),
             (418, "a1", echo)
         );
     }
@@ -153,12 +154,12 @@
 #[test]
 fn verify_crossed_answers() {
     let runtime = support::runtime();
-    let set = EngineSettings {
+    let settings = EngineSettings {
         prefill_us: 0,
         step_us: 0,
         ..EngineSettings::default()
     };
-    let running = runtime.block_on(engine::start(set)).expect("a start");
+    let running = runtime.block_on(engine::start(settings)).expect("a start");
     let at = running.addr;
     set_faults(at, &json!({"only": "chat", "skip": 1, "crossed": true}));
     let call = "POST /v1/chat/completions";
@@ -179,12 +180,12 @@
 #[test]
 fn verify_streams_are_cut_after_the_given_event() {
     let runtime = support::runtime();
-    let set = EngineSettings {
+    let settings = EngineSettings {
         prefill_us: 0,
         step_us: 0,
         ..EngineSettings::default()
     };
-    let running = runtime.block_on(engine::start(set)).expect("a start");
+    let running = runtime.block_on(engine::start(settings)).expect("a start");
     for events in 1..=8 {
         set_faults(running.addr, &json!({"cut_after": events}));
         let cut = stream(
@@ -207,11 +208,11 @@
     // A call that would never end by itself can only be cut.
     for (kill, work_ms) in [(false, 100), (true, 3_600_000)] {
         let runtime = support::runtime();
-        let set = ServiceSettings {
+        let settings = ServiceSettings {
             work_ms,
             ..ServiceSettings::default()
         };
-        let running = runtime.block_on(service::start(set)).expect("a start");
+        let running = runtime.block_on(service::start(settings)).expect("a start");
         let at = running.addr;
         let waiting = thread::spawn(move || send(at, "GET /any", &[("x-request-id", OWN)], ""));
         let one = json!(1);
--- a/crates/peppercrank-standin/tests/verify_parts.rs
+++ b/crates/peppercrank-standin/tests/verify_parts.rs
@@ -141,8 +141,8 @@
         lagged.set(at(n * 10), n);
     }
     let lag = Duration::from_millis(10);
-    let seen = [15, 20, 39, 40].map(|millis| *lagged.visible_at(at(millis), lag));
-    assert_eq!(seen, [0, 1, 2, 3]);
+    let values = [15, 20, 39, 40].map(|millis| *lagged.visible_at(at(millis), lag));
+    assert_eq!(values, [0, 1, 2, 3]);
 
     let mut bucket = TokenBucket::new(2);
     let passed = [0, 0, 0, 400, 500, 501].map(|millis| bucket.try_take(at(millis)));
@@ -166,8 +166,8 @@
 #[test]
 fn verify_settings_refuse_unknown_keys() {
     let text = "{ // two slots\n  \"slots\": 2\n}";
-    let set: EngineSettings = settings::parse(text).expect("settings");
-    assert_eq!(set.slots, 2);
+    let settings: EngineSettings = settings::parse(text).expect("settings");
+    assert_eq!(settings.slots, 2);
     let wrong = settings::parse::<EngineSettings>("{\n  \"slot\": 2\n}");
     let place = wrong.expect_err("an unknown key").to_string();
     assert!(
--- a/crates/peppercrank-standin/tests/verify_platform.rs
+++ b/crates/peppercrank-standin/tests/verify_platform.rs
@@ -39,8 +39,8 @@
 /// Returns once a watch has come in.
 fn await_watch(at: SocketAddr) {
     let one = json!(1);
-    let seen = poll_until(&one, || get(at, "/calls")["calls"]["watch"].clone());
-    assert_eq!(seen, one);
+    let watches = poll_until(&one, || get(at, "/calls")["calls"]["watch"].clone());
+    assert_eq!(watches, one);
 }
 
 #[test]
@@ -130,9 +130,9 @@
         ),
     ];
     for (call, headers, body, status, answer) in cases {
-        let seen = send(at, call, &headers, body).expect("an answer");
+        let response = send(at, call, &headers, body).expect("an answer");
         assert_eq!(
-            (seen.status, seen.json()),
+            (response.status, response.json()),
             (status, answer),
             "{call} {headers:?}"
         );
@@ -164,8 +164,8 @@
         ("GET /watch/pool?since=x", vec![], "", 400),
     ];
     for (call, headers, body, status) in cases {
-        let seen = send(at, call, &headers, body).expect("an answer");
-        assert_eq!(seen.status, status, "{call} {headers:?}");
+        let response = send(at, call, &headers, body).expect("an answer");
+        assert_eq!(response.status, status, "{call} {headers:?}");
     }
     assert_eq!(get(at, "/calls")["writes"], 0);
 }
@@ -176,8 +176,8 @@
     let waiting = thread::spawn(move || get(at, "/watch/pool?since=0&wait_ms=60000"));
     await_watch(at);
     send(at, "PUT /objects/pool/a", &NEW, "1").expect("an answer");
-    let told = json!({"revision": 1, "objects": [{"name": "a", "version": 1, "body": 1}]});
-    assert_eq!(waiting.join().expect("an answer"), told);
+    let expected = json!({"revision": 1, "objects": [{"name": "a", "version": 1, "body": 1}]});
+    assert_eq!(waiting.join().expect("an answer"), expected);
 }
 
 #[test]
@@ -193,21 +193,21 @@
 
 #[test]
 fn verify_old_tombstones_are_pruned() {
-    let set = PlatformSettings {
+    let settings = PlatformSettings {
         tombstones: 1,
         ..PlatformSettings::default()
     };
-    let (_runtime, _running, at) = start_platform(set);
+    let (_runtime, _running, at) = start_platform(settings);
     for (name, version) in [("a", "1"), ("b", "3")] {
         let path = format!("/objects/pool/{name}");
         send(at, &format!("PUT {path}"), &NEW, "1").expect("an answer");
-        let gone = send(at, &format!("DELETE {path}"), &[("if-match", version)], "");
-        assert_eq!(gone.expect("an answer").status, 200);
+        let deleted = send(at, &format!("DELETE {path}"), &[("if-match", version)], "");
+        assert_eq!(deleted.expect("an answer").status, 200);
     }
     // The tombstone of `a`, version 2, is gone: who saw only 1 must list anew.
     for (since, status) in [(1, 410), (2, 200), (4, 200), (5, 410)] {
-        let seen = send(at, &format!("GET /watch/pool?since={since}"), &[], "");
-        assert_eq!(seen.expect("an answer").status, status, "since {since}");
+        let response = send(at, &format!("GET /watch/pool?since={since}"), &[], "");
+        assert_eq!(response.expect("an answer").status, status, "since {since}");
     }
 }
 
@@ -215,16 +215,16 @@
 fn verify_vm_list_lags() {
     let vm = json!({"name": "v", "zone": "rae", "address": "127.0.0.1:1", "role": "agent"});
     for (vms_lag_ms, revision) in [(0, 2), (3_600_000, 1)] {
-        let set = PlatformSettings {
+        let settings = PlatformSettings {
             vms_lag_ms,
             ..PlatformSettings::default()
         };
-        let (_runtime, _running, at) = start_platform(set);
-        let set = send(at, "PUT /vms", &[], &json!({"vms": [vm]}).to_string());
-        assert_eq!(set.expect("an answer").json()["revision"], 2);
-        let seen = get(at, "/vms");
-        assert_eq!(seen["revision"], revision, "lag {vms_lag_ms} ms");
-        assert_eq!(seen["vms"].as_array().map(Vec::len), Some(revision - 1));
+        let (_runtime, _running, at) = start_platform(settings);
+        let updated = send(at, "PUT /vms", &[], &json!({"vms": [vm]}).to_string());
+        assert_eq!(updated.expect("an answer").json()["revision"], 2);
+        let list = get(at, "/vms");
+        assert_eq!(list["revision"], revision, "lag {vms_lag_ms} ms");
+        assert_eq!(list["vms"].as_array().map(Vec::len), Some(revision - 1));
     }
 }
 
@@ -246,34 +246,37 @@
         set_faults(at, &switches);
         let hangs = switches["lose_answer"] == true || switches["delay_ms"] == 60_000;
         let put = if hangs { send_with_short_timeout } else { send };
-        let seen = put(at, "PUT /objects/pool/a", &NEW, "1").ok();
-        assert_eq!(seen.as_ref().map(|s| s.status), status, "{switches}");
-        let retry = seen.and_then(|s| s.retry_after);
+        let response = put(at, "PUT /objects/pool/a", &NEW, "1").ok();
+        assert_eq!(response.as_ref().map(|s| s.status), status, "{switches}");
+        let retry = response.and_then(|s| s.retry_after);
         assert_eq!(retry.is_some(), status == Some(429), "{switches}");
         set_faults(at, &json!({}));
-        let found = poll_until(&effect, || {
+        let stored = poll_until(&effect, || {
             let found = send(at, "GET /objects/pool/a", &[], "").expect("an answer");
             found.status == 200
         });
-        assert_eq!(found, effect, "{switches}");
+        assert_eq!(stored, effect, "{switches}");
     }
 }
 
 #[test]
 fn verify_rates_are_limited() {
-    let set = PlatformSettings {
+    let settings = PlatformSettings {
         writes: 1,
         reads: 0,
         ..PlatformSettings::default()
     };
-    let (_runtime, _running, at) = start_platform(set);
+    let (_runtime, _running, at) = start_platform(settings);
     set_faults(at, &json!({"throttle": true, "times": 1}));
-    let seen = send(at, "PUT /objects/pool/a", &NEW, "1").expect("an answer");
-    assert_eq!((seen.status, seen.retry_after.as_deref()), (429, Some("1")));
+    let response = send(at, "PUT /objects/pool/a", &NEW, "1").expect("an answer");
+    assert_eq!(
+        (response.status, response.retry_after.as_deref()),
+        (429, Some("1"))
+    );
     assert_eq!(get(at, "/calls")["throttled"], 1);
-    let seen = send(at, "GET /objects/pool", &[], "").expect("an answer");
+    let response = send(at, "GET /objects/pool", &[], "").expect("an answer");
     assert_eq!(
-        seen.status, 200,
+        response.status, 200,
         "reads have a limit of their own, here none"
     );
 }
