--- a/crates/peppercrank-cli/src/daemons.rs
+++ b/crates/peppercrank-cli/src/daemons.rs
@@ -50,7 +50,7 @@
             Self::Unreached => f.write_str("does not answer"),
             Self::Refused(401 | 403) => f.write_str("refuses the operators' token"),
             Self::Refused(status) => write!(f, "answers {status}"),
-            Self::Malformed => f.write_str("answers what is no status"),
+            Self::Malformed => f.write_str("returned a malformed page"),
         }
     }
 }
--- a/crates/peppercrank-cli/src/errors.rs
+++ b/crates/peppercrank-cli/src/errors.rs
@@ -260,19 +260,23 @@
             Self::MissingPlatform => {
                 f.write_str("no platform: set --platform or PEPPERCRANK_PLATFORM")
             }
-            Self::InvalidVariable(name) => write!(f, "{name} does not hold what it should"),
-            Self::MissingMarkAction => f.write_str("one of --remove and --shutdown is wanted"),
-            Self::GraceWithoutRemove => f.write_str("--grace goes with --remove only"),
+            Self::InvalidVariable(name) => write!(f, "{name} has a malformed value"),
+            Self::MissingMarkAction => {
+                f.write_str("exactly one of --remove and --shutdown is required")
+            }
+            Self::GraceWithoutRemove => f.write_str("--grace requires --remove"),
             Self::UnknownParameter(key) => write!(f, "an organisation has no parameter `{key}`"),
-            Self::InvalidValue { key, value } => write!(f, "`{value}` is no value of `{key}`"),
-            Self::MissingTemplate => {
-                f.write_str("the organisation is new: template=NAME is wanted")
+            Self::InvalidValue { key, value } => {
+                write!(f, "`{value}` is not a valid value for `{key}`")
             }
-            Self::MissingParameter => f.write_str("at least one key=value is wanted"),
-            Self::PlatformPortWithoutAgents => write!(f, "--platform-port wants --agents"),
-            Self::AmbiguousOrderCommand => {
-                f.write_str("one of --load-model, --load-adapter and --set-role is wanted")
+            Self::MissingTemplate => {
+                f.write_str("the organisation is new: template=NAME is required")
             }
+            Self::MissingParameter => f.write_str("at least one key=value is required"),
+            Self::PlatformPortWithoutAgents => write!(f, "--platform-port requires --agents"),
+            Self::AmbiguousOrderCommand => f.write_str(
+                "exactly one of --load-model, --load-adapter and --set-role is required",
+            ),
         }
     }
 }
@@ -296,7 +300,7 @@
             Self::OutcomeUnknown(id) => write!(
                 f,
                 "the platform did not answer and the change may have taken effect; \
-                 run the same again with --publish-id {id}"
+                 run the same command again with --publish-id {id}"
             ),
             Self::NotInForce {
                 version,
@@ -305,10 +309,7 @@
             } => {
                 let all = done + missing.len();
                 if all == 0 {
-                    return write!(
-                        f,
-                        "version {version} is written, but no daemon is known to ask"
-                    );
+                    return write!(f, "version {version} was written, but no daemon is known");
                 }
                 write!(
                     f,
@@ -324,12 +325,12 @@
             }
             Self::NoAgent(target) => write!(
                 f,
-                "target `{target}` is marked, but no daemon that answers is its agent: \
-                 is that its name?"
+                "target `{target}` is marked, but none of the daemons that answered is its \
+                 agent; check the name"
             ),
             Self::NoSuchTarget(name) => write!(
                 f,
-                "no daemon that answers knows a pool or target `{name}`; nothing was ordered"
+                "none of the daemons that answered knows a pool or target `{name}`; nothing was ordered"
             ),
             Self::LeaseHeld(holder) => {
                 write!(f, "`{holder}` holds the pool's lease; nothing was ordered")
--- a/crates/peppercrank-cli/src/fate.rs
+++ b/crates/peppercrank-cli/src/fate.rs
@@ -122,13 +122,16 @@
             Self::Refused => "refused by the engine",
             Self::Unknown => "unknown: the engine may have obeyed",
             Self::Stale { least } => {
-                return write!(f, "stale: the agent passes numbers from {least} on");
+                return write!(
+                    f,
+                    "stale: the agent requires a fencing number of at least {least}"
+                );
             }
             Self::Unread => "unread: the agent cannot read the lease",
-            Self::Busy => "busy: too many orders wait there",
-            Self::Lapsed => "lapsed: the lease was held no more, nothing was sent",
+            Self::Busy => "busy: too many orders are queued at the agent",
+            Self::Lapsed => "lapsed: the lease was no longer held; nothing was sent",
             Self::Unreached => "unreached: no connection to the agent",
-            Self::NoAgent => "no agent: nobody told its control address",
+            Self::NoAgent => "no agent: its control address is unknown",
             Self::Unauthentic => "unauthentic: the agent does not know the key",
             Self::NoEngine => "no engine: a plain service takes no orders",
             Self::Malformed => "malformed: the agent does not understand the order",
--- a/crates/peppercrank-cli/src/verbs/explain.rs
+++ b/crates/peppercrank-cli/src/verbs/explain.rs
@@ -44,7 +44,7 @@
     let steps = story.steps();
     let cause = story.likely_cause();
     if steps.is_empty() {
-        let text = format!("no line of these logs tells of {id}\nlikely cause: {cause}");
+        let text = format!("these logs contain no entry for {id}\nlikely cause: {cause}");
         let json = json!({ "id": id, "steps": [], "cause": cause });
         return Report::with_exit(Exit::NotFound, text, json);
     }
--- a/crates/peppercrank-cli/src/verbs/objects.rs
+++ b/crates/peppercrank-cli/src/verbs/objects.rs
@@ -62,7 +62,7 @@
     let vain = warnings.iter().map(|w| format!("warning: {w}\n"));
     let mut text = invalid.chain(vain).collect::<String>();
     if text.is_empty() {
-        text = format!("{} objects, all valid, no reference in vain", store.len());
+        text = format!("{} objects, all valid, no dangling references", store.len());
     }
     let faults = held.iter().map(|(key, held)| {
         let fault = held.fault.to_string();
--- a/crates/peppercrank-cli/src/verbs/order.rs
+++ b/crates/peppercrank-cli/src/verbs/order.rs
@@ -250,10 +250,10 @@
     let back_text = if back {
         ""
     } else {
-        "\nthe lease could not be given back and lapses by itself"
+        "\nthe lease could not be released and will expire by itself"
     };
     let text = format!(
-        "order {id} under the lease of {} from number {} on\n{}{back_text}",
+        "order {id} under the lease of {} with fencing numbers from {}\n{}{back_text}",
         found.pool,
         fence.0,
         table(&rows).trim_end(),
--- a/crates/peppercrank-cli/src/verbs/status.rs
+++ b/crates/peppercrank-cli/src/verbs/status.rs
@@ -176,7 +176,7 @@
 fn configuration_text(known: &[Status]) -> String {
     let digests = digests(known);
     let mut text = match digests.len() {
-        0 => "configuration: no daemon tells of it\n".to_owned(),
+        0 => "configuration: not reported by any daemon\n".to_owned(),
         1 => format!("configuration: all {} daemons agree\n", known.len()),
         n => format!("configuration: {n} differ among {} daemons\n", known.len()),
     };
--- a/crates/peppercrank-cli/tests/verify_fleet.rs
+++ b/crates/peppercrank-cli/tests/verify_fleet.rs
@@ -118,7 +118,7 @@
     assert_eq!(ended.exit, Exit::Failure);
     for told in [
         "configuration: 2 differ among 2 daemons".to_owned(),
-        format!("{garbled} ({garbled}) answers what is no status"),
+        format!("{garbled} ({garbled}) returned a malformed page"),
         format!("{closed} ({closed}) refuses the operators' token"),
         format!("{gone} ({gone}) does not answer"),
     ] {
@@ -204,7 +204,7 @@
     let line = "mark e-2 --shutdown --drained --drained-within 600ms";
     let ended = ask(&bench.environment, &both, line);
     assert_eq!(ended.exit, Exit::NotInForce, "{ended:?}");
-    assert!(ended.err.contains("is that its name?"), "{ended:?}");
+    assert!(ended.err.contains("check the name"), "{ended:?}");
 }
 
 #[test]
