--- a/crates/peppercrank-bench/src/bin/surge.rs
+++ b/crates/peppercrank-bench/src/bin/surge.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Prints what callers get in surges of growing height, as a Markdown table.
+//! Prints the outcomes of surges of increasing height as a Markdown table.
 
 use std::thread;
 
@@ -9,10 +9,10 @@
 use peppercrank_bench::surge::Summary;
 use peppercrank_bench::surge::scenes::nine_engines;
 
-/// Multiples of the usual load.
+/// Surge loads as multiples of the usual load.
 const TIMES: [f64; 7] = [1.0, 4.0, 8.0, 12.0, 16.0, 24.0, 32.0];
 
-/// Seeds of each.
+/// Seeds simulated for each load.
 const SEEDS: [u64; 3] = [1, 2, 3];
 
 fn main() {
--- a/crates/peppercrank-bench/src/cache.rs
+++ b/crates/peppercrank-bench/src/cache.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What an engine's limited memory holds: documents and chats, the least recently used go first.
+//! LRU cache of the documents and chats that an engine's memory holds.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -9,20 +9,20 @@
 use crate::trace::DOCUMENT_TOKENS;
 use crate::trace::Turn;
 
-/// `Cache` is the memory of one engine, counted in tokens.
+/// `Cache` is the prompt cache of one engine, measured in tokens.
 #[derive(Debug)]
 pub struct Cache {
     capacity: u64,
     used: u64,
     use_counter: u64,
-    /// Tokens and stamp by key.
+    /// Tokens and last use by key.
     entries: HashMap<u64, (u64, u64)>,
-    /// Keys in the order of their use.
+    /// Keys by last use.
     by_last_use: BTreeMap<u64, u64>,
 }
 
 impl Cache {
-    /// `new` is an empty memory of `room` tokens.
+    /// Creates an empty cache of `capacity` tokens.
     #[must_use]
     pub fn new(capacity: u64) -> Self {
         Self {
@@ -34,9 +34,9 @@
         }
     }
 
-    /// `reuse` is how many prompt tokens of a turn are held.
+    /// Returns how many prompt tokens of a turn are cached.
     ///
-    /// A chat's own tokens follow its document: without that they are of no use.
+    /// A chat's own tokens follow its document, so they cannot be reused without it.
     #[must_use]
     pub fn reuse(&self, turn: &Turn) -> u64 {
         let chat_tokens = self.entries.get(&turn.chat);
@@ -49,7 +49,7 @@
         }
     }
 
-    /// `store` keeps the context of a turn and lists the keys that had to go.
+    /// Stores the context of a turn and returns the evicted keys.
     pub fn store(&mut self, turn: &Turn) -> Vec<u64> {
         let mut evicted = Vec::new();
         let chat_tokens = u64::from(turn.prior_tokens + turn.new_tokens + turn.output_tokens);
--- a/crates/peppercrank-bench/src/churn.rs
+++ b/crates/peppercrank-bench/src/churn.rs
@@ -1,21 +1,21 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What happens to engines and routers in a run.
+//! Changes of engines and routers during a simulation.
 
-/// Milliseconds after which agents and routers know of a change.
+/// Delay in milliseconds until agents and routers know of a change.
 pub const VIEW_DELAY_MS: u64 = 2_000;
 
-/// Milliseconds by which half of the routers know later, where views are apart.
+/// Additional delay in milliseconds for every second router under [`Churn::Apart`].
 pub const LATE_VIEW_MS: u64 = 5_000;
 
-/// Availability zones; engine `n` is in zone `n % ZONES`.
+/// Number of availability zones; engine `n` is in zone `n % ZONES`.
 const ZONES: usize = 4;
 
-/// `Churn` is what happens in the middle of a run.
+/// `Churn` is a kind of change in the middle of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Churn {
-    /// Nothing.
+    /// No change.
     Nothing,
     /// One more engine joins.
     Join,
@@ -33,23 +33,23 @@
     Apart,
 }
 
-/// `Step` is one change.
+/// `ChurnStep` is a single change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ChurnStep {
-    /// An engine starts with nothing cached.
+    /// An engine starts with an empty cache.
     Up(usize),
     /// An engine fails.
     Down(usize),
-    /// An engine takes no new work.
+    /// An engine is marked as leaving and takes no new work.
     Mark(usize),
-    /// It takes new work again.
+    /// The mark is removed and the engine takes new work again.
     Unmark(usize),
     /// All routers are replaced.
     Routers,
 }
 
 impl Churn {
-    /// All kinds but none.
+    /// All kinds except [`Churn::Nothing`].
     pub const ALL: [Self; 7] = [
         Self::Join,
         Self::Leave,
@@ -60,7 +60,7 @@
         Self::Apart,
     ];
 
-    /// `steps` lists the changes with their times, in milliseconds after the middle.
+    /// Returns the changes with their times in milliseconds after the middle of the run.
     #[must_use]
     pub fn steps(self, engines: usize) -> Vec<(u64, ChurnStep)> {
         match self {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// `lag` is how much later every second router knows, in milliseconds.
+    /// Returns how much later every second router learns of changes, in milliseconds.
     #[must_use]
     pub fn late_view_ms(self) -> u64 {
         if self == Self::Apart { LATE_VIEW_MS } else { 0 }
--- a/crates/peppercrank-bench/src/engine.rs
+++ b/crates/peppercrank-bench/src/engine.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One engine with the real admission and pointer table of its agent.
+//! A simulated engine with the real admission and pointer table of its agent.
 
 use std::time::Duration;
 
@@ -26,48 +26,48 @@
 use crate::trace::SHARES;
 use crate::ways::Strategy;
 
-/// Multiple of the mean that an engine admits up to.
+/// Load cap as a multiple of the mean load.
 pub const CAP_FACTOR: f64 = 1.25;
 
-/// Work that an engine may always carry.
+/// Load that an engine may always admit.
 pub const CAP_FLOOR: u64 = ENGINE_CEILING / 4;
 
-/// Longest wait in an engine's queue, in milliseconds.
+/// Maximum waiting time in an engine's queue, in milliseconds.
 pub const MAX_QUEUE_WAIT_MS: u64 = 10_000;
 
-/// How long a request waits at an engine before it goes on to another.
+/// Waiting time at an engine after which a request moves on to another one.
 pub const QUEUE_PATIENCE: Duration = Duration::from_secs(2);
 
-/// Requests that may wait at one engine.
+/// Maximum number of requests waiting at one engine.
 const QUEUE_LIMIT: u32 = 64;
 
-/// Bytes of an agent's pointer table.
+/// Size of an agent's pointer table in bytes.
 const POINTER_TABLE_BYTES: usize = 1 << 18;
 
-/// `Engine` is one engine and what its agent knows.
+/// `Engine` is an engine with the state of its agent.
 #[derive(Debug)]
 pub struct Engine {
     /// The agent's admission.
     pub admission: Admission,
     /// The agent's pointer table.
     pub pointers: Pointers,
-    /// What the engine holds.
+    /// The engine's prompt cache.
     pub cache: Cache,
-    /// Whether it can be reached.
+    /// Whether the engine is reachable.
     pub up: bool,
-    /// How often it has started.
+    /// Number of times the engine has started.
     pub incarnation: u64,
-    /// Work that waits.
+    /// Total cost of waiting requests.
     pub waiting_cost: u64,
     seq: u64,
 }
 
 impl Engine {
-    /// `new` is an idle engine with nothing cached.
+    /// Creates an idle engine with an empty cache.
     ///
     /// # Panics
     ///
-    /// Panics if the bench's own settings are out of range.
+    /// Panics if the constants of this benchmark are out of range.
     #[must_use]
     pub fn new(now: Instant, n: usize, strategy: Strategy, memory: u64, incarnation: u64) -> Self {
         let capped = strategy.is_capped();
@@ -103,13 +103,13 @@
         }
     }
 
-    /// `load` is what runs and waits.
+    /// Returns the cost of running and waiting requests.
     #[must_use]
     pub fn load(&self) -> u64 {
         self.admission.status().reserved.0 + self.waiting_cost
     }
 
-    /// `event` is the engine's next cache event.
+    /// Returns the engine's next cache event.
     pub fn next_cache_event(&mut self, change: Change, key: u64) -> CacheEvent {
         self.seq += 1;
         CacheEvent {
@@ -121,36 +121,36 @@
     }
 }
 
-/// `organisation` is the name of an organisation.
+/// Returns the name of an organisation.
 ///
 /// # Panics
 ///
-/// Never: the names are well formed.
+/// Never: the generated names are well formed.
 #[must_use]
 pub fn organisation_name(of: usize) -> OrganisationName {
     OrganisationName::new(&format!("organisation-{of}")).expect("well formed")
 }
 
-/// `key` is the key of an engine.
+/// Returns the target key of an engine.
 #[must_use]
 pub fn target_key(n: usize) -> TargetKey {
     TargetKey::from(KeyData::from_ffi(1 << 32 | (n as u64 + 1)))
 }
 
-/// `index` is the engine of a key.
+/// Returns the index of the engine with this key.
 #[must_use]
 pub fn engine_index(target: TargetKey) -> usize {
     let low = slotmap::Key::data(&target).as_ffi() & 0xffff_ffff;
     low as usize - 1
 }
 
-/// `hash` is the hash of an engine's name.
+/// Returns the hash of an engine's name.
 #[must_use]
 pub fn target_hash(n: usize) -> TargetHash {
     TargetHash::of(&format!("engine-{n}"))
 }
 
-/// Operators weigh organisations by their usual shares.
+/// Returns an organisation's parameters, weighted by its usual share of the traffic.
 fn organisation_parameters(of: usize) -> Parameters {
     Parameters {
         weight: SHARES[of],
--- a/crates/peppercrank-bench/src/lib.rs
+++ b/crates/peppercrank-bench/src/lib.rs
@@ -1,14 +1,15 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A seeded trace in virtual time that drives the real routing and admission, beside baselines.
+//! A seeded simulation in virtual time that drives the real routing and admission code and
+//! compares it with baselines.
 //!
-//! [`trace::Trace`] draws the requests, [`world::World`] carries them through one [`ways::Way`] of
-//! routing, and [`report::Report`] is what came of them. Engines are a cost and cache model:
-//! nothing else of the fleet is imitated.
+//! [`trace::Trace`] generates the requests, [`world::Simulation`] runs them with one
+//! [`ways::Strategy`] of routing, and [`report::Report`] holds the results. Engines are modelled
+//! by cost and cache contents; no other part of a fleet is simulated.
 //!
-//! [`surge`] does the same for routers that send straight to engines, under more load than these can
-//! serve.
+//! [`surge`] does the same for routers that send straight to engines, under more load than the
+//! engines can serve.
 
 #![expect(
     clippy::cast_precision_loss,
--- a/crates/peppercrank-bench/src/main.rs
+++ b/crates/peppercrank-bench/src/main.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Prints the trace bench as Markdown tables; `--quick` runs small traces only.
+//! Prints the results of the trace benchmark as Markdown tables; `--quick` runs only small
+//! workloads.
 
 use std::thread;
 
@@ -15,20 +16,20 @@
 use peppercrank_bench::shapes;
 use peppercrank_bench::trace::ORGANISATIONS;
 
-/// Runs that go on at once.
+/// Number of simulations that run concurrently.
 const MAX_CONCURRENT_RUNS: usize = 4;
 
-/// From so many engines on, a table is of the ways alone.
+/// Number of engines from which on only the strategies are compared, without variants.
 const LARGE_FLEET_ENGINES: usize = 100;
 
-/// `Job` is one row of a table.
+/// One simulation, which yields one row of a table.
 struct Job<'a> {
     label: String,
     workload: &'a Workload,
     trace: &'a Trace,
     strategy: Strategy,
     churn: Churn,
-    /// Whether a prompt's cost stays reserved to the end.
+    /// Whether the cost of a prompt stays reserved until the end of the answer.
     reserve_prompts_to_end: bool,
 }
 
@@ -47,7 +48,7 @@
     compare_zone_loss();
 }
 
-/// Runs jobs, some at once, and hands their reports back in order.
+/// Runs jobs, up to [`MAX_CONCURRENT_RUNS`] at a time, and returns their reports in order.
 fn run(jobs: &[Job<'_>]) -> Vec<Report> {
     let mut reports = Vec::new();
     for some in jobs.chunks(MAX_CONCURRENT_RUNS) {
@@ -111,7 +112,7 @@
     );
 }
 
-/// Runs all ways through one shape.
+/// Compares all strategies on one workload.
 fn compare_strategies(title: &str, workload: &Workload) {
     let trace = Trace::new(workload);
     print_heading(title, workload, &trace);
@@ -139,7 +140,7 @@
     print_failures(&jobs, &reports);
 }
 
-/// Prints refusals by reason.
+/// Prints refused attempts and failed requests by reason.
 fn print_failures(jobs: &[Job<'_>], reports: &[Report]) {
     println!("\nAttempts refused, then requests failed, by reason, over the whole run:\n");
     for (job, report) in jobs.iter().zip(reports) {
@@ -151,7 +152,7 @@
     }
 }
 
-/// Runs all ways with and without one organisation's surge.
+/// Compares all strategies with and without a surge of one organisation.
 fn compare_surge() {
     let workload = &shapes::NIGHT;
     let without_surge = &Workload {
@@ -217,7 +218,7 @@
     }
 }
 
-/// Runs all ways through each kind of churn.
+/// Compares all strategies under each kind of churn.
 fn compare_churn(title: &str, workload: &Workload) {
     let trace = Trace::new(workload);
     print_heading(title, workload, &trace);
@@ -242,7 +243,7 @@
     print_failures(&jobs, &reports);
 }
 
-/// Loses an availability zone of many engines.
+/// Compares strategies when a large fleet loses an availability zone.
 fn compare_zone_loss() {
     let workload = &shapes::LARGE;
     let trace = Trace::new(workload);
--- a/crates/peppercrank-bench/src/report.rs
+++ b/crates/peppercrank-bench/src/report.rs
@@ -1,65 +1,70 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What came of a run.
+//! Results of a simulation.
 
 use std::collections::BTreeMap;
 
 use crate::trace::ORGANISATIONS;
 
-/// Milliseconds of a window.
+/// Length of a window in milliseconds.
 pub const WINDOW_MS: u64 = 60_000;
 
-/// `Window` is what came of one minute of requests.
+/// `Window` holds the results of the requests that arrived in one minute.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Window {
-    /// Prompt tokens that were cached.
+    /// Prompt tokens that were cached on the engine that ran the request.
     pub reused: u64,
-    /// Prompt tokens that one memory of the size of all would have held.
+    /// Prompt tokens that a single cache with the total size of all engines' caches would have
+    /// held.
     pub reuse_bound: u64,
-    /// Prompt tokens that the best engine held.
+    /// Prompt tokens that were cached on the engine with the most of them.
     pub best_held: u64,
-    /// Greatest mean load of an engine over the mean of all.
+    /// Maximum of the engines' mean loads, divided by the mean over all engines.
     pub skew: f64,
 }
 
-/// `Report` is what came of a run, from the end of its warming on.
+/// `Report` holds the results of a simulation, from the end of the warm-up on unless stated
+/// otherwise.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Report {
-    /// Requests that came, in the whole run.
+    /// Requests that arrived, warm-up included.
     pub arrived: u64,
-    /// Requests answered in full, in the whole run.
+    /// Requests answered completely, warm-up included.
     pub completed: u64,
-    /// Requests refused or cut, by reason, in the whole run.
+    /// Requests refused or cut off by reason, warm-up included.
     pub failed: BTreeMap<&'static str, u64>,
-    /// Attempts refused, by reason.
+    /// Attempts refused by reason, warm-up included.
     pub refusals: BTreeMap<&'static str, u64>,
-    /// Requests that came.
+    /// Requests that arrived.
     pub requests: u64,
     /// Attempts sent.
     pub attempts_sent: u64,
-    /// Bytes of notes, of routers and of changes of ranking.
+    /// Bytes of cache notes sent by routers and on changes of the ranking, warm-up included.
     pub note_bytes: u64,
-    /// The minutes.
+    /// One window per minute of the run, warm-up included.
     pub windows: Vec<Window>,
-    /// Waits of those that ran or were refused for load, by organisation, in milliseconds.
+    /// Waiting times in milliseconds of requests that ran or were refused for load, by
+    /// organisation.
     pub waits: [Vec<u64>; ORGANISATIONS],
     /// Requests admitted.
     pub admitted: u64,
-    /// Admissions above the cap of the mean known then.
+    /// Admissions above the cap that follows from the mean known to the agent, warm-up included.
     pub above_known_cap: u64,
-    /// Admissions above the cap of the true mean of what runs and waits.
+    /// Admissions above the cap that follows from the true mean of running and waiting cost.
     pub above_true_cap: u64,
-    /// Admissions above the cap of the true mean of what runs.
+    /// Admissions above the cap that follows from the true mean of running cost.
     pub above_running_cap: u64,
-    /// The greatest load just admitted to, over the cap of the true mean of what runs.
+    /// Maximum of load after an admission, divided by the cap from the true mean of running cost.
     pub max_running_cap_ratio: f64,
-    /// The greatest load just admitted to, over the cap of the true mean of what runs and waits.
+    /// Maximum of load after an admission, divided by the cap from the true mean of running and
+    /// waiting cost.
     pub max_cap_ratio: f64,
 }
 
 impl Report {
-    /// `share` is the reuse over the bound in some minutes, and over what the best engine held.
+    /// Returns the reused tokens in the minutes `from..to`, divided by the reuse bound and by what
+    /// the best engine held.
     #[must_use]
     pub fn reuse_ratios(&self, from: usize, to: usize) -> (f64, f64) {
         let windows = &self.windows[from.min(self.windows.len())..to.min(self.windows.len())];
@@ -71,7 +76,7 @@
         )
     }
 
-    /// `skew` is the mean and the greatest skew of some minutes.
+    /// Returns the mean and maximum skew in the minutes `from..to`.
     #[must_use]
     pub fn skew(&self, from: usize, to: usize) -> (f64, f64) {
         let windows = &self.windows[from.min(self.windows.len())..to.min(self.windows.len())];
@@ -80,7 +85,8 @@
         (sum / f64::from(count.max(1)), skews.fold(0.0, f64::max))
     }
 
-    /// `wait` is the wait that so many in a hundred of some organisations do not exceed, in seconds.
+    /// Returns a percentile of the waiting times of a range of organisations, in seconds; 0 if
+    /// there are none.
     #[must_use]
     pub fn wait_percentile(&self, of: std::ops::Range<usize>, percent: usize) -> f64 {
         let mut waits: Vec<u64> = self.waits[of].iter().flatten().copied().collect();
@@ -90,20 +96,20 @@
         wait.unwrap_or(0) as f64 / 1_000.0
     }
 
-    /// `lost` is how many requests failed, in the whole run.
+    /// Returns how many requests failed, warm-up included.
     #[must_use]
     pub fn failed_count(&self) -> u64 {
         self.failed.values().sum()
     }
 
-    /// `each` is a count over the requests.
+    /// Returns a count divided by the number of measured requests.
     #[must_use]
     pub fn per_request(&self, count: u64) -> f64 {
         ratio(count, self.requests)
     }
 }
 
-/// `ratio` is a part of a whole; nothing of nothing is all of it.
+/// Returns `part / of`, or 1 if `of` is 0.
 #[must_use]
 pub fn ratio(part: u64, of: u64) -> f64 {
     if of == 0 {
--- a/crates/peppercrank-bench/src/router.rs
+++ b/crates/peppercrank-bench/src/router.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One router: the real parts for our way, the same attempts and retries for the baselines.
+//! A simulated router: the real routing code for [`Strategy::Peppercrank`], and the same attempts
+//! and retries for the baselines.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,29 +29,29 @@
 use crate::ways::MAX_ATTEMPTS;
 use crate::ways::Strategy;
 
-/// Time allowed a request.
+/// Deadline of a request.
 const REQUEST_DEADLINE: Duration = Duration::from_secs(120);
 
-/// What a router remembers.
+/// Number of chats and prefixes that a router remembers.
 const ROUTE_CAPACITY: Room = Room {
     chats: 4_000,
     prefixes: 256,
 };
 
-/// Retries as a share of a router's requests.
+/// Retry budget as a share of a router's requests.
 const RETRY_SHARE: f64 = 0.3;
 
-/// `Course` is one request on its way.
+/// `RequestState` is the routing state of one request.
 #[derive(Debug)]
 pub enum RequestState {
-    /// By our way.
+    /// Routed by [`Strategy::Peppercrank`].
     Peppercrank(Trip),
-    /// By a baseline.
+    /// Routed by a baseline strategy.
     Baseline(Request),
 }
 
 impl RequestState {
-    /// `is_spilled` tells whether the latest attempt goes to another target than the home.
+    /// Returns whether the latest attempt goes to a target other than the home.
     #[must_use]
     pub fn is_spilled(&self) -> bool {
         match self {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// `tries` is the number of attempts sent.
+    /// Returns the number of attempts sent.
     #[must_use]
     pub fn attempts(&self) -> u32 {
         match self {
@@ -69,7 +70,7 @@
     }
 }
 
-/// `Router` is one router.
+/// `Router` is a simulated router.
 #[derive(Debug)]
 pub struct Router {
     routes: Routes,
@@ -79,7 +80,7 @@
 }
 
 impl Router {
-    /// `new` is a router that knows the ranking and nothing else.
+    /// Creates a router that knows only the ranking.
     #[must_use]
     pub fn new(seed: u64, ranking: &Ranking, live: &Rc<Vec<usize>>) -> Self {
         let mut routes = Routes::new(RETRY_SHARE, seed, ROUTE_CAPACITY);
@@ -92,13 +93,13 @@
         }
     }
 
-    /// `see` takes a changed ranking in.
+    /// Replaces the ranking and the live engines.
     pub fn set_ranking(&mut self, ranking: &Ranking, live: &Rc<Vec<usize>>) {
         self.routes.ranking = ranking.clone();
         self.live = Rc::clone(live);
     }
 
-    /// `begin` begins a request.
+    /// Starts a request.
     pub fn begin(
         &mut self,
         strategy: Strategy,
@@ -131,7 +132,7 @@
         (RequestState::Baseline(request), next)
     }
 
-    /// `on` takes in an event of a request.
+    /// Handles an event of a request.
     pub fn handle(&mut self, now: Instant, state: &mut RequestState, event: Event) -> Next {
         match state {
             RequestState::Peppercrank(trip) => self.routes.on(now, trip, event),
@@ -139,7 +140,7 @@
         }
     }
 
-    /// `notes` is what is to be told of a request that was answered.
+    /// Returns the cache notes to send for an answered request; none for baselines.
     pub fn notes(&mut self, now: Instant, state: &RequestState) -> Vec<Addressed> {
         match state {
             RequestState::Peppercrank(trip) => self.routes.notes(now, trip),
--- a/crates/peppercrank-bench/src/shapes.rs
+++ b/crates/peppercrank-bench/src/shapes.rs
@@ -1,11 +1,12 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The shapes of the traces that are reported.
+//! The workloads that are reported.
 
 use crate::trace::Workload;
 
-/// Long documents, the top one asked for by a fifth; chats mostly return within minutes.
+/// Long documents, the most popular one used by a fifth of the chats on documents; chats mostly
+/// return within minutes.
 pub const AUTHORITIES: Workload = Workload {
     engines: 9,
     routers: 4,
@@ -20,7 +21,7 @@
     cache_tokens: 300_000,
 };
 
-/// Chats with few documents that return after minutes and hours to little memory.
+/// Chats with few documents that return after minutes or hours to small caches.
 pub const RETURNING: Workload = Workload {
     arrival_seconds: 7_200,
     warm_up_seconds: 3_600,
@@ -31,7 +32,7 @@
     ..AUTHORITIES
 };
 
-/// Manifests; one organisation surges for two hours of the night.
+/// A two-hour night of manifests in which one organisation surges.
 pub const NIGHT: Workload = Workload {
     arrival_seconds: 7_200,
     warm_up_seconds: 1_800,
@@ -43,20 +44,21 @@
     ..AUTHORITIES
 };
 
-/// Authorities through churn at the half, where eight engines can carry what nine did.
+/// Long documents under churn, where eight engines can carry the load of nine.
 pub const CHURN: Workload = Workload {
     arrival_seconds: 2_400,
     target_load: 0.6,
     ..AUTHORITIES
 };
 
-/// The same where they cannot.
+/// The same, where they cannot.
 pub const FULL: Workload = Workload {
     target_load: 0.8,
     ..CHURN
 };
 
-/// Authorities at the size of two years from now, for as long as is affordable.
+/// Long documents on a fleet of the size projected for two years ahead, for as long as is
+/// affordable.
 pub const LARGE: Workload = Workload {
     engines: 1_300,
     routers: 370,
@@ -68,7 +70,7 @@
     ..AUTHORITIES
 };
 
-/// A short one for tests.
+/// A short workload for tests.
 pub const QUICK: Workload = Workload {
     arrival_seconds: 900,
     warm_up_seconds: 300,
@@ -76,7 +78,7 @@
     ..AUTHORITIES
 };
 
-/// A short one in which an organisation surges.
+/// A short workload in which an organisation surges.
 pub const QUICK_NIGHT: Workload = Workload {
     target_load: 0.6,
     surge: Some((300, 900)),
--- a/crates/peppercrank-bench/src/surge/callers.rs
+++ b/crates/peppercrank-bench/src/surge/callers.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What callers ask for, and what they got.
+//! Callers: their requests and the outcomes.
 
 use std::time::Duration;
 
@@ -9,69 +9,69 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// `Class` is one kind of request.
+/// `RequestClass` is a class of requests.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestClass {
-    /// Its name.
+    /// Name of the class.
     pub name: &'static str,
-    /// Requests a second, in all, outside of a surge.
+    /// Total requests per second outside a surge.
     pub rate: f64,
-    /// The time within which the first token is wanted.
+    /// Time within which the first token is wanted.
     pub first_token_goal: Duration,
-    /// How long a caller waits for the whole answer.
+    /// Time that a caller waits for the complete answer.
     pub deadline: Duration,
-    /// What an answer in time is worth.
+    /// Value of an answer whose first token is in time.
     pub value: f64,
-    /// What a late answer is worth.
+    /// Value of an answer whose first token is late.
     pub late_value: f64,
-    /// Prompts that requests share, and tokens of one.
+    /// Number of shared prompts, and tokens of each.
     pub shared_prompts: (u64, u64),
-    /// Mean tokens of a request's own prompt.
+    /// Mean length in tokens of the part of the prompt that is not shared.
     pub mean_own_tokens: f64,
-    /// Mean tokens of an answer.
+    /// Mean length of an answer in tokens.
     pub mean_output_tokens: f64,
 }
 
-/// `Outcome` is what became of a caller.
+/// `Outcome` is the outcome of a caller's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Not known yet.
+    /// The request has not ended.
     Pending,
-    /// Answered, the first token in time.
+    /// Answered with the first token in time.
     InTime,
-    /// Answered, the first token late.
+    /// Answered with the first token late.
     Late,
-    /// Refused, on its return too.
+    /// Refused, and refused again on retry.
     Refused,
-    /// Admitted, and not finished at its deadline.
+    /// Admitted but not finished by the deadline.
     Expired,
-    /// Lost with the engine that ran it.
+    /// Lost because the engine that ran it crashed.
     Lost,
 }
 
-/// `Caller` is one request over its calls.
+/// `Caller` is one request with its retry.
 #[derive(Debug, Clone, Copy)]
 pub struct Caller {
-    /// The place of its class, which is its rank too.
+    /// Index of its class, which is also its rank.
     pub class: usize,
-    /// When it called first.
+    /// Time of the first call.
     pub first_call: Instant,
-    /// Tokens of its own prompt.
+    /// Tokens of the prompt that are not shared.
     pub own_tokens: u64,
-    /// Tokens of its answer.
+    /// Tokens of the answer.
     pub output_tokens: u64,
-    /// The shared prompt that goes before its own.
+    /// Id of the shared prompt that precedes its own.
     pub shared_prompt: u64,
-    /// Whether it was refused and came back.
+    /// Whether it was refused and called again.
     pub has_retried: bool,
-    /// When the first token came.
+    /// Time of the first token, if it has arrived.
     pub first_token_at: Option<Instant>,
-    /// What became of it.
+    /// Outcome of the request.
     pub outcome: Outcome,
 }
 
 impl Caller {
-    /// `draw` is a caller of a class.
+    /// Creates a random caller of a class.
     pub fn draw(
         rng: &mut ChaCha8Rng,
         class: usize,
@@ -91,46 +91,46 @@
         }
     }
 
-    /// `size` is its size in tokens, those of its answer by their weight.
+    /// Returns the size in tokens, with output tokens weighted by their cost.
     #[must_use]
     pub const fn size(&self) -> u64 {
-        /// Tokens of a prompt that one token of an answer weighs.
+        /// Number of prompt tokens that one output token counts as.
         const OUTPUT_WEIGHT: u64 = 10;
         self.own_tokens + self.output_tokens * OUTPUT_WEIGHT
     }
 }
 
-/// A heavy-tailed number: half of it from a few large ones.
+/// Samples a heavy-tailed distribution in which a few large values make up half of the total.
 fn heavy_tailed(rng: &mut ChaCha8Rng, mean: f64) -> u64 {
     let even: f64 = rng.random_range(0.01..1.0);
-    // Its mean over the range above is one.
+    // The mean of the factor over the range above is 1.
     let factor = even.powf(-0.5) * 0.55;
     (mean * factor).round().max(1.0) as u64
 }
 
-/// `Summary` is what the callers of one class got.
+/// `Summary` aggregates the outcomes of the callers of a class.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Summary {
-    /// Callers.
+    /// Number of callers.
     pub total: u32,
-    /// Answered in time.
+    /// Requests answered in time.
     pub in_time: u32,
-    /// Answered late.
+    /// Requests answered late.
     pub late: u32,
-    /// Refused, on their return too.
+    /// Requests refused twice.
     pub refused: u32,
-    /// Not finished at their deadline.
+    /// Requests not finished by their deadline.
     pub expired: u32,
-    /// Lost with an engine.
+    /// Requests lost because an engine crashed.
     pub lost: u32,
-    /// What they earned.
+    /// Total value of the answers.
     pub earned_value: f64,
-    /// What they would have earned if all were in time.
+    /// Total value if all requests had been answered in time.
     pub max_value: f64,
 }
 
 impl Summary {
-    /// `add` counts a caller.
+    /// Adds the outcome of a caller.
     pub fn add(&mut self, caller: &Caller, class: &RequestClass) {
         self.total += 1;
         self.max_value += class.value;
@@ -149,7 +149,7 @@
         }
     }
 
-    /// `served` is the share that got an answer.
+    /// Returns the share of callers that got an answer.
     #[must_use]
     pub fn served(&self) -> f64 {
         f64::from(self.in_time + self.late) / f64::from(self.total.max(1))
--- a/crates/peppercrank-bench/src/surge/fleet.rs
+++ b/crates/peppercrank-bench/src/surge/fleet.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Routers before engines, in virtual time.
+//! A fleet of routers and engines in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -32,7 +32,7 @@
 use crate::surge::router::Router;
 use crate::surge::router::RouterView;
 
-/// `What` happens at a moment.
+/// An event at a point in virtual time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum FleetEvent {
     Arrive(usize),
@@ -45,7 +45,7 @@
     OutageEnd,
 }
 
-/// One attempt on its way.
+/// One attempt at an engine.
 #[derive(Debug, Clone, Copy)]
 struct ActiveAttempt {
     caller: usize,
@@ -55,22 +55,22 @@
     is_open: bool,
 }
 
-/// What was sent in one second.
+/// Requests sent in one second.
 #[derive(Debug, Clone, Copy, Default)]
 struct SentCounts {
     total: u32,
-    /// Requests whose engine held over twice the mean and three.
+    /// Requests whose engine's load was above twice the mean plus three.
     overloaded: u32,
 }
 
-/// `Fleet` plays a scene.
+/// `Fleet` simulates a scenario.
 #[derive(Debug)]
 pub struct Fleet {
     scenario: Scenario,
     rng: ChaCha8Rng,
     now: Instant,
     queue: BinaryHeap<Reverse<(Instant, u64, FleetEvent)>>,
-    /// Events so far, which orders those of one moment.
+    /// Number of events scheduled so far, which orders events of the same time.
     event_count: u64,
     keys: Vec<TargetKey>,
     engines: Vec<Engine>,
@@ -78,18 +78,18 @@
     routers: Vec<Router>,
     attempts: Vec<ActiveAttempt>,
     last_shared: Instant,
-    /// What each router told last of its work on each engine.
+    /// Work on each engine that each router reported last.
     router_work: Vec<Vec<PeerWork>>,
-    /// The callers, in the order of their coming.
+    /// The callers in order of arrival.
     pub callers: Vec<Caller>,
-    /// What was sent in each second.
+    /// Requests sent in each second.
     sent: Vec<SentCounts>,
-    /// Returns after a refusal, and those of them that were refused again.
+    /// Number of retries after a refusal, and how many of them were refused again.
     pub retries: (u32, u32),
 }
 
 impl Fleet {
-    /// `play` plays a scene to its end.
+    /// Simulates a scenario to its end.
     #[must_use]
     pub fn simulate(scenario: &Scenario) -> Self {
         let mut fleet = Self::new(scenario);
@@ -169,7 +169,7 @@
         }
     }
 
-    /// A caller comes, and the next of its class is drawn.
+    /// Adds a caller and schedules the next one of its class.
     fn arrive(&mut self, class: usize) {
         let of = self.scenario.classes[class];
         let since = self.now.since_origin();
@@ -190,7 +190,7 @@
         self.call(self.callers.len() - 1);
     }
 
-    /// A caller calls a router, which decides.
+    /// Sends a caller's request to a random router, which decides about it.
     fn call(&mut self, caller: usize) {
         let router = self.rng.random_range(0..self.routers.len());
         let of = self.scenario.classes[self.callers[caller].class];
@@ -208,7 +208,7 @@
 
     fn decide(&mut self, caller: usize, router: usize, left: Duration) -> Decision {
         let asked = self.callers[caller];
-        // A router knows at once which engines are down.
+        // Routers know at once which engines are down.
         let up = self.keys.iter().zip(&self.engines);
         let up = up.map(|(key, engine)| (*key, engine.up));
         let up = up.collect::<Vec<_>>();
@@ -261,7 +261,7 @@
         self.begin_step(engine);
     }
 
-    /// Counts a request that is sent to an engine, and whether that holds too much.
+    /// Counts a request sent to an engine, and whether the engine is overloaded.
     fn record_load(&mut self, engine: usize) {
         let loads = self.engines.iter().map(|e| f64::from(e.load()));
         let mean = loads.sum::<f64>() / self.engines.len() as f64;
@@ -290,7 +290,7 @@
         self.schedule(after, FleetEvent::Retry(caller));
     }
 
-    /// Begins an engine's next step, if none goes on.
+    /// Begins an engine's next step unless one is in progress.
     fn begin_step(&mut self, engine: usize) {
         let working = &mut self.engines[engine];
         if working.busy || !working.up {
@@ -360,7 +360,7 @@
         self.routers[flight.router].record_end(self.now, &mut flight.in_flight);
     }
 
-    /// A router tells the others its work and news.
+    /// Shares a router's work and new prompts with the other routers.
     fn share_work(&mut self, router: usize) {
         for (engine, key) in self.keys.iter().enumerate() {
             self.router_work[router][engine] = self.routers[router].own_work(*key);
@@ -392,7 +392,7 @@
         }
     }
 
-    /// A router passes load reports on to another one.
+    /// Relays load reports from a router to another random one.
     fn relay_reports(&mut self, router: usize) {
         let reports = self.routers[router].load_reports(self.now, &self.keys);
         let to = self.rng.random_range(0..self.routers.len());
@@ -406,7 +406,7 @@
         }
     }
 
-    /// Whether callers come or wait.
+    /// Returns whether callers are still arriving or waiting.
     fn has_pending_work(&self) -> bool {
         self.now.since_origin() < self.scenario.duration || self.attempts.iter().any(|f| f.is_open)
     }
@@ -428,8 +428,9 @@
         }
     }
 
-    /// `worst` is the greatest share of requests that reached an engine which held over twice the mean and three, in any
-    /// so many whole seconds after the first ones, in which routers know nothing yet.
+    /// Returns the maximum share of requests sent to an overloaded engine, one with a load above
+    /// twice the mean plus three, over all windows of `seconds` seconds. The `first` seconds, in
+    /// which routers know nothing yet, are skipped.
     #[must_use]
     pub fn worst_overload_share(&self, first: usize, seconds: usize) -> f64 {
         let sent = self.sent.get(first..).unwrap_or_default();
@@ -441,7 +442,7 @@
         sent.windows(seconds).map(share).fold(0.0, f64::max)
     }
 
-    /// `summaries` are what the callers of each class got that came in this time.
+    /// Returns the outcomes by class of the callers that arrived in `from..to`.
     #[must_use]
     pub fn summaries(&self, from: Duration, to: Duration) -> Vec<Summary> {
         let mut all = vec![Summary::default(); self.scenario.classes.len()];
@@ -454,7 +455,7 @@
         all
     }
 
-    /// `earned` is what all callers earned.
+    /// Returns the total value of all answers.
     #[must_use]
     pub fn earned_value(&self) -> f64 {
         let all = self.summaries(Duration::ZERO, Duration::MAX);
@@ -462,7 +463,7 @@
     }
 }
 
-/// A key for each engine.
+/// Returns a target key for each engine.
 fn keys(scenario: &Scenario) -> Vec<TargetKey> {
     let mut directory = Directory::default();
     for n in 0..scenario.engines {
--- a/crates/peppercrank-bench/src/surge/mod.rs
+++ b/crates/peppercrank-bench/src/surge/mod.rs
@@ -1,12 +1,13 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A surge of callers at a fleet of engines, in virtual time, decided by the gateway's own code.
+//! Simulation in virtual time of a surge of callers at a fleet of engines, with decisions made by
+//! the gateway's own code.
 //!
-//! [`engine`] models engines that read prompts in chunks between the tokens of a batch, [`callers`]
-//! what callers ask for and get, and [`router`] what a router knows and decides, and [`fleet`]
-//! carries requests through routers that know each other's work with a lag. Nothing else is imitated: no network and no memory that runs
-//! out.
+//! [`engine`] models engines that prefill prompts in chunks between the decoding steps of a batch,
+//! [`callers`] what callers request and get, [`router`] what a router knows and decides, and
+//! [`fleet`] runs requests through routers that know each other's work with a delay. Nothing else
+//! is simulated: there is no network, and memory is unlimited.
 
 pub mod callers;
 pub mod engine;
--- a/crates/peppercrank-bench/src/surge/router.rs
+++ b/crates/peppercrank-bench/src/surge/router.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One model router: what it knows, and what it decides by the gateway's own code.
+//! A simulated router, which decides with the gateway's own code.
 
 use std::time::Duration;
 
@@ -30,37 +30,37 @@
 use crate::surge::RequestClass;
 use crate::surge::Scenario;
 
-/// Multiple of the mean load that an engine may hold, as the gateway's settings have it.
+/// Load cap of an engine as a multiple of the mean load, as in the gateway's settings.
 const CAP_FACTOR: f64 = 2.0;
 
-/// `View` is what a router sees of its surroundings at one moment.
+/// `RouterView` is the part of the simulation that a router sees at one time.
 #[derive(Debug, Clone, Copy)]
 pub struct RouterView<'a> {
-    /// The moment.
+    /// Current time.
     pub now: Instant,
-    /// What is played.
+    /// The simulated scenario.
     pub scenario: &'a Scenario,
-    /// The engines, and which of them are up.
+    /// The engines and whether each is up.
     pub engines: &'a [(TargetKey, bool)],
-    /// Time since a router told of its work.
+    /// Time since any router last shared its work.
     pub since_shared: Duration,
-    /// How old what routers told of their work is on average.
+    /// Average age of the work that routers shared.
     pub mean_age: Duration,
 }
 
-/// `Router` is what one router knows.
+/// `Router` is the state of one router.
 #[derive(Debug, Default)]
 pub struct Router {
     stats: StatsMap,
     rates: Rates,
     admission: Admission,
     prefixes: PrefixIndex,
-    /// Prompts sent since the others were told.
+    /// Prompts sent since the last exchange with other routers.
     unshared_prompts: Vec<(TargetKey, u64)>,
 }
 
 impl Router {
-    /// `decide` decides about a call of a caller that waits for so much longer.
+    /// Decides where to send a call of a caller that waits at most for `left`.
     pub fn decide(
         &mut self,
         view: &RouterView<'_>,
@@ -120,7 +120,7 @@
         up.map(see).collect()
     }
 
-    /// `send` counts an attempt with such a shared prompt that is sent.
+    /// Records that an attempt with this shared prompt is sent.
     pub fn record_send(&mut self, now: Instant, choice: Choice, shared: u64) -> InFlight {
         if self.prefixes.record(now, choice.key, shared) {
             self.unshared_prompts.push((choice.key, shared));
@@ -128,14 +128,14 @@
         InFlight::begin(now, &mut self.stats, choice)
     }
 
-    /// `refused` notes that an engine is full, with which it tells its load.
+    /// Records that an engine refused an attempt because it is full, and the load it reported.
     pub fn record_refusal(&mut self, now: Instant, choice: Choice, load: u32) {
         if let Some(stats) = self.stats.get_mut(choice.key) {
             stats.record_report(now, load);
         }
     }
 
-    /// `first` notes an attempt's first token, with which its engine tells its load.
+    /// Records an attempt's first token and the load that its engine reported with it.
     pub fn record_first_token(&mut self, now: Instant, counted: &mut InFlight, load: u32) {
         if let Some(stats) = self.stats.get_mut(counted.choice.key) {
             stats.record_report(now, load);
@@ -143,12 +143,12 @@
         counted.record_first_part(now, &mut self.stats, &mut self.rates);
     }
 
-    /// `end` notes the end of an attempt.
+    /// Records the end of an attempt.
     pub fn record_end(&mut self, now: Instant, counted: &mut InFlight) {
         counted.finish(now, &mut self.stats, &mut self.rates);
     }
 
-    /// `work` is its own work on an engine.
+    /// Returns this router's work on an engine.
     #[must_use]
     pub fn own_work(&self, engine: TargetKey) -> PeerWork {
         let stats = self.stats.get(engine);
@@ -158,12 +158,12 @@
         }
     }
 
-    /// `hear` takes in the others' work on an engine.
+    /// Sets the other routers' work on an engine.
     pub fn set_peer_work(&mut self, engine: TargetKey, others: PeerWork) {
         self.stats.set_peer_work(engine, others);
     }
 
-    /// `reports` are the load reports that it passes on, with engines in their order for names.
+    /// Returns the load reports to relay, which name engines by their index.
     #[must_use]
     pub fn load_reports(&self, now: Instant, engines: &[TargetKey]) -> Vec<LoadReport> {
         let report = |(n, key): (usize, &TargetKey)| {
@@ -175,7 +175,7 @@
         reports
     }
 
-    /// `relayed` takes in load reports that another router passed on.
+    /// Applies load reports relayed by another router.
     pub fn apply_relayed_reports(
         &mut self,
         now: Instant,
@@ -190,25 +190,25 @@
         }
     }
 
-    /// `news` are the prompts that it sent since it was asked last.
+    /// Returns the prompts sent since the last call.
     pub fn take_unshared_prompts(&mut self) -> Vec<(TargetKey, u64)> {
         std::mem::take(&mut self.unshared_prompts)
     }
 
-    /// `learn` takes in the prompts that another router sent.
+    /// Records prompts that another router sent.
     pub fn record_peer_prompts(&mut self, now: Instant, news: &[(TargetKey, u64)]) {
         for (engine, shared) in news {
             self.prefixes.record(now, *engine, *shared);
         }
     }
 
-    /// `forget` drops the prompts of an engine that crashed.
+    /// Drops the prompts of an engine that crashed.
     pub fn remove_engine(&mut self, engine: TargetKey) {
         self.prefixes.remove_target(engine);
     }
 }
 
-/// The shared part of a caller's prompt.
+/// Returns the shared part of a caller's prompt.
 fn prompt_part(caller: &Caller, class: &RequestClass) -> PromptPart {
     PromptPart {
         prefix_hash: caller.shared_prompt,
--- a/crates/peppercrank-bench/src/surge/scenes.rs
+++ b/crates/peppercrank-bench/src/surge/scenes.rs
@@ -1,46 +1,48 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Scenes that are played.
+//! The simulated scenarios.
 
 use std::time::Duration;
 
 use crate::surge::EngineSpeed;
 use crate::surge::RequestClass;
 
-/// `Scene` is what is played.
+/// `Scenario` holds the parameters of a simulation.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// How fast each works.
+    /// Performance of each engine.
     pub speed: EngineSpeed,
-    /// Requests that an engine takes, running or waiting; it refuses more.
+    /// Maximum number of running and waiting requests at an engine; more are refused.
     pub max_requests: u32,
-    /// Prompt tokens that an engine copies from another in a millisecond.
+    /// Prompt tokens per millisecond that an engine can copy from another one.
     pub copy_tokens_per_ms: f64,
-    /// What is asked for, the most urgent first.
+    /// Classes of requests, most urgent first.
     pub classes: Vec<RequestClass>,
-    /// The multiple of the usual load in the surge.
+    /// Load in the surge as a multiple of the usual load.
     pub surge_factor: f64,
-    /// When the surge begins and ends.
+    /// Start and end of the surge.
     pub surge: (Duration, Duration),
-    /// When the last caller comes.
+    /// Time until which callers arrive.
     pub duration: Duration,
-    /// The lag with which routers know each other's work.
+    /// Interval at which routers share their work, which is the delay with which they know each
+    /// other's.
     pub share_interval: Duration,
-    /// The pause after which each router passes load reports on to another one, drawn anew each time.
+    /// Interval at which each router relays load reports to another router, chosen at random each
+    /// time; `None` disables this.
     pub relay_interval: Option<Duration>,
-    /// When engines are lost and back, and how many.
+    /// Start and end of an outage, and the number of engines that are down.
     pub outage: Option<(Duration, Duration, usize)>,
-    /// The seed of all that is drawn.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// Three kinds of request of falling urgency: long prompts of great worth, digests, and long
-/// answers of little worth, which take most of the engines' time.
+/// Three classes of decreasing urgency: long prompts of high value, digests, and long answers of
+/// low value, which take most of the engines' time.
 pub const CLASSES: [RequestClass; 3] = [
     RequestClass {
         name: "summary",
@@ -77,7 +79,7 @@
     },
 ];
 
-/// `nine` is a surge of so many times the usual load at nine engines and five routers.
+/// Returns a surge of `surge_factor` times the usual load at nine engines and five routers.
 #[must_use]
 pub fn nine_engines(surge_factor: f64, seed: u64) -> Scenario {
     Scenario {
@@ -103,8 +105,8 @@
     }
 }
 
-/// The same kinds of request as seen by a large fleet: long plans, short questions and checks, each with its own
-/// document of many.
+/// The same kinds of requests as seen by a large fleet: long plans, short questions and checks,
+/// with many distinct documents.
 const LARGE_CLASSES: [RequestClass; 3] = [
     RequestClass {
         name: "question",
@@ -141,7 +143,7 @@
     },
 ];
 
-/// `large` is a surge at 120 engines and 68 routers, which know each other's work after seconds.
+/// Returns a surge at 120 engines and 68 routers, which know each other's work only after seconds.
 #[must_use]
 pub fn large_fleet(surge_factor: f64, seed: u64) -> Scenario {
     Scenario {
@@ -160,7 +162,7 @@
         surge_factor,
         surge: (Duration::from_secs(4), Duration::from_secs(10)),
         duration: Duration::from_secs(14),
-        // Twice the age of peers' summaries, as 68 routers saw it on a calm day.
+        // Twice the age of peers' summaries that 68 routers showed under the usual load.
         share_interval: Duration::from_millis(3_400),
         relay_interval: Some(Duration::from_millis(100)),
         outage: None,
--- a/crates/peppercrank-bench/src/trace.rs
+++ b/crates/peppercrank-bench/src/trace.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The requests of a run, drawn from a seed before any routing.
+//! The requests of a simulation, generated from a seed independently of routing.
 
 use peppercrank_core::hash::hash64;
 use peppercrank_core::units::Cost;
@@ -11,62 +11,63 @@
 
 use crate::cache::Cache;
 
-/// Organisations in a trace; the first may surge.
+/// Number of organisations in a trace; the first one may surge.
 pub const ORGANISATIONS: usize = 10;
 
-/// Shares of the organisations, a few large, in hundredths.
+/// Traffic share of each organisation in percent; a few are large.
 pub const SHARES: [u32; ORGANISATIONS] = [10, 25, 20, 15, 5, 5, 5, 5, 5, 5];
 
 /// Prompt tokens of a document.
 pub const DOCUMENT_TOKENS: u64 = 8_000;
 
-/// Generated tokens that a router expects, and their mean.
+/// Output tokens that a router expects, and their mean.
 pub const MEAN_OUTPUT_TOKENS: u64 = 250;
 
 /// Milliseconds between generated tokens.
 const MS_PER_OUTPUT_TOKEN: f64 = 60.0;
 
-/// Prompt tokens that are read in a millisecond.
+/// Prefill speed in prompt tokens per millisecond.
 const PREFILL_TOKENS_PER_MS: f64 = 8.0;
 
-/// Work that an engine can carry at once: about 45 requests whose context is cached.
+/// Cost that an engine can carry at once: about 45 requests whose context is cached.
 pub const ENGINE_CEILING: u64 = 48_000;
 
-/// Rounds in which the rate of a load is found.
+/// Iterations to find the arrival rate that yields the target load.
 const RATE_ITERATIONS: usize = 3;
 
-/// Seconds before the start from which chats may stem.
+/// Chats may have started this many seconds before the run.
 const LEAD_IN_SECONDS: f64 = 1_200.0;
 
-/// `Shape` is what a trace is drawn from.
+/// `Workload` holds the parameters of a trace.
 #[derive(Debug, Clone, Copy)]
 pub struct Workload {
-    /// Engines when it starts.
+    /// Number of engines at the start.
     pub engines: usize,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Seconds of arrivals.
+    /// Duration in seconds in which requests arrive.
     pub arrival_seconds: u64,
-    /// Seconds after which measuring begins.
+    /// Warm-up in seconds before measuring begins.
     pub warm_up_seconds: u64,
-    /// Load offered, as a share of all ceilings, if contexts were always found.
+    /// Offered load as a share of the engines' total ceiling, if all reusable contexts were found.
     pub target_load: f64,
-    /// When the first organisation offers ten times its share, in seconds.
+    /// Start and end in seconds of the time in which the first organisation sends ten times its
+    /// share.
     pub surge: Option<(u64, u64)>,
-    /// Documents; the first one has a fifth of the chats on documents.
+    /// Number of documents; the first one is used by a fifth of the chats on documents.
     pub documents: usize,
-    /// Share of new chats that are on a document.
+    /// Share of new chats that use a document.
     pub document_chat_share: f64,
-    /// Mean pause of a returning chat, in seconds.
+    /// Mean pause in seconds between the turns of a chat.
     pub mean_pause_seconds: f64,
-    /// Share of pauses that take an hour in the mean.
+    /// Share of pauses with a mean of an hour instead.
     pub long_pause_share: f64,
-    /// Tokens that an engine can hold.
+    /// Size of an engine's cache in tokens.
     pub cache_tokens: u64,
 }
 
 impl Workload {
-    /// `measured` is the first minute that is measured, and the one after the last.
+    /// Returns the first measured minute and the one after the last.
     #[must_use]
     pub fn measured_minutes(&self) -> (usize, usize) {
         (
@@ -75,41 +76,41 @@
         )
     }
 
-    /// `middle` is the minute in which the churn begins.
+    /// Returns the minute in which the churn begins.
     #[must_use]
     pub fn churn_minute(&self) -> usize {
         self.arrival_seconds as usize / 120
     }
 }
 
-/// `Turn` is one request.
+/// `Turn` is one request of a chat.
 #[derive(Debug, Clone, Copy)]
 pub struct Turn {
-    /// When it comes, in milliseconds.
+    /// Arrival time in milliseconds.
     pub arrival_ms: u64,
-    /// Whose it is.
+    /// Index of the organisation.
     pub organisation: usize,
-    /// The chat's key.
+    /// Key of the chat.
     pub chat: u64,
-    /// The document's key.
+    /// Key of the document, if the chat uses one.
     pub document: Option<u64>,
-    /// Tokens of the chat's earlier turns.
+    /// Prompt tokens from earlier turns of the chat.
     pub prior_tokens: u32,
-    /// New prompt tokens.
+    /// Prompt tokens that are new in this turn.
     pub new_tokens: u32,
-    /// Tokens that will be generated.
+    /// Output tokens that will be generated.
     pub output_tokens: u32,
 }
 
 impl Turn {
-    /// `prompt` is the whole prompt, in tokens.
+    /// Returns the length of the whole prompt in tokens.
     #[must_use]
     pub fn prompt_tokens(&self) -> u64 {
         self.document.map_or(0, |_| DOCUMENT_TOKENS)
             + u64::from(self.prior_tokens + self.new_tokens)
     }
 
-    /// `cost` is what it costs an engine that holds `cached` tokens of its prompt.
+    /// Returns the cost for an engine that has `cached` tokens of the prompt.
     #[must_use]
     pub fn cost(&self, cached: u64) -> Cost {
         Cost::for_chat(
@@ -118,47 +119,48 @@
         )
     }
 
-    /// `read_time` is how long an engine that holds `cached` tokens reads the prompt, in
-    /// milliseconds.
+    /// Returns the prefill time in milliseconds on an engine that has `cached` tokens of the
+    /// prompt.
     #[must_use]
     pub fn prefill_ms(&self, cached: u64) -> u64 {
         ((self.prompt_tokens() - cached.min(self.prompt_tokens())) as f64 / PREFILL_TOKENS_PER_MS)
             as u64
     }
 
-    /// `write_time` is how long the answer takes then, in milliseconds.
+    /// Returns the time to generate the answer after prefill, in milliseconds.
     #[must_use]
     pub fn decode_ms(&self) -> u64 {
         (f64::from(self.output_tokens) * MS_PER_OUTPUT_TOKEN) as u64
     }
 
-    /// The work that it is to an engine: its cost over the time for which that is reserved.
+    /// Returns the load on an engine: cost multiplied by the milliseconds for which it is
+    /// reserved.
     fn work(&self, cached: u64) -> f64 {
         let read = self.cost(cached).0 as f64 * self.prefill_ms(cached) as f64;
         read + Cost::for_chat(0, MEAN_OUTPUT_TOKENS).0 as f64 * self.decode_ms() as f64
     }
 }
 
-/// `Trace` is the requests in the order of their coming.
+/// `Trace` is a sequence of requests in order of arrival.
 #[derive(Debug, Clone)]
 pub struct Trace {
     /// The requests.
     pub turns: Vec<Turn>,
-    /// What one memory of the size of all engines' would have reused of each.
+    /// Tokens of each request that a single cache of the engines' total size would have reused.
     pub reuse_bound: Vec<u64>,
-    /// Load offered if that much were reused, as a share of all ceilings.
+    /// Offered load with that reuse, as a share of the engines' total ceiling.
     pub offered_load: f64,
 }
 
 impl Trace {
-    /// `new` draws the trace of a shape; the surge is not part of its load.
+    /// Generates the trace of a workload; the surge does not count towards the target load.
     #[must_use]
     pub fn new(workload: &Workload) -> Self {
         let without_surge = Workload {
             surge: None,
             ..*workload
         };
-        // The load of a rate is only known once its requests are drawn.
+        // The load that results from a rate is only known after generating its requests.
         let mut rate = workload.engines as f64;
         for _ in 0..RATE_ITERATIONS {
             rate *= workload.target_load / Self::generate(&without_surge, rate).offered_load;
@@ -195,7 +197,8 @@
     }
 }
 
-/// Draws one organisation's chats from a seed of its own, so that no other's differ by them.
+/// Generates the chats of one organisation from a seed of its own, so that the other
+/// organisations' chats do not depend on them.
 fn draw_organisation(
     workload: &Workload,
     rate: f64,
@@ -204,7 +207,7 @@
     turns: &mut Vec<Turn>,
 ) {
     let mut rng = ChaCha8Rng::seed_from_u64(20_261_202 + of as u64);
-    // A chat has 3.3 turns in the mean.
+    // A chat has 3.3 turns on average.
     let chats = rate * f64::from(SHARES[of]) / 100.0 * 0.3;
     let mut at = -LEAD_IN_SECONDS;
     while at < workload.arrival_seconds as f64 {
@@ -257,20 +260,20 @@
         } else {
             workload.mean_pause_seconds
         };
-        // Reading the answer and writing on takes a while at least.
+        // Reading the answer and writing the next message takes at least 10 s.
         at += f64::from(output_tokens) * MS_PER_OUTPUT_TOKEN / 1_000.0
             + 10.0
             + exponential(rng, pause);
     }
 }
 
-/// Draws from an exponential distribution.
+/// Samples an exponential distribution.
 fn exponential(rng: &mut ChaCha8Rng, mean: f64) -> f64 {
     let even: f64 = rng.random_range(f64::EPSILON..1.0);
     -even.ln() * mean
 }
 
-/// `Documents` is how often each document is asked for: Zipf after the first.
+/// Popularity of documents: a fifth for the first, the rest by Zipf's law.
 struct DocumentPopularity {
     cumulative_shares: Vec<f64>,
 }
--- a/crates/peppercrank-bench/src/ways.rs
+++ b/crates/peppercrank-bench/src/ways.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The ways to route that are set side by side.
+//! The routing strategies that are compared.
 
 use peppercrank_core::blackboard::TargetKey;
 use peppercrank_core::keys::ChatKey;
@@ -14,28 +14,30 @@
 use crate::engine::engine_index;
 use crate::engine::target_key;
 
-/// Targets that one request tries at most.
+/// Maximum number of attempts of one request.
 pub const MAX_ATTEMPTS: u32 = 4;
 
-/// `Way` is a way to route.
+/// `Strategy` is a routing strategy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Strategy {
-    /// Ranking, spread, hints, pointers, capped admission and fair queues.
+    /// The routing of this project: ranking, spread, hints, pointers, capped admission and fair
+    /// queues.
     Peppercrank,
-    /// Each router goes round the targets.
+    /// Each router cycles through the targets.
     RoundRobin,
-    /// The least load of the reports, which are up to a second old.
+    /// The target with the lowest reported load; reports are up to a second old.
     LeastLoaded,
-    /// The lesser load, by the same reports, of two drawn targets.
+    /// The less loaded, by the same reports, of two randomly chosen targets.
     TwoChoices,
-    /// The first by rank, whatever its load.
+    /// The highest-ranked target regardless of its load.
     Rendezvous,
-    /// The first by rank that admits under the cap, without hints, spread or pointers.
+    /// The highest-ranked target that admits the request under the cap, without hints, spread or
+    /// pointers.
     Bounded,
 }
 
 impl Strategy {
-    /// All ways.
+    /// All strategies.
     pub const ALL: [Self; 6] = [
         Self::Peppercrank,
         Self::RoundRobin,
@@ -45,7 +47,7 @@
         Self::Bounded,
     ];
 
-    /// `name` names it in tables.
+    /// Returns the name used in tables.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -58,13 +60,13 @@
         }
     }
 
-    /// `is_capped` tells whether engines keep to a multiple of the mean, by organisation.
+    /// Returns whether engines cap their load at a multiple of the mean and queue by organisation.
     #[must_use]
     pub const fn is_capped(self) -> bool {
         matches!(self, Self::Peppercrank | Self::Bounded)
     }
 
-    /// `candidates` lists the targets that a baseline tries, in order.
+    /// Returns the targets that a baseline strategy tries, in order.
     pub fn candidates(
         self,
         chat: ChatKey,
@@ -97,21 +99,22 @@
     }
 }
 
-/// `Sight` is what a router's baseline sees.
+/// `LoadView` is the information a baseline strategy decides on.
 #[derive(Debug)]
 pub struct LoadView<'a> {
-    /// The live engines.
+    /// Indices of the live engines.
     pub live_engines: &'a [usize],
-    /// Their loads as last reported.
+    /// Last reported load of each engine, by index.
     pub reported_loads: &'a [u64],
-    /// How many requests went round.
+    /// Position of round robin.
     pub round_robin_index: &'a mut usize,
-    /// The source of draws.
+    /// Source of randomness.
     pub rng: &'a mut ChaCha8Rng,
 }
 
 impl LoadView<'_> {
-    /// Orders by reported load; of equal ones any may come first.
+    /// Returns the engines with the lowest reported load in ascending order; ties are broken at
+    /// random.
     fn by_least_load(&mut self, mut of: Vec<usize>) -> Vec<TargetKey> {
         let salt: u64 = self.rng.random();
         let count = (MAX_ATTEMPTS as usize).min(of.len());
@@ -125,7 +128,7 @@
     }
 }
 
-/// `engines` lists the engines of a ranking.
+/// Returns the indices of the engines of a ranking in ascending order.
 #[must_use]
 pub fn engines(ranking: &Ranking) -> Vec<usize> {
     let all = ranking.first(RankKey(0), ranking.len());
--- a/crates/peppercrank-bench/src/world.rs
+++ b/crates/peppercrank-bench/src/world.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! One run: virtual time, the engines with their agents, and the routers.
+//! The simulation: virtual time, engines with their agents, and routers.
 
 mod agent;
 mod change;
@@ -44,29 +44,29 @@
 use crate::ways::Strategy;
 use load::LoadMeter;
 
-/// Up to so many engines, every engine's memory is looked into for what the best one held.
+/// Maximum number of engines for which every cache is searched for the best one.
 const BEST_HELD_MAX_ENGINES: usize = 64;
 
-/// `Happening` is what is due at a moment.
+/// An event scheduled at a point in virtual time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ScheduledEvent {
-    /// A request's prompt has been read on an engine of an incarnation.
+    /// The prompt of a request has been prefilled on an engine of this incarnation.
     PromptRead(usize, usize, u64),
-    /// It ends there.
+    /// The request completes on an engine of this incarnation.
     Complete(usize, usize, u64),
-    /// A paused request goes on.
+    /// A waiting request resumes.
     Resume(usize),
-    /// Loads are read and told.
+    /// Loads are sampled and published.
     Sample,
-    /// Something changes.
+    /// An engine or the routers change.
     Churn(ChurnStep),
-    /// Agents and some routers know of it.
+    /// Agents and every second router learn of a change.
     ViewUpdate,
-    /// The other routers know of it.
+    /// The other routers learn of a change.
     LateViewUpdate,
 }
 
-/// `Flight` is one request that is not over.
+/// A request that has not ended.
 #[derive(Debug)]
 struct ActiveRequest {
     state: RequestState,
@@ -74,18 +74,18 @@
     engine: usize,
     attempt: AttemptId,
     cost: u64,
-    /// Whether it waits at its engine.
+    /// Whether the request is waiting at its engine.
     is_waiting: bool,
 }
 
-/// `World` is one run.
+/// `Simulation` is one run of a trace with one strategy.
 #[derive(Debug)]
 pub struct Simulation<'a> {
     workload: &'a Workload,
     trace: &'a Trace,
     strategy: Strategy,
     churn: Churn,
-    /// Whether a prompt's cost stays reserved to the end.
+    /// Whether the cost of a prompt stays reserved until the end of the answer.
     reserve_prompts_to_end: bool,
     now_ms: u64,
     engines: Vec<Engine>,
@@ -94,7 +94,7 @@
     ranking: Ranking,
     live: Rc<Vec<usize>>,
     meter: LoadMeter,
-    /// The moment of the latest change whose view is planned.
+    /// Time of the latest change for which view updates are scheduled.
     last_change_ms: Option<u64>,
     schedule: BinaryHeap<Reverse<(u64, u64, ScheduledEvent)>>,
     scheduled_count: u64,
@@ -104,10 +104,10 @@
 }
 
 impl<'a> Simulation<'a> {
-    /// `new` is a run that has not begun.
+    /// Creates a simulation that has not started.
     #[must_use]
     pub fn new(workload: &'a Workload, trace: &'a Trace, strategy: Strategy, churn: Churn) -> Self {
-        // One more, which may join.
+        // One additional engine, which may join later.
         let engines = 0..=workload.engines;
         let engine = |n| Engine::new(Instant::ZERO, n, strategy, workload.cache_tokens, 1);
         let mut world = Self {
@@ -141,7 +141,7 @@
         world
     }
 
-    /// `keeping` is the run with each prompt's cost reserved to the end of its answer.
+    /// Returns the simulation with each prompt's cost reserved until the end of its answer.
     #[must_use]
     pub fn reserving_prompts_to_end(self) -> Self {
         Self {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// `run` carries every request to its end.
+    /// Runs every request to its end.
     #[must_use]
     pub fn run(mut self) -> Report {
         let trace = self.trace;
@@ -169,7 +169,7 @@
                         break;
                     };
                     self.now_ms = at;
-                    // The last sample is after the last request.
+                    // Sampling stops after the last request.
                     if what == ScheduledEvent::Sample && next.is_none() && self.active.is_empty() {
                         break;
                     }
@@ -192,7 +192,7 @@
             .push(Reverse((at, self.scheduled_count, what)));
     }
 
-    /// Tells whether what comes now is measured.
+    /// Returns whether a request arrives after the warm-up and is measured.
     fn is_warm(&self, turn: &Turn) -> bool {
         turn.arrival_ms >= self.workload.warm_up_seconds * 1_000
     }
@@ -214,7 +214,7 @@
     fn arrive(&mut self, n: usize, turn: &Turn) {
         self.report.arrived += 1;
         self.report.requests += u64::from(self.is_warm(turn));
-        // What is refused later reuses nothing of it.
+        // The bound also counts requests that are refused later and reuse nothing.
         self.window(turn.arrival_ms).reuse_bound += self.trace.reuse_bound[n];
         let router = hash64(7, &n.to_be_bytes()) as usize % self.routers.len();
         let at = self.instant();
@@ -232,7 +232,7 @@
         self.apply_next(n, next);
     }
 
-    /// Hands routers the news of their requests until there are none.
+    /// Passes pending events to the routers until there are none.
     fn process_pending_events(&mut self) {
         while let Some((n, event)) = self.pending_events.pop_front() {
             let at = self.instant();
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Does what a router wants for a request.
+    /// Carries out the next step that a router decided on.
     fn apply_next(&mut self, n: usize, next: Next) {
         match next {
             Next::Send {
@@ -254,7 +254,7 @@
                 last,
             } => self.send(n, engine_index(target), attempt, redirect, last),
             Next::Wait { until } => {
-                // Rounded up: before its moment a tick only asks for another.
+                // Rounded up, because a tick that comes too early only schedules another one.
                 let until = until.since_origin().as_nanos().div_ceil(1_000_000);
                 self.schedule_at(until as u64, ScheduledEvent::Resume(n));
             }
@@ -278,7 +278,7 @@
     fn fail(&mut self, n: usize, outcome: AttemptOutcome) {
         self.stop_waiting(n);
         if let Some(flight) = self.active.remove(&n) {
-            // Where it is at an engine still, its guard is dropped.
+            // If the request is still at an engine, its admission is released.
             let ticket = ticket(n, flight.state.attempts());
             if self.engines[flight.engine].up {
                 self.admission_input(flight.engine, Input::End(ticket));
@@ -297,7 +297,7 @@
         }
     }
 
-    /// Takes a note to an agent.
+    /// Delivers a cache note to an agent.
     fn deliver_note(&mut self, told: &Addressed) {
         let bytes = postcard::to_stdvec(&told.note).map_or(0, |bytes| bytes.len());
         self.report.note_bytes += bytes as u64 + size_of::<u64>() as u64;
@@ -327,7 +327,7 @@
         &mut self.report.windows[n]
     }
 
-    /// Begins the answer of a request whose prompt has been read.
+    /// Starts the answer of a request whose prompt has been prefilled.
     fn read_prompt(&mut self, n: usize, engine: usize, incarnation: u64) {
         let Some((attempt, ticket)) = self.running_attempt(n, engine, incarnation) else {
             return;
@@ -337,7 +337,7 @@
         if self.reserve_prompts_to_end {
             return;
         }
-        // The work on the prompt is done: what is left is the answer.
+        // The prompt has been processed; only the cost of the answer remains.
         let cost = Cost::for_chat(0, MEAN_OUTPUT_TOKENS);
         self.admission_input(engine, Input::Actual { ticket, cost });
     }
@@ -350,7 +350,7 @@
         self.admission_input(engine, Input::End(ticket));
     }
 
-    /// The attempt that runs at an engine, unless that has failed since.
+    /// Returns the attempt that runs on an engine, unless the engine has failed since.
     fn running_attempt(
         &self,
         n: usize,
@@ -364,7 +364,7 @@
     }
 }
 
-/// Tickets of one request, one an attempt.
+/// Maximum number of tickets of one request, one for each attempt.
 const TICKETS_PER_REQUEST: u64 = 8;
 
 fn ticket(n: usize, tries: u32) -> Ticket {
@@ -375,7 +375,7 @@
     (ticket.0 / TICKETS_PER_REQUEST) as usize
 }
 
-/// The ranking of some engines.
+/// Returns the ranking of a set of engines.
 fn ranking_of(engines: &[usize]) -> Ranking {
     Ranking::new(engines.iter().map(|n| (target_key(*n), target_hash(*n), 1)))
 }
--- a/crates/peppercrank-bench/src/world/agent.rs
+++ b/crates/peppercrank-bench/src/world/agent.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What agents do with attempts: place, queue, run, refuse.
+//! The agents' handling of attempts: placing, queueing, running and refusing.
 
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
 use crate::ways::Strategy;
 
 impl Simulation<'_> {
-    /// Brings an attempt to an agent.
+    /// Delivers an attempt to an agent.
     pub(super) fn send(
         &mut self,
         n: usize,
@@ -75,11 +75,11 @@
         self.admission_input(engine, Input::Arrive(arrival));
     }
 
-    /// What an agent reserves for a request, or the engine that it points to.
+    /// Returns the cost that an agent reserves for a request, or the engine to which it redirects.
     fn place(&self, engine: usize, turn: &Turn, ask: &Ask) -> Result<Cost, TargetKey> {
         let engine = &self.engines[engine];
         if self.strategy != Strategy::Peppercrank {
-            // In favour of the baselines, their agents know exactly.
+            // Agents of baselines know the cached tokens exactly, which favours the baselines.
             return Ok(turn.cost(engine.cache.reuse(turn)));
         }
         match engine.pointers.place(self.instant(), ask, &self.ranking) {
@@ -94,7 +94,7 @@
 
     fn refuse(&mut self, n: usize, attempt: AttemptId, reason: NotRun, hint: Option<TargetKey>) {
         *self.report.refusals.entry(reason.code()).or_default() += 1;
-        // It is at no engine now, and the failure of the last one does not concern it.
+        // The request is at no engine now, so a failure of the previous one does not affect it.
         if let Some(flight) = self.active.get_mut(&n) {
             flight.attempt = AttemptId(0);
         }
@@ -106,7 +106,7 @@
         self.pending_events.push_back((n, event));
     }
 
-    /// Hands an agent's admission an input and does what it says.
+    /// Passes an input to an agent's admission and carries out the resulting actions.
     pub(super) fn admission_input(&mut self, engine: usize, input: Input) {
         let at = self.instant();
         let admission = &mut self.engines[engine].admission;
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Runs a request that was admitted.
+    /// Starts a request that was admitted.
     fn admit(&mut self, n: usize) {
         self.stop_waiting(n);
         let Some(flight) = self.active.get(&n) else {
@@ -187,7 +187,7 @@
         self.admission_input(number, actual);
     }
 
-    /// Tells the agent what its engine no longer holds.
+    /// Reports evicted keys to the engine's agent.
     fn report_evictions(&mut self, engine: usize, gone: &[u64]) {
         let at = self.instant();
         for key in gone {
@@ -201,7 +201,7 @@
     }
 }
 
-/// The request as an agent's pointer table needs to know it.
+/// Returns the request as the pointer table of an agent needs it.
 fn ask(turn: &Turn, redirect: bool) -> Ask {
     Ask {
         chat: ChatKey(turn.chat),
--- a/crates/peppercrank-bench/src/world/change.rs
+++ b/crates/peppercrank-bench/src/world/change.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Engines that come, go and fail, and who knows of it when.
+//! Changes of engines and routers, and the delays until others know of them.
 
 use std::rc::Rc;
 
@@ -47,7 +47,7 @@
                 return;
             }
         }
-        // What changes at one moment is seen at one moment.
+        // Changes at the same time become known at the same time.
         if self.last_change_ms == Some(self.now_ms) {
             return;
         }
@@ -65,7 +65,7 @@
         self.engines[n].pointers.joined(at);
     }
 
-    /// Ends all that was at an engine with an unknown fate.
+    /// Fails an engine; all its requests end with an unknown outcome.
     fn fail_engine(&mut self, n: usize) {
         self.forget_engine_load(n);
         self.engines[n].up = false;
@@ -83,7 +83,7 @@
         self.pending_events.extend(cut.collect::<Vec<_>>());
     }
 
-    /// Puts the engines that take new work in the agents' view.
+    /// Updates the ranking to the engines that take new work, which is the view of the agents.
     pub(super) fn refresh_ranking(&mut self) {
         let able = |n: &usize| self.engines[*n].up && !self.leaving[*n];
         let live: Vec<usize> = (0..self.engines.len()).filter(able).collect();
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Agents and every second router know of a change; pointers are handed over.
+    /// Updates the view of agents and of every second router, and hands over pointers that moved.
     pub(super) fn update_views(&mut self) {
         let old = self.ranking.clone();
         self.refresh_ranking();
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The other routers know of it.
+    /// Updates the view of the other routers.
     pub(super) fn update_late_views(&mut self) {
         for router in self.routers.iter_mut().skip(1).step_by(2) {
             router.set_ranking(&self.ranking, &self.live);
--- a/crates/peppercrank-bench/src/world/load.rs
+++ b/crates/peppercrank-bench/src/world/load.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Loads: how they are read, told and set against the cap.
+//! Sampling and publishing of loads, and comparison with the cap.
 
 use std::time::Duration;
 
@@ -17,30 +17,30 @@
 use crate::engine::CAP_FLOOR;
 use crate::report::WINDOW_MS;
 
-/// Milliseconds between two samples of the loads.
+/// Interval in milliseconds between two samples of the loads.
 ///
-/// The mean and the reports are told at the next sample, so that they are up to a second old.
+/// Mean and reports are published at the next sample, so they are up to a second old.
 const SAMPLE_INTERVAL_MS: u64 = 500;
 
-/// Milliseconds between two looks at what has waited long enough.
+/// Interval in milliseconds between two checks for requests that have waited long enough.
 const TICK_INTERVAL_MS: u64 = 100;
 
-/// Age up to which the estimator counts a report.
+/// Maximum age of reports that the estimator counts.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
 
-/// `Meter` holds the loads as they were read.
+/// `LoadMeter` holds the sampled loads.
 #[derive(Debug)]
 pub(super) struct LoadMeter {
-    /// The sum of what runs now.
+    /// Total cost of running requests.
     pub(super) running_cost: u64,
-    /// The sum of what waits now.
+    /// Total cost of waiting requests.
     pub(super) waiting_cost: u64,
-    /// Each engine's load as baselines know it, up to a second old.
+    /// Load of each engine as known to baselines, up to a second old.
     pub(super) reported_loads: Vec<u64>,
-    /// As read last, to be told at the next sample.
+    /// Latest sample, to be published at the next one.
     unpublished: Vec<(u64, Report)>,
     estimator: Loads,
-    /// Sums and counts of this window's samples.
+    /// Sum and count of the samples in this window, by engine.
     sample_sums: Vec<(u64, u64)>,
 }
 
@@ -56,7 +56,8 @@
         }
     }
 
-    /// The greatest of the engines' mean loads over the mean of all, of those there all along.
+    /// Returns the maximum of the engines' mean loads divided by the mean of all, over engines
+    /// that were up for the whole window.
     fn skew(&mut self) -> f64 {
         let most = self.sample_sums.iter().map(|(_, count)| *count).max();
         let whole = self
@@ -75,7 +76,8 @@
 }
 
 impl Simulation<'_> {
-    /// Wakes the agents, and at times tells them what was read last and reads all loads anew.
+    /// Ticks the agents, and at each sampling interval publishes the previous sample and takes a
+    /// new one.
     pub(super) fn sample(&mut self) {
         self.schedule_at(self.now_ms + TICK_INTERVAL_MS, ScheduledEvent::Sample);
         let told = self.now_ms.is_multiple_of(SAMPLE_INTERVAL_MS);
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Tells what was read at the sample before.
+    /// Publishes the previous sample.
     fn publish_loads(&mut self) {
         let pool = PoolName::new("engines").expect("well formed");
         let at = self.instant();
@@ -135,7 +137,8 @@
         }
     }
 
-    /// Sets an admission against the cap known there and the cap of the true mean.
+    /// Compares the load after an admission with the known cap and with the cap from the true
+    /// mean.
     pub(super) fn check_cap(&mut self, engine: usize) {
         let status = self.engines[engine].admission.status();
         let live = self.live.len().max(1) as f64;
@@ -151,7 +154,7 @@
             return;
         }
         self.report.admitted += 1;
-        // One request alone may exceed the cap.
+        // A single request may exceed the cap.
         if status.running > 1 {
             self.report.above_known_cap += u64::from(status.reserved > status.cap);
             self.report.above_true_cap += u64::from(over > 1.0);
@@ -161,7 +164,7 @@
         }
     }
 
-    /// Forgets what a failed engine carried.
+    /// Removes the load of a failed engine.
     pub(super) fn forget_engine_load(&mut self, engine: usize) {
         self.meter.running_cost -= self.engines[engine].admission.status().reserved.0;
         self.meter.waiting_cost -= self.engines[engine].waiting_cost;
--- a/crates/peppercrank-bench/tests/verify_large.rs
+++ b/crates/peppercrank-bench/tests/verify_large.rs
@@ -3,12 +3,14 @@
 
 //! The load cap in a fleet of many small routers.
 //!
-//! What users saw: with 68 routers before 120 targets, more than 3 in 100 requests reached targets that held over twice the
-//! mean of their pool and three: 73 of 1,973 at the usual load, 579 of 8,797 in a surge of three times. Order of events: a
-//! prompt's home gets several requests from routers that have not heard of it for seconds. Cause: summaries of 68 routers come
-//! round after seconds, so that each counts what ran then; what a target tells with its answers was known to the
-//! router that got the answer, for a second, and believed only where it was less. Evidence: at such choices routers counted 3
-//! to 7 requests where the target held 11 to 13, and 14 where it had told that very router of 64.
+//! Guards against overloaded targets in a fleet of many routers. With 68 routers and 120 targets,
+//! more than 3% of requests reached targets whose load was above twice the mean of their pool plus
+//! three: 73 of 1,973 at the usual load, 579 of 8,797 in a surge of three times that. A prompt's
+//! home receives several requests from routers that do not hear of each other for seconds, because
+//! the summaries of 68 routers take seconds to arrive and count what ran when they were sent. The
+//! load that a target reports with its answers was known only to the router that got the answer,
+//! for one second, and was used only if it was lower. At such decisions routers counted 3 to 7
+//! requests where the target held 11 to 13, and 14 where it had reported 64 to that same router.
 
 use peppercrank_bench::surge::Fleet;
 use peppercrank_bench::surge::Scenario;
@@ -16,14 +18,15 @@
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-/// The worst five seconds of a fleet, after the first two: the part of requests that reached a target which held too much,
-/// the mean of three seeds.
+/// Returns the maximum share over any five seconds of requests that reached an overloaded target,
+/// without the first two seconds, as the mean of three seeds.
 fn mean_worst_overload(scene: impl Fn(u64) -> Scenario) -> f64 {
     let worst = SEEDS.map(|seed| Fleet::simulate(&scene(seed)).worst_overload_share(2, 5));
     worst.iter().sum::<f64>() / 3.0
 }
 
-/// At the usual load and 1.7 times: 0.017 each, and 0.038 and 0.036 where each router knows only what it was told itself.
+/// Measured at the usual load and at 1.7 times: 0.017 each, against 0.038 and 0.036 where each
+/// router only knows the load reports it received itself.
 #[test]
 fn verify_load_cap_holds_with_late_summaries() {
     for times in [1.0, 1.7] {
@@ -32,7 +35,8 @@
     }
 }
 
-/// The scene plays the fault: without load reports from other routers the cap does not hold.
+/// The scenario reproduces the failure: without load reports relayed by other routers the cap does
+/// not hold.
 #[test]
 fn verify_load_cap_fails_without_relayed_reports() {
     let alone = |seed| Scenario {
--- a/crates/peppercrank-bench/tests/verify_surge.rs
+++ b/crates/peppercrank-bench/tests/verify_surge.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What callers get when more come than the engines can serve.
+//! Outcomes of callers when more requests arrive than the engines can serve.
 
 use std::time::Duration;
 
@@ -17,26 +17,26 @@
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-/// What the callers of a surge got, by class.
+/// Returns the outcomes by class of the callers in the surge.
 fn in_surge(fleet: &Fleet, scene: &Scenario) -> Vec<Summary> {
     fleet.summaries(scene.surge.0, scene.surge.1)
 }
 
-/// The mean of what is earned in so high a surge.
+/// Returns the mean value earned in a surge of this height.
 fn mean_earned(times: f64) -> f64 {
     let all = SEEDS.map(|seed| Fleet::simulate(&nine_engines(times, seed)).earned_value());
     all.iter().sum::<f64>() / 3.0
 }
 
-/// The share of callers that got an answer.
+/// Returns the share of callers that got an answer.
 fn answered_share(callers: &[&Caller]) -> f64 {
     let served = |c: &&&Caller| matches!(c.outcome, Outcome::InTime | Outcome::Late);
     let count = |n: usize| u32::try_from(n).map_or(f64::MAX, f64::from);
     count(callers.iter().filter(served).count()) / count(callers.len())
 }
 
-/// What the engines earn at a height of the surge, over the best of lower ones: 0.99 (mean of three
-/// seeds), and 0.65 where the wait was not bounded by rank.
+/// The value earned at 24 times the load, relative to the best at lower loads, was 0.99 (mean of
+/// three seeds), and 0.65 where the wait was not bounded by rank.
 #[test]
 fn verify_earned_value_does_not_fall_under_load() {
     let best = [8.0, 12.0, 16.0]
@@ -58,7 +58,7 @@
             let asked = classes.iter().map(|s| s.total).sum::<u32>();
             let served = classes.iter().map(|s| s.in_time + s.late).sum::<u32>();
             let all = f64::from(served) / f64::from(asked);
-            // Those who can wait are served after the surge, if late.
+            // Requests that can wait are served late, after the surge.
             let timely = |s: &Summary| f64::from(s.in_time) / f64::from(s.total);
             let timely = classes.iter().map(timely).collect::<Vec<_>>();
             let ordered = timely.windows(2).all(|pair| pair[0] > pair[1] - 0.05);
@@ -126,7 +126,8 @@
         let fleet = Fleet::simulate(&lost);
         let during = fleet.summaries(Duration::from_secs(16), Duration::from_secs(20));
         let earned = during.iter().map(|s| s.earned_value).sum::<f64>();
-        // Four engines in nine at 12 times the load have as much to do each as nine at 27 times.
+        // Four of nine engines at 12 times the load have as much to do each as nine engines at 27
+        // times.
         let whole = Fleet::simulate(&nine_engines(27.0, seed));
         let whole = whole.summaries(Duration::from_secs(16), Duration::from_secs(20));
         let whole = whole.iter().map(|s| s.earned_value).sum::<f64>() * 4.0 / 9.0;
@@ -134,8 +135,9 @@
     }
 }
 
-/// Engines that run one request at a time, for some two seconds each, at seven tenths of what they can
-/// serve: at most one caller in a hundred is lost, and 7 of 405 where one waiting request was a queue.
+/// Engines run one request at a time, for about two seconds each, at 70% of their capacity: at
+/// most 1% of callers is refused for good, against 7 of 405 where one waiting request counted as a
+/// queue.
 #[test]
 fn verify_long_answers_queue_for_free_slots() {
     for seed in SEEDS {
--- a/crates/peppercrank-bench/tests/verify_trace.rs
+++ b/crates/peppercrank-bench/tests/verify_trace.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What holds in the quick traces, whose verdict is the same in every run.
+//! Properties of the quick workloads, which give the same result in every run.
 
 use peppercrank_bench::Churn;
 use peppercrank_bench::Report;
@@ -17,7 +17,8 @@
     Simulation::new(shape, trace, way, churn).run()
 }
 
-/// Every request came to one end, and no admission was above the cap known then.
+/// Checks that every request ended exactly once and that no admission exceeded the cap known at
+/// the time.
 fn check(trace: &Trace, report: &Report, label: &str) {
     assert_eq!(report.arrived, trace.turns.len() as u64, "{label}");
     assert_eq!(
