--- a/crates/peppercrank-direct/src/confirm.rs
+++ b/crates/peppercrank-direct/src/confirm.rs
@@ -61,10 +61,10 @@
 impl Confirmation {
     /// Answers a request from the current state; `None` if the version or the age is not known.
     #[must_use]
-    pub fn new(question: ConfirmationRequest, known: ConfirmableState) -> Option<Self> {
+    pub fn new(request: ConfirmationRequest, known: ConfirmableState) -> Option<Self> {
         let age = u32::try_from(known.age?.as_millis()).ok()?;
         Some(Self {
-            nonce: question.nonce,
+            nonce: request.nonce,
             version: known.version?,
             age_ms: age.saturating_add(1),
             evacuations_digest: known.evacuations_digest,
--- a/crates/peppercrank-gateway/src/admin.rs
+++ b/crates/peppercrank-gateway/src/admin.rs
@@ -40,7 +40,7 @@
         (Some(age), Some(keys)) => age < keys.revoke.mul_f64(READY_SHARE),
     };
     let in_touch = state
-        .store_away_since
+        .store_down_since
         .is_none_or(|since| now.since(since) < MAX_STORE_OUTAGE);
     let listed =
         state.directory.first_listed_at().is_some() && state.directory.evacuations.is_listed();
--- a/crates/peppercrank-gateway/src/confirm.rs
+++ b/crates/peppercrank-gateway/src/confirm.rs
@@ -64,7 +64,7 @@
         let nonce = rand::random();
         let question = ConfirmationRequest { nonce };
         let at = self.gateway.now();
-        self.gateway.state().pending_question = Some(PendingRequest {
+        self.gateway.state().pending_confirmation = Some(PendingRequest {
             request: question,
             sent_at: at,
         });
@@ -72,7 +72,7 @@
         let datagram = Datagram::ConfirmationRequest(question);
         gossip::send(&self.gateway, &self.socket, to, datagram).await;
         let answered = timeout(ANSWER_TIMEOUT, answered).await.is_ok();
-        let confirmed = self.gateway.state().pending_question.take().is_none();
+        let confirmed = self.gateway.state().pending_confirmation.take().is_none();
         let outdated = answered && !confirmed;
         let already_outdated = std::mem::replace(&mut self.heard_of_newer_version, outdated);
         confirmed || (outdated && !already_outdated)
@@ -98,7 +98,10 @@
 
 /// Answers another router's question; `None` if no configuration is known.
 #[must_use]
-pub fn answer_question(gateway: &Gateway, question: ConfirmationRequest) -> Option<Confirmation> {
+pub fn answer_confirmation_request(
+    gateway: &Gateway,
+    question: ConfirmationRequest,
+) -> Option<Confirmation> {
     let now = gateway.now();
     let state = gateway.state();
     let known = ConfirmableState {
@@ -114,12 +117,12 @@
     let mut state = gateway.state();
     let version = state.config.index().map(|i| i.desired().version);
     let verdict = state
-        .pending_question
+        .pending_confirmation
         .map(|asked| asked.evaluate(confirmation, version));
     match verdict {
         Some(Verdict::CurrentAsOf(at)) => {
             state.freshness.confirm(at, Source::Router);
-            state.pending_question = None;
+            state.pending_confirmation = None;
         }
         // The question stays pending, which shows that its answer confirmed nothing.
         Some(Verdict::Outdated) => {}
--- a/crates/peppercrank-gateway/src/eligible.rs
+++ b/crates/peppercrank-gateway/src/eligible.rs
@@ -142,7 +142,7 @@
         slack: settings.warm_up.slack,
     };
     let request_limit = fleet_budget(&warm_up, &allowance);
-    let cold_state_unknown = state.warm_up_gate.is_stale(now, state.store_away_since);
+    let cold_state_unknown = state.warm_up_gate.is_stale(now, state.store_down_since);
     let routers = state.router_count(now);
     let mut min_delay = warm_up.duration;
     for key in allowed {
--- a/crates/peppercrank-gateway/src/follow.rs
+++ b/crates/peppercrank-gateway/src/follow.rs
@@ -119,11 +119,11 @@
     /// store's recovery, or for [`OUTAGE_CHECK_INTERVAL`]. Returns at once for that follower. Calls
     /// have a cost, so only one follower makes them frequently during an outage.
     async fn defer_to_confirmer(&mut self) {
-        let away = self.outage_listener.is_away();
-        if away && !matches!(self.role, FollowerRole::ConfirmConfiguration(_)) {
+        let store_down = self.outage_listener.is_store_down();
+        if store_down && !matches!(self.role, FollowerRole::ConfirmConfiguration(_)) {
             let _result = timeout(
                 OUTAGE_CHECK_INTERVAL,
-                self.outage_listener.wait_for_return(),
+                self.outage_listener.wait_for_recovery(),
             )
             .await;
         }
@@ -136,7 +136,7 @@
                 let by_router = confirmer.confirm_by_router().await;
                 self.gateway.metrics.count_confirmation(by_router);
                 // Only a call to the store itself can detect its recovery.
-                if by_router && !self.outage.is_away() {
+                if by_router && !self.outage.is_store_down() {
                     return PollOutcome::Done;
                 }
             }
@@ -151,14 +151,14 @@
             | FollowerRole::Routers
             | FollowerRole::Evacuations(_) => {}
         }
-        match self.next_reading() {
+        match self.next_read_mode() {
             ReadMode::Snapshot => self.list().await,
             ReadMode::Changes(revision) => self.watch(revision).await,
         }
     }
 
     /// Decides what to ask the store for.
-    fn next_reading(&self) -> ReadMode {
+    fn next_read_mode(&self) -> ReadMode {
         if self.kind == Kind::Configuration {
             let now = self.gateway.now();
             let state = self.gateway.state();
@@ -327,7 +327,7 @@
             answer = self.store.get(path, wait + answer_timeout) => answer,
             // A call is abandoned once the store has recovered, as its connection may be dead, but
             // never after its answer has begun.
-            () = self.outage_listener.wait_for_return() => return Err(PollOutcome::PollAgain),
+            () = self.outage_listener.wait_for_recovery() => return Err(PollOutcome::PollAgain),
             () = evacuations_outdated(&self.gateway, self.kind) => return Err(PollOutcome::Relist),
         };
         let CallOutcome { result, era } = match answer {
@@ -384,9 +384,9 @@
         let now = self.gateway.now();
         let mut state = self.gateway.state();
         state.directory.store_lost();
-        state.store_away_since.get_or_insert(now);
+        state.store_down_since.get_or_insert(now);
         drop(state);
-        if self.outage.set_away(true) {
+        if self.outage.set_store_down(true) {
             let fields = [("what", Field::Text(cause))];
             self.gateway.log.write(LogEvent::PlatformDown, &fields);
         }
@@ -397,9 +397,9 @@
         let now = self.gateway.now();
         let mut state = self.gateway.state();
         state.directory.store_recovered(now);
-        state.store_away_since = None;
+        state.store_down_since = None;
         drop(state);
-        if self.outage.set_away(false) {
+        if self.outage.set_store_down(false) {
             self.gateway.log.write(LogEvent::PlatformUp, &[]);
         }
     }
--- a/crates/peppercrank-gateway/src/gateway.rs
+++ b/crates/peppercrank-gateway/src/gateway.rs
@@ -59,7 +59,7 @@
     /// Who last confirmed what is known about keys.
     pub keys_source: Option<Source>,
     /// Whether the store is unavailable.
-    pub store_away: bool,
+    pub store_down: bool,
     /// The number of registered targets.
     pub target_count: usize,
 }
@@ -74,7 +74,7 @@
             ("version", Field::Number(self.config_version)),
             ("keys_age_ms", Field::Millis(age)),
             ("keys_by", Field::Text(source)),
-            ("store_away", Field::Number(u64::from(self.store_away))),
+            ("store_away", Field::Number(u64::from(self.store_down))),
             ("targets", Field::Number(self.target_count as u64)),
         ]
     }
@@ -266,7 +266,7 @@
             config_version: state.config.index().map_or(0, |i| i.desired().version),
             keys_age: state.freshness.age(now),
             keys_source: state.freshness.source(),
-            store_away: state.directory.is_store_down(),
+            store_down: state.directory.is_store_down(),
             target_count: state.directory.len(),
         }
     }
--- a/crates/peppercrank-gateway/src/gossip.rs
+++ b/crates/peppercrank-gateway/src/gossip.rs
@@ -230,7 +230,8 @@
         match Datagram::decode(&buffer[..len]) {
             Ok(Datagram::Summary(summary)) => apply_summary(&gateway, from, &summary),
             Ok(Datagram::ConfirmationRequest(question)) => {
-                if let Some(confirmation) = confirm::answer_question(&gateway, question) {
+                if let Some(confirmation) = confirm::answer_confirmation_request(&gateway, question)
+                {
                     send(
                         &gateway,
                         &socket,
--- a/crates/peppercrank-gateway/src/outage.rs
+++ b/crates/peppercrank-gateway/src/outage.rs
@@ -19,15 +19,15 @@
 impl Outage {
     /// Returns whether the store is unavailable.
     #[must_use]
-    pub fn is_away(&self) -> bool {
+    pub fn is_store_down(&self) -> bool {
         *self.0.borrow()
     }
 
     /// Records whether the store is unavailable, and returns whether that changed.
     #[must_use]
-    pub fn set_away(&self, away: bool) -> bool {
+    pub fn set_store_down(&self, down: bool) -> bool {
         self.0
-            .send_if_modified(|now| std::mem::replace(now, away) != away)
+            .send_if_modified(|now| std::mem::replace(now, down) != down)
     }
 
     /// Returns a listener for one follower.
@@ -43,17 +43,17 @@
 
 impl OutageListener {
     /// Returns whether the store is unavailable, and marks that state as seen.
-    pub fn is_away(&mut self) -> bool {
+    pub fn is_store_down(&mut self) -> bool {
         *self.0.borrow_and_update()
     }
 
     /// Waits until the store has recovered from an outage.
-    pub async fn wait_for_return(&mut self) {
+    pub async fn wait_for_recovery(&mut self) {
         loop {
             if self.0.changed().await.is_err() {
                 return std::future::pending().await;
             }
-            if !self.is_away() {
+            if !self.is_store_down() {
                 return;
             }
         }
--- a/crates/peppercrank-gateway/src/register.rs
+++ b/crates/peppercrank-gateway/src/register.rs
@@ -124,7 +124,7 @@
             registered.last_heard = now;
         }
     }
-    if state.store_away_since.is_some() {
+    if state.store_down_since.is_some() {
         return Vec::new();
     }
     let routers = state.routers.iter();
--- a/crates/peppercrank-gateway/src/reload.rs
+++ b/crates/peppercrank-gateway/src/reload.rs
@@ -17,7 +17,7 @@
 use tokio::time::sleep;
 
 use crate::gateway::Gateway;
-use crate::state::retry_terms;
+use crate::state::retry_limits;
 
 /// Interval between checks of the file.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
@@ -57,7 +57,7 @@
     match GatewaySettings::parse(&text) {
         Ok(new) if new == *settings.borrow().as_ref() => {}
         Ok(new) => {
-            gateway.state().retry_budget.set_limits(retry_terms(&new));
+            gateway.state().retry_budget.set_limits(retry_limits(&new));
             settings.send_replace(Arc::new(new));
             gateway.log.write(Event::SettingsRead, &[]);
         }
--- a/crates/peppercrank-gateway/src/state.rs
+++ b/crates/peppercrank-gateway/src/state.rs
@@ -48,7 +48,7 @@
     /// The age of what is known about API keys.
     pub freshness: Freshness,
     /// The pending question to another router, if any.
-    pub pending_question: Option<PendingRequest>,
+    pub pending_confirmation: Option<PendingRequest>,
     /// Up to which revision the configuration was read.
     pub catch_up: CatchUp,
     /// The eras of the store, which change when it is restored from an older copy.
@@ -56,7 +56,7 @@
     /// The registered targets.
     pub directory: Directory,
     /// Since when the store has not answered this router; `None` while it does.
-    pub store_away_since: Option<Instant>,
+    pub store_down_since: Option<Instant>,
     /// When a peer last reported its load.
     pub peers_heard_at: Instant,
     /// Load and health statistics of each target.
@@ -130,7 +130,7 @@
 
 /// Returns the retry limits from the settings.
 #[must_use]
-pub fn retry_terms(settings: &GatewaySettings) -> RetryLimits {
+pub fn retry_limits(settings: &GatewaySettings) -> RetryLimits {
     RetryLimits {
         share: settings.retry.share,
         extra: f64::from(settings.retry.extra),
@@ -145,11 +145,11 @@
         Self {
             config: ActiveConfiguration::default(),
             freshness: Freshness::new(settings.keys.map(|k| k.revoke)),
-            pending_question: None,
+            pending_confirmation: None,
             catch_up: CatchUp::default(),
             eras: EraTracker::default(),
             directory: Directory::default(),
-            store_away_since: None,
+            store_down_since: None,
             peers_heard_at: now,
             board: StatsMap::default(),
             keys_by_id: HashMap::new(),
@@ -158,7 +158,7 @@
             prefixes: PrefixIndex::default(),
             rates: HashMap::new(),
             admission: HashMap::new(),
-            retry_budget: RetryBudget::new(now, retry_terms(settings)),
+            retry_budget: RetryBudget::new(now, retry_limits(settings)),
             quarantine: Quarantine::default(),
             warm_up_gate: Gate::default(),
             peers: Peers::default(),
--- a/crates/peppercrank-gateway/src/suspension.rs
+++ b/crates/peppercrank-gateway/src/suspension.rs
@@ -42,10 +42,10 @@
     // What is known about targets dates from before the suspension, so the store counts as
     // unavailable until it answers again.
     state.directory.store_lost();
-    state.store_away_since.get_or_insert(now);
+    state.store_down_since.get_or_insert(now);
     drop(state);
     // As after an outage, waiting calls are abandoned once the store answers.
-    let _changed = outage.set_away(true);
+    let _changed = outage.set_store_down(true);
     gateway.machine_resumed.notify_waiters();
     let fields = [("suspended_ms", Field::Millis(duration))];
     gateway.log.write(Event::Suspended, &fields);
--- a/crates/peppercrank-settings/src/agent.rs
+++ b/crates/peppercrank-settings/src/agent.rs
@@ -32,7 +32,7 @@
 pub const DEFAULT_POINTER_TABLE_BYTES: usize = 8 << 20;
 
 /// Default age up to which a known mean load of the pool counts in full.
-pub const DEFAULT_MAX_MEAN_AGE: Duration = Duration::from_secs(5);
+pub const DEFAULT_FRESH_MEAN_AGE: Duration = Duration::from_secs(5);
 
 /// Default interval between reads of the engine's cache events.
 pub const DEFAULT_EVENT_POLL_INTERVAL: Duration = Duration::from_millis(500);
@@ -85,7 +85,7 @@
     /// Age up to which a known mean load of the pool counts in full, 500 ms to 5 min. Beyond it, the
     /// older the mean load is, the less it counts; from six times this age it is ignored.
     ///
-    /// The default is [`DEFAULT_MAX_MEAN_AGE`].
+    /// The default is [`DEFAULT_FRESH_MEAN_AGE`].
     #[serde(default = "default_mean_age")]
     #[serde(deserialize_with = "checked::duration::<_, 500, 300_000>")]
     pub mean_age: Duration,
@@ -149,7 +149,7 @@
             ceiling: 0,
             patience: DEFAULT_REDIRECT_WAIT,
             pointers: DEFAULT_POINTER_TABLE_BYTES,
-            mean_age: DEFAULT_MAX_MEAN_AGE,
+            mean_age: DEFAULT_FRESH_MEAN_AGE,
             events: DEFAULT_EVENT_POLL_INTERVAL,
             load: DEFAULT_LOAD_POLL_INTERVAL,
         }
@@ -192,7 +192,7 @@
 
 /// Default for serde, which requires a function.
 const fn default_mean_age() -> Duration {
-    DEFAULT_MAX_MEAN_AGE
+    DEFAULT_FRESH_MEAN_AGE
 }
 
 /// Default for serde, which requires a function.
