--- a/crates/peppercrank-gateway/src/choose.rs
+++ b/crates/peppercrank-gateway/src/choose.rs
@@ -139,8 +139,12 @@
     let openings = gateway.client.pending_connections();
     LinkState {
         pending: openings.count(),
-        longest_pending: openings.oldest_start().map_or(Duration::ZERO, |o| o.elapsed()),
-        last_connected: openings.last_established().map(|made| (made.at.elapsed(), made.took)),
+        longest_pending: openings
+            .oldest_start()
+            .map_or(Duration::ZERO, |o| o.elapsed()),
+        last_connected: openings
+            .last_established()
+            .map(|made| (made.at.elapsed(), made.took)),
     }
 }
 
--- a/crates/peppercrank-spec/src/eras.rs
+++ b/crates/peppercrank-spec/src/eras.rs
@@ -266,7 +266,10 @@
     fn enabled_steps(self, state: &State) -> Vec<Step> {
         let vars = &state.vars;
         let mut steps = vec![Step::Read];
-        if vars.target == Some(true) && !vars.learned.noticed && state.directory.find("one").is_some() {
+        if vars.target == Some(true)
+            && !vars.learned.noticed
+            && state.directory.find("one").is_some()
+        {
             steps.push(Step::Answer);
         }
         if vars.changes < self.changes {
@@ -366,7 +369,8 @@
     fn violations(&self, state: &State) -> Vec<&'static str> {
         let vars = &state.vars;
         let shown = vars.stored.entry.is_some();
-        let missed_change = vars.strides_in_touch >= SETTLED_STRIDES && state.directory.find("one").is_some() != shown;
+        let missed_change = vars.strides_in_touch >= SETTLED_STRIDES
+            && state.directory.find("one").is_some() != shown;
         let works = vars.in_touch && state.gets_work();
         let revived = works && vars.learned.gone && vars.target.is_none();
         let forgotten = works && vars.learned.leaving;
--- a/crates/peppercrank-spec/src/orders.rs
+++ b/crates/peppercrank-spec/src/orders.rs
@@ -158,7 +158,13 @@
         self.deliver_answer(s, call.from, call.id, answer);
     }
 
-    fn deliver_answer(self, s: &mut State, from: Option<Caller>, call: CallId, answer: Answer<Lease>,) {
+    fn deliver_answer(
+        self,
+        s: &mut State,
+        from: Option<Caller>,
+        call: CallId,
+        answer: Answer<Lease>,
+    ) {
         match from {
             None => {}
             Some(Caller::Contender(at)) => {
--- a/crates/peppercrank-spec/src/starts.rs
+++ b/crates/peppercrank-spec/src/starts.rs
@@ -170,7 +170,8 @@
             let _noted = self.directory.apply(now, change);
         }
         self.record_known();
-        let ahead = (0..current).all(|s| START_TIMES_MS[usize::from(s)] < START_TIMES_MS[usize::from(current)]);
+        let ahead = (0..current)
+            .all(|s| START_TIMES_MS[usize::from(s)] < START_TIMES_MS[usize::from(current)]);
         let late = self.vars.known.is_some_and(|known| known != current);
         self.vars.overtaken |= knew && ahead && late;
     }
