--- a/crates/peppercrank-spec/src/cold.rs
+++ b/crates/peppercrank-spec/src/cold.rs
@@ -155,11 +155,11 @@
     fn may_send(&mut self, router: usize, flaw: Flaw) -> bool {
         let now = self.now();
         let requests = shared_out(&WARM_UP, &ALLOWANCE);
-        let heard = match flaw {
+        let known_routers = match flaw {
             Flaw::TakesAll => 1,
             Flaw::None | Flaw::TakesSilence => self.vars.known[router],
         };
-        self.gates[router].opens(now, (self.key, 7), requests, heard) == Opens::Now
+        self.gates[router].opens(now, (self.key, 7), requests, known_routers) == Opens::Now
     }
 }
 
--- a/crates/peppercrank-spec/src/starts.rs
+++ b/crates/peppercrank-spec/src/starts.rs
@@ -151,12 +151,12 @@
         let known = target.map(|t| start_of(&t.registration));
         let rival = target.and_then(|t| t.rival());
         let rival = rival.map(|(entry, from)| (start_of(entry), millis(from)));
-        let owner = key.zip(known);
-        if let (Some((before, start)), Some((now, known))) = (self.known_key, owner) {
+        let known_key = key.zip(known);
+        if let (Some((before, start)), Some((now, known))) = (self.known_key, known_key) {
             self.vars.mixed |= before == now && start != known;
         }
         if self.known_key.map(|(k, _)| k) != key {
-            self.known_key = owner;
+            self.known_key = known_key;
         }
         self.vars.known = known;
         self.vars.rival = rival;
@@ -183,11 +183,11 @@
             return vec![removed()];
         };
         let put = Change::Put(registration(told, flaw));
-        let born = |s: u8| START_TIMES_MS[usize::from(s)];
+        let start_time = |s: u8| START_TIMES_MS[usize::from(s)];
         let earlier = self
             .vars
             .known
-            .is_some_and(|known| born(told) < born(known));
+            .is_some_and(|known| start_time(told) < start_time(known));
         match flaw {
             Flaw::TakesEarlier if earlier => vec![removed(), put],
             Flaw::DropsEarlier if earlier => Vec::new(),
@@ -208,10 +208,10 @@
 }
 
 fn registration(start: u8, flaw: Flaw) -> Registration {
-    let born = START_TIMES_MS[usize::from(start)];
+    let start_time = START_TIMES_MS[usize::from(start)];
     Registration {
         instance: "one".into(),
-        start: Start((flaw != Flaw::NameOnly).then_some(born)),
+        start: Start((flaw != Flaw::NameOnly).then_some(start_time)),
         pool: "pool".into(),
         address: ([127, 0, 0, 1], 80).into(),
         zone: "a".into(),
