--- a/crates/peppercrank-wire/examples/edge_cost.rs
+++ b/crates/peppercrank-wire/examples/edge_cost.rs
@@ -45,25 +45,25 @@
 const ROUND: Duration = Duration::from_millis(700);
 
 /// Number of streams for measuring the time to the first event.
-const FIRSTS: usize = 300;
+const FIRST_EVENT_STREAMS: usize = 300;
 
 /// Time for which open streams are observed.
-const SPAN: Duration = Duration::from_millis(1_500);
+const OBSERVATION_TIME: Duration = Duration::from_millis(1_500);
 
 /// Number of events of a timed stream, and the interval between them.
 const EVENTS: u32 = 2_000;
-const STEP: Duration = Duration::from_millis(1);
+const EVENT_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Numbers of open streams at which memory is measured, and the interval between the events of
 /// each.
 const STREAMS: [usize; 3] = [50, 500, 2_000];
-const SLOW_STEP: Duration = Duration::from_millis(200);
+const SLOW_EVENT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Size of the body of a unary call and of its response, like a short chat.
 const BODY: usize = 2_048;
 
 /// Clock ticks per second in `/proc/self/stat`, the same on all current Linux systems.
-const TICKS: f64 = 100.0;
+const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
 
 fn main() {
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -74,7 +74,7 @@
 }
 
 /// The two paths to the origin, and the handles that keep their servers running.
-struct Ways {
+struct Paths {
     direct: SocketAddr,
     hop: SocketAddr,
     origin: Instant,
@@ -89,17 +89,17 @@
         ..ClientConfig::default()
     });
     let (hop, second) = start(move |call| relay(call, client.clone(), direct)).await;
-    let ways = Ways {
+    let paths = Paths {
         direct,
         hop,
         origin,
         _stoppers: [first, second],
     };
     // Runs first, while the heap contains no freed memory.
-    memory(&ways).await;
-    latency(&ways).await;
-    throughput(&ways).await;
-    events(&ways).await;
+    memory(&paths).await;
+    latency(&paths).await;
+    throughput(&paths).await;
+    events(&paths).await;
 }
 
 async fn start<F, R>(answer: F) -> (SocketAddr, Stopper)
@@ -118,8 +118,8 @@
 /// The origin: echoes, or streams events that contain their creation time.
 async fn answer(call: Call, origin: Instant) -> Reply {
     let step = match call.head.uri.path() {
-        "/events" => STEP,
-        "/slow" => SLOW_STEP,
+        "/events" => EVENT_INTERVAL,
+        "/slow" => SLOW_EVENT_INTERVAL,
         _ => return Reply::new(body::full(call.body.read().await.unwrap_or_default())),
     };
     let (feed, body) = body::channel(4);
@@ -160,14 +160,14 @@
     assert_eq!(read.expect("a whole body").to_bytes().len(), BODY);
 }
 
-async fn latency(ways: &Ways) {
+async fn latency(paths: &Paths) {
     println!("### One call at a time, {BODY} bytes each way, {CALLS} by each way in turn\n");
     println!("| way | median | 99th of 100 |\n| --- | ---: | ---: |");
     let client = Client::new(ClientConfig::default());
     let mut times = [Vec::with_capacity(CALLS), Vec::with_capacity(CALLS)];
     // Alternates the paths, so that other load on the machine affects both equally.
     for _ in 0..CALLS {
-        for (times, to) in times.iter_mut().zip([ways.direct, ways.hop]) {
+        for (times, to) in times.iter_mut().zip([paths.direct, paths.hop]) {
             let begun = Instant::now();
             call(&client, to).await;
             times.push(begun.elapsed());
@@ -176,7 +176,7 @@
     print_places(times);
 }
 
-async fn throughput(ways: &Ways) {
+async fn throughput(paths: &Paths) {
     println!("### {CALLERS} callers at once, {ROUNDS} rounds of {ROUND:?} by each way in turn\n");
     println!("| way | calls/s | core-time a call |\n| --- | ---: | ---: |");
     let client = Client::new(ClientConfig {
@@ -186,7 +186,7 @@
     let mut calls = [0_u32; 2];
     let mut spent = [0.0; 2];
     for _ in 0..ROUNDS {
-        for (at, to) in [ways.direct, ways.hop].into_iter().enumerate() {
+        for (at, to) in [paths.direct, paths.hop].into_iter().enumerate() {
             let before = core_time();
             calls[at] += round(&client, to).await;
             spent[at] += core_time() - before;
@@ -218,13 +218,13 @@
     callers.join_all().await.into_iter().sum()
 }
 
-async fn events(ways: &Ways) {
-    println!("### First event of a stream, {FIRSTS} streams by each way in turn\n");
+async fn events(paths: &Paths) {
+    println!("### First event of a stream, {FIRST_EVENT_STREAMS} streams by each way in turn\n");
     println!("| way | median | 99th of 100 |\n| --- | ---: | ---: |");
     let client = Client::new(ClientConfig::default());
     let mut times = [Vec::new(), Vec::new()];
-    for _ in 0..FIRSTS {
-        for (times, to) in times.iter_mut().zip([ways.direct, ways.hop]) {
+    for _ in 0..FIRST_EVENT_STREAMS {
+        for (times, to) in times.iter_mut().zip([paths.direct, paths.hop]) {
             let begun = Instant::now();
             let mut body = open(&client, to, "/events").await;
             body.frame().await.expect("an event").expect("a whole one");
@@ -234,11 +234,11 @@
     print_places(times);
 
     println!(
-        "### {EVENTS} events, one each {STEP:?}, both ways at once: from making to the reader\n"
+        "### {EVENTS} events, one each {EVENT_INTERVAL:?}, both ways at once: from making to the reader\n"
     );
     println!("| way | median | 99th of 100 |\n| --- | ---: | ---: |");
-    let ages = |to| ages(&client, to, ways.origin);
-    let (direct, hop) = tokio::join!(ages(ways.direct), ages(ways.hop));
+    let ages = |to| ages(&client, to, paths.origin);
+    let (direct, hop) = tokio::join!(ages(paths.direct), ages(paths.hop));
     print_places([direct, hop]);
 }
 
@@ -263,15 +263,15 @@
     origin.elapsed().saturating_sub(made)
 }
 
-async fn memory(ways: &Ways) {
-    println!("### Open streams, one event each {SLOW_STEP:?} on every one\n");
+async fn memory(paths: &Paths) {
+    println!("### Open streams, one event each {SLOW_EVENT_INTERVAL:?} on every one\n");
     println!("Direct: caller and origin. One hop: these and the hop between them.\n");
     println!("| way | streams | memory a stream | threads | core used |");
     println!("| --- | ---: | ---: | ---: | ---: |");
     let before = resident();
     // Each case needs more memory than the one before, so memory freed by that one is reused.
     for streams in STREAMS {
-        for (name, to) in [("direct", ways.direct), ("one hop", ways.hop)] {
+        for (name, to) in [("direct", paths.direct), ("one hop", paths.hop)] {
             let client = Arc::new(Client::new(ClientConfig::default()));
             let mut readers = JoinSet::new();
             for _ in 0..streams {
@@ -279,7 +279,7 @@
                 readers.spawn(read(body));
             }
             let (begun, spent) = (Instant::now(), core_time());
-            tokio::time::sleep(SPAN).await;
+            tokio::time::sleep(OBSERVATION_TIME).await;
             let used = (core_time() - spent) / begun.elapsed().as_secs_f64();
             let each = resident().saturating_sub(before) / streams as u64;
             let threads = status("Threads:");
@@ -340,7 +340,7 @@
     // User and system time are the 14th and 15th fields of the whole line.
     let ticks = fields.split(' ').skip(11).take(2);
     let ticks = ticks.map(|t| t.parse::<f64>().expect("a number"));
-    ticks.sum::<f64>() / TICKS
+    ticks.sum::<f64>() / CLOCK_TICKS_PER_SECOND
 }
 
 /// Returns the resident memory, in KB.
--- a/crates/peppercrank-wire/src/client/answer.rs
+++ b/crates/peppercrank-wire/src/client/answer.rs
@@ -42,16 +42,16 @@
 }
 
 impl Framing {
-    pub(super) fn of_response(answer: &Response<Incoming>) -> Self {
-        let headers = answer.headers();
+    pub(super) fn of_response(response: &Response<Incoming>) -> Self {
+        let headers = response.headers();
         if headers.contains_key(header::TRANSFER_ENCODING) {
             return Self::Chunked;
         }
         let bare = matches!(
-            answer.status(),
+            response.status(),
             StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED
         );
-        let sized = answer.body().size_hint().exact().is_some();
+        let sized = response.body().size_hint().exact().is_some();
         if bare || sized || headers.contains_key(header::CONTENT_LENGTH) {
             return Self::Length;
         }
@@ -59,14 +59,14 @@
     }
 
     /// Returns whether the connection can be used for another request after this response.
-    pub(super) fn allows_reuse(self, answer: &Response<Incoming>) -> bool {
-        let values = answer.headers().get_all(header::CONNECTION);
+    pub(super) fn allows_reuse(self, response: &Response<Incoming>) -> bool {
+        let values = response.headers().get_all(header::CONNECTION);
         let closes = values.iter().any(|v| {
             let text = v.to_str().unwrap_or("close");
             text.split(',')
                 .any(|t| t.trim().eq_ignore_ascii_case("close"))
         });
-        self != Self::Close && answer.version() == Version::HTTP_11 && !closes
+        self != Self::Close && response.version() == Version::HTTP_11 && !closes
     }
 }
 
--- a/crates/peppercrank-wire/src/client/mod.rs
+++ b/crates/peppercrank-wire/src/client/mod.rs
@@ -235,9 +235,9 @@
                     // The kept connection was closed without notice, and the request was returned
                     // unsent.
                     SendOutcome::Unsent(unsent, _) => request = unsent,
-                    SendOutcome::Response(answer) => {
+                    SendOutcome::Response(response) => {
                         self.counters.add(Count::Reused);
-                        return Ok(answer);
+                        return Ok(response);
                     }
                     SendOutcome::Failed(cause) => return Err(SendError::MayHaveBeenSent(cause)),
                 }
@@ -248,7 +248,7 @@
             .send_on(connection, to, request, self.config.connect)
             .await
         {
-            SendOutcome::Response(answer) => Ok(answer),
+            SendOutcome::Response(response) => Ok(response),
             SendOutcome::Unsent(_, cause) => Err(SendError::NotSent(cause)),
             SendOutcome::Failed(cause) => Err(SendError::MayHaveBeenSent(cause)),
         }
@@ -270,7 +270,7 @@
             return SendOutcome::Failed(Cause::FirstByte);
         };
         match sent {
-            Ok(answer) => SendOutcome::Response(self.wrap_response(answer, connection, to)),
+            Ok(response) => SendOutcome::Response(self.wrap_response(response, connection, to)),
             Err(mut e) => match e.take_message() {
                 Some(request) => SendOutcome::Unsent(request, Cause::Closed),
                 None => SendOutcome::Failed(cause_of(e.error())),
@@ -280,15 +280,15 @@
 
     fn wrap_response(
         &self,
-        answer: Response<Incoming>,
+        response: Response<Incoming>,
         connection: Connection,
         to: SocketAddr,
     ) -> ClientResponse {
-        let framing = Framing::of_response(&answer);
+        let framing = Framing::of_response(&response);
         let return_to = framing
-            .allows_reuse(&answer)
+            .allows_reuse(&response)
             .then(|| (Arc::clone(&self.pool), to));
-        answer
+        response
             .map(|inner| ResponseBody::new(inner, framing, connection, return_to, self.config.idle))
     }
 }
--- a/crates/peppercrank-wire/src/control/server.rs
+++ b/crates/peppercrank-wire/src/control/server.rs
@@ -137,7 +137,7 @@
     /// Serves calls until `stop` is signalled, then completes the calls in progress.
     ///
     /// The future of a call is dropped at its deadline or when the caller disconnects.
-    pub async fn serve<F, R>(self, mut stop: Stop, answer: F)
+    pub async fn serve<F, R>(self, mut stop: Stop, respond: F)
     where
         F: Fn(SenderId, ControlRequest) -> R + Clone + Send + Sync + 'static,
         R: Future<Output = ControlResponse> + Send + 'static,
@@ -158,7 +158,7 @@
                     let codec = Arc::clone(&self.codec);
                     let address = Arc::clone(&address);
                     let limits = self.limits.clone();
-                    tasks.spawn(serve_connection(io, address, codec, limits, stop.clone(), answer.clone()));
+                    tasks.spawn(serve_connection(io, address, codec, limits, stop.clone(), respond.clone()));
                 }
                 Some(_) = tasks.join_next(), if !tasks.is_empty() => {}
             }
@@ -176,7 +176,7 @@
     codec: Arc<ControlCodec>,
     limits: ControlLimits,
     mut stop: Stop,
-    answer: F,
+    respond: F,
 ) where
     F: Fn(SenderId, ControlRequest) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = ControlResponse> + Send + 'static,
@@ -184,7 +184,7 @@
     let (transport, activity) = rpc_transport(io, limits.frame, Arc::clone(&codec.byte_counters));
     let max_len = limits.frame.saturating_sub(SEAL_OVERHEAD);
     let handler = serve(move |_: Context, sealed: SealedRequest| async move {
-        Ok(handle_call(&codec, &address, max_len, &sealed, answer).await)
+        Ok(handle_call(&codec, &address, max_len, &sealed, respond).await)
     });
     let channel = BaseChannel::with_defaults(transport).max_concurrent_requests(limits.calls);
     let mut requests = pin!(channel.execute(handler));
@@ -218,7 +218,7 @@
     address: &str,
     max_len: usize,
     sealed: &SealedRequest,
-    answer: F,
+    respond: F,
 ) -> SealedReply
 where
     F: Fn(SenderId, ControlRequest) -> R,
@@ -229,6 +229,6 @@
         Err(reason) => return SealedReply::Rejected(reason),
     };
     let kind = request.kind();
-    let response = answer(caller.identity.sender, request).await;
+    let response = respond(caller.identity.sender, request).await;
     SealedReply::Sealed(codec.seal_response(caller, kind, &response, max_len))
 }
--- a/crates/peppercrank-wire/src/edge/connection.rs
+++ b/crates/peppercrank-wire/src/edge/connection.rs
@@ -61,7 +61,7 @@
 pub(super) struct Shared<F> {
     pub(super) limits: watch::Receiver<Arc<Limits>>,
     pub(super) counters: Arc<Counters>,
-    pub(super) answer: F,
+    pub(super) handler: F,
 }
 
 impl<F> Shared<F> {
@@ -207,7 +207,7 @@
     // The checked stream cannot detect the end of a chunked body, so no request may follow it.
     let closes_after = head.headers.contains_key(header::TRANSFER_ENCODING);
     let body = CallBody::new(body, received.limits, Arc::clone(&in_progress.memory));
-    let mut reply = (shared.answer)(Call { head, body, peer }).await;
+    let mut reply = (shared.handler)(Call { head, body, peer }).await;
     if closes_after || stop.is_stopping() {
         let close = HeaderValue::from_static("close");
         reply.headers_mut().insert(header::CONNECTION, close);
--- a/crates/peppercrank-wire/src/edge/mod.rs
+++ b/crates/peppercrank-wire/src/edge/mod.rs
@@ -110,13 +110,13 @@
     ///
     /// The future of a call is dropped when its caller disconnects. During shutdown, each response
     /// closes its connection, and calls that exceed [`Limits::drain`] are aborted.
-    pub async fn serve<F, R>(self, limits: Limits, stop: Stop, answer: F) -> ServeSummary
+    pub async fn serve<F, R>(self, limits: Limits, stop: Stop, handler: F) -> ServeSummary
     where
         F: Fn(Call) -> R + Send + Sync + 'static,
         R: Future<Output = Reply> + Send + 'static,
     {
         let (_fixed, limits) = watch::channel(Arc::new(limits));
-        self.serve_within(limits, stop, answer).await
+        self.serve_within(limits, stop, handler).await
     }
 
     /// Serves callers like [`Edge::serve`], with limits that may change.
@@ -126,7 +126,7 @@
         self,
         limits: watch::Receiver<Arc<Limits>>,
         stop: Stop,
-        answer: F,
+        handler: F,
     ) -> ServeSummary
     where
         F: Fn(Call) -> R + Send + Sync + 'static,
@@ -135,7 +135,7 @@
         let shared = Arc::new(Shared {
             limits,
             counters: Arc::clone(&self.counters),
-            answer,
+            handler,
         });
         let mut tasks = JoinSet::new();
         let mut signal = stop.clone();
--- a/crates/peppercrank-wire/src/lib.rs
+++ b/crates/peppercrank-wire/src/lib.rs
@@ -32,8 +32,8 @@
 //!
 //! let client = Client::new(ClientConfig::default());
 //! let request = http::Request::get("/").body(body::empty())?;
-//! let answer = client.send(address, request, Reuse::Allowed).await?;
-//! let body = answer.into_body().collect().await?;
+//! let response = client.send(address, request, Reuse::Allowed).await?;
+//! let body = response.into_body().collect().await?;
 //! assert_eq!(body.to_bytes(), "hello");
 //!
 //! drop(client);
