--- a/crates/peppercrank-standin/tests/support/mod.rs
+++ b/crates/peppercrank-standin/tests/support/mod.rs
@@ -1,9 +1,9 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A raw HTTP client and a runtime for the stand-ins under test.
+//! A raw HTTP client and a runtime for tests of the stand-ins.
 
-#![expect(dead_code, reason = "each test file uses its own part of these")]
+#![expect(dead_code, reason = "each test file uses only some of these")]
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -19,15 +19,15 @@
 use ureq::http::Request;
 use ureq::http::Response;
 
-/// Long enough for a busy machine; a test waits so long only when it fails.
+/// Long enough for a busy machine; only a failing test waits this long.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How long a caller waits for an answer that is lost.
+/// How long a caller waits if no response is expected.
 const SHORT_TIMEOUT: Duration = Duration::from_millis(300);
 
 pub type SendResult = Result<Received, ureq::Error>;
 
-/// An answer, read to its end.
+/// A response with its complete body.
 #[derive(Debug)]
 pub struct Received {
     pub status: u16,
@@ -38,7 +38,7 @@
 }
 
 impl Received {
-    /// A header's text, empty without it.
+    /// Returns the value of a header, empty if it is absent.
     pub fn header(&self, name: &str) -> &str {
         let value = self.headers.get(name);
         value.map_or("", |v| v.to_str().expect("a text"))
@@ -56,7 +56,7 @@
 fn agent(timeout: Duration) -> Agent {
     let config = Agent::config_builder()
         .http_status_as_error(false)
-        // A kept connection that was closed would be tried again unseen.
+        // On a reused connection that was closed, the client would silently retry the request.
         .max_idle_connections(0)
         .timeout_global(Some(timeout));
     Agent::new_with_config(config.build())
@@ -73,12 +73,12 @@
     request.body(body.to_owned()).expect("a request")
 }
 
-/// Sends `METHOD /path` and reads the answer whole.
+/// Sends `METHOD /path` and reads the complete response.
 pub fn send(at: SocketAddr, call: &str, headers: &[(&str, &str)], body: &str) -> SendResult {
     read_response(agent(RESPONSE_TIMEOUT).run(request(at, call, headers, body))?)
 }
 
-/// Sends what gets no answer, and gives up soon.
+/// Sends a request that is expected to get no response, with a short timeout.
 pub fn send_with_short_timeout(
     at: SocketAddr,
     call: &str,
@@ -102,11 +102,11 @@
     })
 }
 
-/// What came of a streamed answer.
+/// The events received of a streamed answer.
 #[derive(Debug, PartialEq, Eq)]
 pub struct StreamedAnswer {
     pub events: Vec<Value>,
-    /// Whether it ended as it should.
+    /// Whether the end marker was received.
     pub complete: bool,
 }
 
@@ -119,12 +119,12 @@
     }
 }
 
-/// Sends and reads the events until the answer ends or breaks.
+/// Sends a request and reads events until the answer ends or the connection breaks.
 pub fn stream(at: SocketAddr, call: &str, headers: &[(&str, &str)], body: &str) -> StreamedAnswer {
     stream_with(at, call, headers, body, |_| {})
 }
 
-/// As [`stream`], telling how many events have come after each.
+/// Like [`stream`], but calls `on_event` with the number of events received after each.
 pub fn stream_with(
     at: SocketAddr,
     call: &str,
@@ -168,13 +168,13 @@
     response.json()["runs"].clone()
 }
 
-/// How many chats or calls a target is at work on.
+/// Returns the number of chats or calls that a target is processing.
 pub fn running(at: SocketAddr) -> Value {
     let response = send(at, "GET /load", &[], "").expect("an answer");
     response.json()["running"].clone()
 }
 
-/// Asks again until the answer is as awaited, and gives the last one.
+/// Calls `ask` until it returns `expected` or the time is up, and returns the last result.
 pub fn poll_until<T: PartialEq>(expected: &T, ask: impl Fn() -> T) -> T {
     let started = Instant::now();
     loop {
@@ -185,7 +185,7 @@
     }
 }
 
-/// A chat of these messages by turns of user and assistant.
+/// Returns a chat body with these messages, alternately from the user and the assistant.
 pub fn chat(stream: bool, messages: &[&str]) -> String {
     let roles = ["user", "assistant"];
     let messages: Vec<Value> = messages
--- a/crates/peppercrank-standin/tests/verify_client.rs
+++ b/crates/peppercrank-standin/tests/verify_client.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The platform's client and the platform stand-in understand each other.
+//! Tests the platform client of peppercrank-wire against the platform stand-in.
 
 mod support;
 
@@ -77,7 +77,8 @@
         ..Access::new(running.addr)
     };
     let second = Some(Duration::from_secs(1));
-    // Switches, what a write comes to; all but the first two may have taken effect.
+    // Faults and the failure of a write; in all but the first two cases the write may have taken
+    // effect.
     let cases = [
         (json!({"outage": true}), Failure::Down),
         (json!({"throttle": true}), Failure::Throttled(second)),
--- a/crates/peppercrank-standin/tests/verify_engine.rs
+++ b/crates/peppercrank-standin/tests/verify_engine.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The engine stand-in's contract, by a raw HTTP client.
+//! Tests the HTTP interface of the engine stand-in with a raw client.
 
 mod support;
 
@@ -23,10 +23,10 @@
 
 const CHAT: &str = "POST /v1/chat/completions";
 
-/// The first 16 digits of the SHA-256 of `abc`, as FIPS 180 gives it.
+/// The first 16 digits of the SHA-256 of `abc`, from the examples of FIPS 180.
 const ABC_DIGEST: &str = "ba7816bf8f01cfea";
 
-/// An engine that takes no time.
+/// Returns settings of an engine whose work takes no time.
 fn instant_engine() -> EngineSettings {
     EngineSettings {
         incarnation: 7,
@@ -38,7 +38,7 @@
     }
 }
 
-/// An engine whose answers do not end by themselves while a test runs.
+/// Returns settings of an engine whose answers do not finish while a test runs.
 fn stalled_engine() -> EngineSettings {
     EngineSettings {
         slots: 1,
@@ -87,7 +87,11 @@
     let streamed = stream(at, CHAT, &ids, &chat(true, &["abc"]));
     assert!(streamed.complete);
     assert_eq!(streamed.text(), text.replace("a1", "a2"));
-    assert_eq!(streamed.events.len(), 7, "six tokens and the usage");
+    assert_eq!(
+        streamed.events.len(),
+        7,
+        "six tokens and the final event with the usage"
+    );
     assert_eq!(
         run_counts(at, "a1"),
         json!({"attempts": 1, "requests": 0, "keys": 0})
@@ -123,7 +127,11 @@
     let cached = usage["prompt_tokens_details"]["cached_tokens"]
         .as_u64()
         .expect("a number");
-    // "user\n" + 1,000 + "\n" + "assistant\n" is 1,016 bytes; the answer adds 89 of its own.
+    // The first prompt is "user
+    // " + 1,000 + "
+    // " + "assistant
+    // ", 1,016 bytes; the answer adds 117
+    // and the newline after it 1. Whole blocks of 64 bytes (16 tokens) are cached.
     assert_eq!(cached, (1_016 + answer.len() as u64 + 1) / 64 * 16);
     let page = get(at, "/cache-events?since=0");
     let kinds: Vec<&Value> = page["events"].as_array().expect("events").iter().collect();
@@ -151,7 +159,8 @@
         send(at, CHAT, &keys, &body).expect("an answer");
     }
     let page = get(at, "/cache-events?since=0");
-    // Events 0 stored 0a, 1 stored 0b (a gap), 2 evicted 0a, which lost half of its context.
+    // Event 0: 0a stored. 1: 0b stored (omitted, a gap). 2: 0a evicted, as half of its context is
+    // gone.
     let expected = json!([
         {"seq": 0, "kind": "stored", "key": "0a"},
         {"seq": 2, "kind": "evicted", "key": "0a"},
@@ -197,11 +206,11 @@
 #[test]
 fn verify_waiting_chat_cancelled_never_runs() {
     let (_runtime, _running, at) = start_engine(stalled_engine());
-    // Callers give up at once; what they asked for goes on, as with an engine.
+    // The callers time out soon; their chats continue, as with a real engine.
     for (waiting, id) in ["a1", "a2", "a3"].into_iter().enumerate() {
         let response =
             send_with_short_timeout(at, CHAT, &[("x-request-id", id)], &chat(false, &["abc"]));
-        assert!(response.is_err(), "{id} does not end");
+        assert!(response.is_err(), "{id} must not finish");
         let expected = (json!(1), json!(waiting));
         let load = poll_until(&expected, || {
             let report = get(at, "/load");
@@ -219,7 +228,7 @@
     assert_eq!(
         run_counts(at, "a3")["attempts"],
         1,
-        "the free slot is taken"
+        "it starts in the freed slot"
     );
     let resumed = send(at, "GET /v1/streams/a1?from=0", &[], "").expect("an answer");
     assert_eq!(resumed.status, 404);
--- a/crates/peppercrank-standin/tests/verify_faults.rs
+++ b/crates/peppercrank-standin/tests/verify_faults.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Each fault switch does what it says, at the engine and the plain service.
+//! Tests each fault at the engine and the plain service.
 
 mod support;
 
@@ -22,24 +22,24 @@
 use support::set_faults;
 use support::stream;
 
-/// What a caller sees.
+/// Outcome of a call for the caller.
 #[derive(Debug, PartialEq, Eq)]
 enum Outcome {
-    /// An answer of this status under this id.
+    /// A response with this status and this id.
     Answer(u16, &'static str),
-    /// A connection that ends before the answer does.
+    /// The connection closes before the response is complete.
     Broken,
-    /// Nothing.
+    /// No response within the timeout.
     Nothing,
 }
 
-/// The id of the call; its other, by the `wrong_id` switch.
+/// The id of the call, and the one that the `wrong_id` fault substitutes.
 const OWN: &str = "a1";
 const OTHER: &str = "01";
 
 fn outcome(at: SocketAddr, call: &str, body: &str, expected: &Outcome) -> Outcome {
     let headers = [("x-request-id", OWN)];
-    // Only where nothing is expected does the caller give up soon.
+    // The short timeout is used only if no response is expected.
     let result = match expected {
         Outcome::Nothing => send_with_short_timeout(at, call, &headers, body),
         Outcome::Answer(..) | Outcome::Broken => send(at, call, &headers, body),
@@ -53,7 +53,7 @@
     }
 }
 
-/// Switches, what the caller sees, how often the work ran.
+/// Returns faults, the outcome for the caller, and how often the work runs.
 fn cases() -> Vec<(Value, Outcome, u32)> {
     vec![
         (json!({}), Outcome::Answer(200, OWN), 1),
@@ -167,13 +167,13 @@
     let second = stream(at, call, &[("x-request-id", "a2")], &chat(true, &["xyz"]));
     assert_eq!(
         second, first,
-        "the second caller gets the first one's answer"
+        "the second caller gets the answer of the first"
     );
     assert_eq!(second.events[0]["id"], "a1");
     assert_eq!(
         run_counts(at, "a2")["attempts"],
         1,
-        "its own work ran all the same"
+        "its own work ran nevertheless"
     );
 }
 
@@ -194,7 +194,7 @@
             &[],
             &chat(true, &["abc"]),
         );
-        // The seventh is the last before the end's mark, which makes an eighth frame.
+        // The seventh event is the last; the end marker is an eighth frame.
         assert_eq!(
             (cut.events.len(), cut.complete),
             (events.min(7), events == 8),
@@ -205,7 +205,7 @@
 
 #[test]
 fn verify_stop_drains_and_kill_aborts() {
-    // A call that would never end by itself can only be cut.
+    // The second call takes an hour, so it can only be aborted.
     for (kill, work_ms) in [(false, 100), (true, 3_600_000)] {
         let runtime = support::runtime();
         let settings = ServiceSettings {
@@ -227,7 +227,7 @@
         assert_eq!(answer.is_err(), kill, "{answer:?}");
         assert!(
             send(at, "GET /healthz", &[], "").is_err(),
-            "it listens no more"
+            "it no longer listens"
         );
     }
 }
--- a/crates/peppercrank-standin/tests/verify_parts.rs
+++ b/crates/peppercrank-standin/tests/verify_parts.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The stand-ins' insides, with time passed in.
+//! Tests components of the stand-ins with a simulated time.
 
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// One slot, 1 ms a prompt token, 10 ms a generated one.
+/// Returns an engine with one slot that takes 1 ms per prompt token and 10 ms per generated one.
 fn engine() -> Engine {
     Engine::new(EngineSettings {
         slots: 1,
@@ -58,7 +58,10 @@
 #[test]
 fn verify_time_of_prefill_and_decoding() {
     let mut engine = engine();
-    // "u\n" + 112 + "\n" + "assistant\n" is 125 bytes: 32 tokens, of which none is cached.
+    // "u
+    // " + 112 + "
+    // " + "assistant
+    // " is 125 bytes: 32 tokens, none of them cached.
     let key = engine
         .submit(at(0), chat("a", 0, &"x".repeat(112)))
         .expect("a stream");
@@ -85,12 +88,16 @@
             "at {millis} ms"
         );
     }
-    // The first 16 tokens are one block, which the second chat finds; the rest is 16 tokens.
+    // The first 16 tokens are one block, which is cached; the other 16 are prefilled.
     engine
         .submit(at(1_000), chat("b", 0, &"x".repeat(112)))
         .expect("a stream");
     assert_eq!(engine.next_due(), Some(at(1_026)));
-    assert_eq!(progress(&engine, "a"), None, "kept for 500 ms");
+    assert_eq!(
+        progress(&engine, "a"),
+        None,
+        "the stream was retained for 500 ms only"
+    );
 }
 
 #[test]
@@ -113,7 +120,7 @@
     assert_eq!(
         order,
         ["a", "c", "b", "d"],
-        "a had its slot before the others came"
+        "a got the slot before the others arrived"
     );
 }
 
@@ -127,7 +134,7 @@
         engine.advance(at(millis));
         assert_eq!(engine.load(at(millis)).running, running, "at {millis} ms");
     }
-    assert_eq!(engine.load(at(172)).running, 0, "it ended at 72 ms");
+    assert_eq!(engine.load(at(172)).running, 0, "the stream ended at 72 ms");
     for (millis, events) in [(199, 0), (200, 1)] {
         let page = engine.cache_page(at(millis), 0);
         assert_eq!((page.events.len(), page.next), (events, events as u64));
@@ -159,7 +166,7 @@
             1
         );
     }
-    assert_eq!(runs.count("0").attempts, 0, "the oldest is forgotten");
+    assert_eq!(runs.count("0").attempts, 0, "the oldest id is discarded");
     assert_eq!(runs.count("1").attempts, 1);
 }
 
--- a/crates/peppercrank-standin/tests/verify_platform.rs
+++ b/crates/peppercrank-standin/tests/verify_platform.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The platform stand-in's contract, by a raw HTTP client.
+//! Tests the HTTP interface of the platform stand-in with a raw client.
 
 mod support;
 
@@ -36,7 +36,7 @@
         .json()
 }
 
-/// Returns once a watch has come in.
+/// Waits until the platform has received a watch.
 fn await_watch(at: SocketAddr) {
     let one = json!(1);
     let watches = poll_until(&one, || get(at, "/calls")["calls"]["watch"].clone());
@@ -204,7 +204,8 @@
         let deleted = send(at, &format!("DELETE {path}"), &[("if-match", version)], "");
         assert_eq!(deleted.expect("an answer").status, 200);
     }
-    // The tombstone of `a`, version 2, is gone: who saw only 1 must list anew.
+    // The tombstone of `a`, version 2, was pruned: a client that has only seen version 1 must list
+    // again.
     for (since, status) in [(1, 410), (2, 200), (4, 200), (5, 410)] {
         let response = send(at, &format!("GET /watch/pool?since={since}"), &[], "");
         assert_eq!(response.expect("an answer").status, status, "since {since}");
@@ -230,7 +231,8 @@
 
 #[test]
 fn verify_platform_faults() {
-    // Switches, the status that the writer sees (none: no answer), whether the write took effect.
+    // Faults, the status that the writer receives (`None`: no response), whether the write took
+    // effect.
     let cases = [
         (json!({"outage": true, "only": "put"}), Some(503), false),
         (json!({"throttle": true, "only": "put"}), Some(429), false),
@@ -277,6 +279,6 @@
     let response = send(at, "GET /objects/pool", &[], "").expect("an answer");
     assert_eq!(
         response.status, 200,
-        "reads have a limit of their own, here none"
+        "reads have their own limit, which is off here"
     );
 }
