--- a/crates/peppercrank-standin/src/engine/batch.rs
+++ b/crates/peppercrank-standin/src/engine/batch.rs
@@ -233,7 +233,7 @@
         self.submitted += 1;
         let attempt = &chat.ids.attempt;
         let request = chat.ids.request.as_deref().unwrap_or(attempt);
-        let output = chat
+        let output_tokens = chat
             .body
             .requested_tokens()
             .unwrap_or(self.settings.answer_tokens);
@@ -257,7 +257,7 @@
             ids: chat.ids,
             chat_key: chat.chat_key,
             prefix_key: chat.prefix_key,
-            output_tokens: output.clamp(
+            output_tokens: output_tokens.clamp(
                 MIN_ANSWER_TOKENS,
                 self.settings.longest.max(MIN_ANSWER_TOKENS),
             ),
@@ -280,8 +280,8 @@
     fn start_stream(&mut self, now: Instant, key: StreamKey) {
         let stream = &mut self.streams[key];
         self.runs.record_run(&stream.ids);
-        let hits = self.cache.cached_prefix(&stream.blocks);
-        stream.usage.cached = (hits * self.settings.block_tokens) as u64;
+        let cached_blocks = self.cache.cached_prefix(&stream.blocks);
+        stream.usage.cached = (cached_blocks * self.settings.block_tokens) as u64;
         let uncached = stream.usage.prompt - stream.usage.cached;
         let micros = uncached.saturating_mul(self.settings.prefill_us);
         stream.phase = Phase::Running;
@@ -339,11 +339,11 @@
         // A chat counts as evicted with its middle block, when the latter half is gone, and a
         // prefix with its first block, when all of it is gone.
         let middle = chain.get(chain.len() / 2);
-        let anchors = [
+        let key_blocks = [
             (&stream.chat_key, middle),
             (&stream.prefix_key, chain.first()),
         ];
-        for (name, block) in anchors {
+        for (name, block) in key_blocks {
             if let (Some(name), Some(block)) = (name, block)
                 && self.cache.contains(*block)
             {
--- a/crates/peppercrank-standin/src/engine/cache.rs
+++ b/crates/peppercrank-standin/src/engine/cache.rs
@@ -49,8 +49,8 @@
         // In reverse order, so that the tail of a text is older than its head and evicted first.
         for block in blocks.iter().rev() {
             self.last_use += 1;
-            if let Some(old) = self.use_by_block.insert(*block, self.last_use) {
-                self.block_by_use.remove(&old);
+            if let Some(old_use) = self.use_by_block.insert(*block, self.last_use) {
+                self.block_by_use.remove(&old_use);
             }
             self.block_by_use.insert(self.last_use, *block);
         }
--- a/crates/peppercrank-standin/src/engine/serve.rs
+++ b/crates/peppercrank-standin/src/engine/serve.rs
@@ -158,21 +158,21 @@
         model: &str,
     ) -> AnswerView {
         let id = |key| self.engine.get(key).map(|stream| stream.id.clone());
-        let own = id(key).unwrap_or_default();
+        let own_id = id(key).unwrap_or_default();
         let mut view = AnswerView {
             key,
-            header_id: own.clone(),
-            body_id: own.clone(),
+            header_id: own_id.clone(),
+            body_id: own_id.clone(),
             model: model.to_owned(),
         };
         match (plan.identity, previous.and_then(|k| Some((k, id(k)?)))) {
             (ResponseIdentity::Own, _) => {}
-            (ResponseIdentity::Crossed, Some((before, other))) => {
-                view.key = before;
-                view.body_id = other;
+            (ResponseIdentity::Crossed, Some((previous, previous_id))) => {
+                view.key = previous;
+                view.body_id = previous_id;
             }
             (ResponseIdentity::Crossed | ResponseIdentity::WrongId, _) => {
-                view.header_id = web::different_id(&own);
+                view.header_id = web::different_id(&own_id);
                 view.body_id = view.header_id.clone();
             }
         }
--- a/crates/peppercrank-standin/src/engine/tell.rs
+++ b/crates/peppercrank-standin/src/engine/tell.rs
@@ -47,7 +47,7 @@
     /// the first `from`.
     async fn next_update(&self, key: StreamKey, from: u32) -> Result<StreamUpdate> {
         loop {
-            let waker = {
+            let notified = {
                 let mut state = self.state();
                 let stream = state.engine.get(key).ok_or(Error::NotFound)?;
                 let ended = matches!(stream.phase, Phase::Done | Phase::Cancelled);
@@ -63,7 +63,7 @@
                 // Created while the lock is held, so that no notification is missed.
                 Arc::clone(state.waker(key)).notified_owned()
             };
-            waker.await;
+            notified.await;
         }
     }
 }
--- a/crates/peppercrank-standin/src/platform/serve.rs
+++ b/crates/peppercrank-standin/src/platform/serve.rs
@@ -166,7 +166,7 @@
 /// Handles the control endpoints, which are not part of the platform API.
 async fn respond_control(shared: &Shared, request: Request, parts: &[&str]) -> Reply {
     let method = request.head.method.clone();
-    let done = match (&method, parts) {
+    let result = match (&method, parts) {
         (&Method::PUT, ["vms"]) => set_vms(shared, request).await,
         (&Method::PUT, ["faults"]) => set_faults(shared, request).await,
         (&Method::GET, ["faults"]) => Ok(web::json_reply(&shared.state().faults)),
@@ -174,7 +174,7 @@
         (&Method::GET, ["healthz"]) => Ok(web::ok_reply()),
         _ => Err(Error::NotFound),
     };
-    done.unwrap_or_else(|e| web::error_reply(&e))
+    result.unwrap_or_else(|e| web::error_reply(&e))
 }
 
 async fn set_vms(shared: &Shared, request: Request) -> Result<Reply> {
--- a/crates/peppercrank-standin/src/platform/store.rs
+++ b/crates/peppercrank-standin/src/platform/store.rs
@@ -132,10 +132,10 @@
 
     fn check_condition(&self, kind: &str, name: &str, condition: Condition) -> Result<()> {
         let found = self.kinds.get(kind).and_then(|objects| objects.get(name));
-        let live = found.filter(|object| object.body.is_some());
+        let existing = found.filter(|object| object.body.is_some());
         let holds = match condition {
-            Condition::Absent => live.is_none(),
-            Condition::Version(version) => live.is_some_and(|object| object.version == version),
+            Condition::Absent => existing.is_none(),
+            Condition::Version(version) => existing.is_some_and(|object| object.version == version),
         };
         if holds {
             return Ok(());
--- a/crates/peppercrank-standin/src/service.rs
+++ b/crates/peppercrank-standin/src/service.rs
@@ -215,11 +215,11 @@
     previous: Option<Echo>,
     status: StatusCode,
 ) -> Reply {
-    let own = echo.attempt.clone();
+    let own_id = echo.attempt.clone();
     let (id, echo) = match identity {
-        ResponseIdentity::Own => (own, echo),
-        ResponseIdentity::Crossed => (own, previous.unwrap_or(echo)),
-        ResponseIdentity::WrongId => (web::different_id(&own), echo),
+        ResponseIdentity::Own => (own_id, echo),
+        ResponseIdentity::Crossed => (own_id, previous.unwrap_or(echo)),
+        ResponseIdentity::WrongId => (web::different_id(&own_id), echo),
     };
     let mut reply = web::json_reply_with_status(status, &echo);
     if let Ok(id) = HeaderValue::from_str(&id) {
--- a/crates/peppercrank-standin/tests/verify_client.rs
+++ b/crates/peppercrank-standin/tests/verify_client.rs
@@ -87,10 +87,10 @@
         (json!({"lose_answer": true}), Failure::Unknown),
         (json!({"cut_after": 3}), Failure::Unknown),
     ];
-    for (n, (switches, failure)) in cases.into_iter().enumerate() {
-        set_faults(running.addr, &switches);
+    for (n, (faults, failure)) in cases.into_iter().enumerate() {
+        set_faults(running.addr, &faults);
         let client = Platform::new(&access);
         let written = client.put("pool", &n.to_string(), Condition::New, &json!(1));
-        assert_eq!(written, Err(failure), "{switches}");
+        assert_eq!(written, Err(failure), "{faults}");
     }
 }
--- a/crates/peppercrank-standin/tests/verify_faults.rs
+++ b/crates/peppercrank-standin/tests/verify_faults.rs
@@ -84,7 +84,7 @@
 
 #[test]
 fn verify_engine_faults() {
-    for (switches, expected, ran) in cases() {
+    for (faults, expected, ran) in cases() {
         let runtime = support::runtime();
         let settings = EngineSettings {
             prefill_us: 0,
@@ -93,33 +93,33 @@
         };
         let running = runtime.block_on(engine::start(settings)).expect("a start");
         let at = running.addr;
-        set_faults(at, &switches);
+        set_faults(at, &faults);
         let actual = outcome(
             at,
             "POST /v1/chat/completions",
             &chat(false, &["abc"]),
             &expected,
         );
-        assert_eq!(actual, expected, "{switches}");
+        assert_eq!(actual, expected, "{faults}");
         let ran = json!(ran);
         let counted = poll_until(&ran, || run_counts(at, OWN)["attempts"].clone());
-        assert_eq!(counted, ran, "{switches}");
+        assert_eq!(counted, ran, "{faults}");
     }
 }
 
 #[test]
 fn verify_service_faults() {
-    for (switches, expected, ran) in cases() {
+    for (faults, expected, ran) in cases() {
         let runtime = support::runtime();
         let start = service::start(ServiceSettings::default());
         let running = runtime.block_on(start).expect("a start");
         let at = running.addr;
-        set_faults(at, &switches);
+        set_faults(at, &faults);
         let actual = outcome(at, "PATCH /any/path?x=1", "abc", &expected);
-        assert_eq!(actual, expected, "{switches}");
+        assert_eq!(actual, expected, "{faults}");
         let ran = json!(ran);
         let counted = poll_until(&ran, || run_counts(at, OWN)["attempts"].clone());
-        assert_eq!(counted, ran, "{switches}");
+        assert_eq!(counted, ran, "{faults}");
     }
 }
 
--- a/crates/peppercrank-standin/tests/verify_platform.rs
+++ b/crates/peppercrank-standin/tests/verify_platform.rs
@@ -243,21 +243,21 @@
         (json!({"cut_after": 3, "only": "put"}), None, true),
         (json!({"outage": true, "only": "get"}), Some(200), true),
     ];
-    for (switches, status, effect) in cases {
+    for (faults, status, effect) in cases {
         let (_runtime, _running, at) = start_platform(PlatformSettings::default());
-        set_faults(at, &switches);
-        let hangs = switches["lose_answer"] == true || switches["delay_ms"] == 60_000;
+        set_faults(at, &faults);
+        let hangs = faults["lose_answer"] == true || faults["delay_ms"] == 60_000;
         let put = if hangs { send_with_short_timeout } else { send };
         let response = put(at, "PUT /objects/pool/a", &NEW, "1").ok();
-        assert_eq!(response.as_ref().map(|s| s.status), status, "{switches}");
+        assert_eq!(response.as_ref().map(|s| s.status), status, "{faults}");
         let retry = response.and_then(|s| s.retry_after);
-        assert_eq!(retry.is_some(), status == Some(429), "{switches}");
+        assert_eq!(retry.is_some(), status == Some(429), "{faults}");
         set_faults(at, &json!({}));
         let stored = poll_until(&effect, || {
             let found = send(at, "GET /objects/pool/a", &[], "").expect("an answer");
             found.status == 200
         });
-        assert_eq!(stored, effect, "{switches}");
+        assert_eq!(stored, effect, "{faults}");
     }
 }
 
