--- a/crates/peppercrank-cli/tests/support/mod.rs
+++ b/crates/peppercrank-cli/tests/support/mod.rs
@@ -26,7 +26,7 @@
 /// The operators' token of the daemons of a test.
 pub const TOKEN: &str = "an-operators-token";
 
-/// How one run of the command ended.
+/// How one run of the command result.
 #[derive(Debug)]
 pub struct RunResult {
     pub exit: Exit,
@@ -99,9 +99,9 @@
     /// Runs the command, which must end with `exit`.
     #[track_caller]
     pub fn expect(&self, exit: Exit, line: &str) -> RunResult {
-        let ended = self.run(line);
-        assert_eq!(ended.exit, exit, "{line}: {ended:?}");
-        ended
+        let result = self.run(line);
+        assert_eq!(result.exit, exit, "{line}: {result:?}");
+        result
     }
 
     /// Sets the stand-in's faults.
@@ -157,10 +157,10 @@
 }
 
 /// The part of the settings that all daemons of a test share.
-pub fn fleet(bench: &TestPlatform, vm: &str) -> FleetSettings {
+pub fn fleet(platform: &TestPlatform, vm: &str) -> FleetSettings {
     let settings = json!({
         "vm": vm, "zone": "rae", "gossip": any_port(), "control": any_port(), "operators": any_port(),
-        "platform": { "url": format!("http://{}", bench.address) },
+        "platform": { "url": format!("http://{}", platform.address) },
         "keys": [{ "id": 1, "secret": "0f".repeat(16) }],
         "tokens": [TOKEN],
     });
--- a/crates/peppercrank-cli/tests/verify_daemons.rs
+++ b/crates/peppercrank-cli/tests/verify_daemons.rs
@@ -67,7 +67,7 @@
 
 /// A platform, an engine with its agent, and a router, on loopback.
 struct Fleet {
-    bench: TestPlatform,
+    platform: TestPlatform,
     operators: [SocketAddr; 2],
     agent: agent::Running,
     log: Lines,
@@ -79,14 +79,14 @@
 
 impl Fleet {
     fn new() -> Self {
-        let bench = TestPlatform::new();
+        let platform = TestPlatform::new();
         let pool = concat!(
             env!("CARGO_MANIFEST_DIR"),
             "/../../deploy/pardikivi/pool/galley-llm.jsonc"
         );
-        bench.expect(Exit::Done, &format!("publish pool galley-llm {pool}"));
-        bench.expect(Exit::Done, &format!("publish template t {}", template(1)));
-        bench.expect(Exit::Done, "set-organisation o template=t");
+        platform.expect(Exit::Done, &format!("publish pool galley-llm {pool}"));
+        platform.expect(Exit::Done, &format!("publish template t {}", template(1)));
+        platform.expect(Exit::Done, "set-organisation o template=t");
         let runtime = Runtime::new().expect("a runtime");
         let (stopper, signal) = stop::stop();
         let log = Lines::default();
@@ -98,10 +98,10 @@
                 "name": "e-1", "pool": "galley-llm", "kind": "engine", "address": engine.addr
             });
             let target = serde_json::from_value(target).expect("a target");
-            let settings = AgentSettings::new(fleet(&bench, "vm-1"), any_port(), target);
+            let settings = AgentSettings::new(fleet(&platform, "vm-1"), any_port(), target);
             let out = Log::to_writer(log.clone(), Level::Info, "vm-1");
             let agent = agent::start(settings, out, signal.clone()).await;
-            let settings = RouterSettings::new(fleet(&bench, "entry-1"), any_port());
+            let settings = RouterSettings::new(fleet(&platform, "entry-1"), any_port());
             let router = router::start(settings, Log::disabled(), signal).await;
             (engine, agent.expect("an agent"), router.expect("a router"))
         });
@@ -111,10 +111,10 @@
             vm("vm-1", agent.agent.fleet.gossip_address(), "agent"),
             vm("entry-1", router.router.fleet.gossip_address(), "router"),
         ];
-        let answer = ureq::put(format!("http://{}/vms", bench.address));
+        let answer = ureq::put(format!("http://{}/vms", platform.address));
         answer.send_json(json!({ "vms": vms })).expect("an answer");
         Self {
-            bench,
+            platform,
             operators: [agent.operators, router.operators],
             agent,
             log,
@@ -132,14 +132,14 @@
         for address in &addresses {
             words.extend(["--daemon", address]);
         }
-        run(&self.bench.environment, &words)
+        run(&self.platform.environment, &words)
     }
 
     #[track_caller]
     fn expect(&self, exit: Exit, line: &str) -> RunResult {
-        let ended = self.run(line, TOKEN);
-        assert_eq!(ended.exit, exit, "{line}: {ended:?}");
-        ended
+        let result = self.run(line, TOKEN);
+        assert_eq!(result.exit, exit, "{line}: {result:?}");
+        result
     }
 }
 
@@ -196,17 +196,17 @@
 }
 
 #[test]
-fn verify_real_daemons_refuse_another_token() {
+fn verify_real_daemons_reject_a_wrong_token() {
     let fleet = Fleet::new();
-    let ended = fleet.run("status", "some-other-token-");
-    assert_eq!(ended.exit, Exit::Failure, "{ended:?}");
-    let silent = &ended.json()["silent"];
+    let result = fleet.run("status", "some-other-token-");
+    assert_eq!(result.exit, Exit::Failure, "{result:?}");
+    let silent = &result.json()["silent"];
     assert_eq!(silent[0]["why"], json!({ "refused": 401 }));
     assert_eq!(silent[1]["why"], json!({ "refused": 401 }));
 }
 
 #[test]
-fn verify_a_message_that_is_not_authentic_is_logged() {
+fn verify_unauthentic_message_is_logged() {
     let fleet = Fleet::new();
     let to = fleet.agent.agent.fleet.gossip_address();
     let socket = UdpSocket::bind(any_port()).expect("a socket");
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn verify_drain_waits_for_what_runs_and_lets_nothing_new_in() {
+fn verify_drain_waits_for_running_requests_and_rejects_new_ones() {
     let fleet = Fleet::new();
     let digest = "2a8a1240f50636655520ac8ed22aa29473b8517b4abfdbc3bc03bcad73fc8849";
     fleet.expect(
--- a/crates/peppercrank-cli/tests/verify_deploy.rs
+++ b/crates/peppercrank-cli/tests/verify_deploy.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn verify_the_loopback_fleet_holds_together() {
+fn verify_loopback_fleet_is_consistent() {
     let objects = objects("loopback");
     let read = |place: &str| {
         let paths = files(&root().join("loopback").join(place));
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn verify_every_file_is_of_a_known_sort_and_sound() {
+fn verify_every_file_has_a_known_type_and_is_valid() {
     let mut seen = 0;
     for path in files(&root()) {
         let name = path.file_name().and_then(OsStr::to_str).expect("a name");
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn verify_deployments_hold_together() {
+fn verify_deployments_are_consistent() {
     for (deployment, zones) in ZONES {
         let objects = objects(deployment);
         let count = |kind| objects.keys().filter(|(k, _)| *k == kind).count();
@@ -303,8 +303,10 @@
 }
 
 /// What `publish-all` did, counted by its word.
-fn counts(bench: &TestPlatform, exit: Exit, line: &str) -> BTreeMap<String, usize> {
-    let json = bench.expect(exit, &format!("{line} --output json")).json();
+fn counts(platform: &TestPlatform, exit: Exit, line: &str) -> BTreeMap<String, usize> {
+    let json = platform
+        .expect(exit, &format!("{line} --output json"))
+        .json();
     let objects = json["objects"].as_array().expect("objects").clone();
     let mut counts = BTreeMap::new();
     for object in objects {
@@ -315,41 +317,41 @@
 }
 
 #[test]
-fn verify_a_deployment_is_published_whole_and_again() {
+fn verify_deployment_is_published_and_republished() {
     let of = |word: &str, count| BTreeMap::from([(word.to_owned(), count)]);
     for (deployment, _) in ZONES {
-        let bench = TestPlatform::new();
+        let platform = TestPlatform::new();
         let directory = root().join(deployment);
         let line = format!("publish-all {}", directory.display());
-        assert_eq!(counts(&bench, Exit::Done, &line), of("created", 15));
-        assert_eq!(counts(&bench, Exit::Done, &line), of("unchanged", 15));
-        assert_eq!(bench.calls()["writes"], 15);
+        assert_eq!(counts(&platform, Exit::Done, &line), of("created", 15));
+        assert_eq!(counts(&platform, Exit::Done, &line), of("unchanged", 15));
+        assert_eq!(platform.calls()["writes"], 15);
 
         // Somebody's later change is left alone unless it is meant to go.
         let name = match *deployment {
             "pardikivi" => "vaike-air",
             _ => "county-clerks",
         };
-        bench.expect(Exit::Done, &format!("set-organisation {name} weight=7"));
-        let mixed = counts(&bench, Exit::Differs, &line);
+        platform.expect(Exit::Done, &format!("set-organisation {name} weight=7"));
+        let mixed = counts(&platform, Exit::Differs, &line);
         assert_eq!(mixed["differs, left alone"], 1);
         assert_eq!(mixed["unchanged"], 14);
-        let own = bench.expect(
+        let own = platform.expect(
             Exit::Done,
             &format!("get-organisation {name} --output json"),
         );
         assert_eq!(own.json()["overrides"]["weight"], 7);
         assert_eq!(
-            counts(&bench, Exit::Done, &format!("{line} --revise"))["revised"],
+            counts(&platform, Exit::Done, &format!("{line} --revise"))["revised"],
             1
         );
-        assert_eq!(counts(&bench, Exit::Done, &line), of("unchanged", 15));
+        assert_eq!(counts(&platform, Exit::Done, &line), of("unchanged", 15));
     }
 }
 
 #[test]
-fn verify_one_faulty_file_holds_a_directory_back() {
-    let bench = TestPlatform::new();
+fn verify_one_invalid_file_blocks_the_directory() {
+    let platform = TestPlatform::new();
     let base =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-faulty", std::process::id()));
     for kind in ["pool", "template"] {
@@ -360,14 +362,14 @@
     let faulty = base.join("template/t.jsonc");
     fs::write(&faulty, r#"{ "parameters": { "weight": 0 } }"#).expect("a file");
     let line = format!("publish-all {}", base.display());
-    let ended = bench.expect(Exit::Invalid, &line);
+    let result = platform.expect(Exit::Invalid, &line);
     assert!(
-        ended.err.starts_with(faulty.to_str().expect("a path")),
-        "{ended:?}"
+        result.err.starts_with(faulty.to_str().expect("a path")),
+        "{result:?}"
     );
-    bench.expect(
+    platform.expect(
         Exit::Failure,
         &format!("publish-all {}", base.join("pool").display()),
     );
-    assert_eq!(bench.calls()["writes"], 0);
+    assert_eq!(platform.calls()["writes"], 0);
 }
--- a/crates/peppercrank-cli/tests/verify_fleet.rs
+++ b/crates/peppercrank-cli/tests/verify_fleet.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn verify_status_prefers_what_the_targets_own_agent_says() {
+fn verify_status_prefers_the_targets_own_agent() {
     let load = json!({ "cost": 700, "cap": 900, "running": 2, "waiting": 1 });
     let drain = json!({ "action": "shutdown", "drained": false });
     let own = json!([target("Leaving", &load, &drain)]);
@@ -78,9 +78,9 @@
     let router = daemon(status_of("entry-1", "router", "aaaa", &believed), 0);
     let agent = daemon(status_of("vm-1", "agent", "aaaa", &own), 0);
     for order in [[router, agent], [agent, router]] {
-        let ended = ask(&Environment::default(), &order, "status --output json");
-        assert_eq!(ended.exit, Exit::Done, "{ended:?}");
-        let json = ended.json();
+        let result = ask(&Environment::default(), &order, "status --output json");
+        assert_eq!(result.exit, Exit::Done, "{result:?}");
+        let json = result.json();
         assert_eq!(json["agreed"], true);
         assert_eq!(json["targets"].as_array().map(Vec::len), Some(1));
         assert_eq!(json["targets"][0]["state"], "Leaving");
@@ -104,52 +104,52 @@
 }
 
 #[test]
-fn verify_status_tells_who_differs_and_who_is_silent() {
+fn verify_status_reports_disagreeing_and_unreachable_daemons() {
     let one = daemon(status_of("entry-1", "router", "aaaa", &json!([])), 0);
     let two = daemon(status_of("entry-2", "router", "bbbb", &json!([])), 0);
     let garbled = http_server(|_| Response::text("hello"));
     let closed = http_server(|_| Response::text("").with_status_code(401));
     let gone = nobody();
-    let ended = ask(
+    let result = ask(
         &Environment::default(),
         &[one, two, garbled, closed, gone],
         "status",
     );
-    assert_eq!(ended.exit, Exit::Failure);
+    assert_eq!(result.exit, Exit::Failure);
     for told in [
         "configuration: 2 differ among 2 daemons".to_owned(),
         format!("{garbled} ({garbled}) returned a malformed page"),
         format!("{closed} ({closed}) refuses the operators' token"),
         format!("{gone} ({gone}) does not answer"),
     ] {
-        assert!(ended.out.contains(&told), "no {told} in {ended:?}");
+        assert!(result.out.contains(&told), "no {told} in {result:?}");
     }
 }
 
 #[test]
-fn verify_wait_ends_when_the_last_daemon_has_it() {
-    let bench = TestPlatform::new();
+fn verify_wait_ends_when_in_force_on_the_last_daemon() {
+    let platform = TestPlatform::new();
     let quick = daemon(Value::Null, 0);
     let slow = daemon(Value::Null, 2);
-    let ended = ask(
-        &bench.environment,
+    let result = ask(
+        &platform.environment,
         &[quick, slow],
         "mark e-1 --shutdown --wait --output json",
     );
-    assert_eq!(ended.exit, Exit::Done, "{ended:?}");
-    assert_eq!(ended.json()["daemons"], 2);
+    assert_eq!(result.exit, Exit::Done, "{result:?}");
+    assert_eq!(result.json()["daemons"], 2);
 }
 
 #[test]
-fn verify_wait_that_is_too_short_names_who_is_behind() {
-    let bench = TestPlatform::new();
+fn verify_wait_timeout_names_lagging_daemons() {
+    let platform = TestPlatform::new();
     let quick = daemon(Value::Null, 0);
     let never = daemon(Value::Null, u64::MAX);
     let gone = nobody();
     let line = "mark e-1 --shutdown --wait --within 500ms --output json";
-    let ended = ask(&bench.environment, &[quick, never, gone], line);
-    assert_eq!(ended.exit, Exit::NotInForce, "{ended:?}");
-    let error = ended.error();
+    let result = ask(&platform.environment, &[quick, never, gone], line);
+    assert_eq!(result.exit, Exit::NotInForce, "{result:?}");
+    let error = result.error();
     assert_eq!(error["done"], 1);
     let missing = json!([
         { "daemon": never.to_string(), "why": { "version": 0 } },
@@ -157,9 +157,9 @@
     ]);
     assert_eq!(error["missing"], missing);
     // The change itself stands.
-    bench.expect(Exit::Done, "get mark e-1");
+    platform.expect(Exit::Done, "get mark e-1");
 
-    let nobody = bench.expect(Exit::NotInForce, "unmark e-1 --wait");
+    let nobody = platform.expect(Exit::NotInForce, "unmark e-1 --wait");
     assert!(nobody.err.contains("no daemon is known"), "{nobody:?}");
 }
 
@@ -174,15 +174,15 @@
     let vm = |name: &str, leaving: bool| json!({ "name": name, "zone": "rae", "address": "127.0.0.1:1", "role": "router", "leaving": leaving });
     let vms = json!([vm("entry-1", false), vm("entry-2", true)]);
     let settings = serde_json::from_value(json!({ "vms": vms, "vms_lag_ms": 0 }));
-    let bench = TestPlatform::with(settings.expect("settings"));
+    let platform = TestPlatform::with(settings.expect("settings"));
     let line = format!("status --operators-port {}", page.port());
-    bench.expect(Exit::Done, &line);
+    platform.expect(Exit::Done, &line);
     assert_eq!(asked.load(Ordering::SeqCst), 1, "a leaving VM is not asked");
 }
 
 #[test]
 fn verify_mark_waits_until_the_target_is_drained() {
-    let bench = TestPlatform::new();
+    let platform = TestPlatform::new();
     let looks = AtomicU64::new(0);
     let agent = http_server(move |_| {
         let done = looks.fetch_add(1, Ordering::SeqCst) >= 2;
@@ -193,29 +193,29 @@
     });
     let router = daemon(status_of("entry-1", "router", "aaaa", &json!([])), 0);
     let both = [router, agent];
-    let ended = ask(
-        &bench.environment,
+    let result = ask(
+        &platform.environment,
         &both,
         "mark e-1 --shutdown --drained --output json",
     );
-    assert_eq!(ended.exit, Exit::Done, "{ended:?}");
-    assert_eq!(ended.json()["drained"], true);
+    assert_eq!(result.exit, Exit::Done, "{result:?}");
+    assert_eq!(result.json()["drained"], true);
 
     let line = "mark e-2 --shutdown --drained --drained-within 600ms";
-    let ended = ask(&bench.environment, &both, line);
-    assert_eq!(ended.exit, Exit::NotInForce, "{ended:?}");
-    assert!(ended.err.contains("check the name"), "{ended:?}");
+    let result = ask(&platform.environment, &both, line);
+    assert_eq!(result.exit, Exit::NotInForce, "{result:?}");
+    assert!(result.err.contains("check the name"), "{result:?}");
 }
 
 #[test]
-fn verify_mark_that_is_not_drained_in_time_says_what_runs() {
-    let bench = TestPlatform::new();
+fn verify_drain_timeout_reports_running_requests() {
+    let platform = TestPlatform::new();
     let load = json!({ "cost": 5, "cap": 9, "running": 3, "waiting": 0 });
     let drain = json!({ "action": "shutdown", "drained": false });
     let own = json!([target("Leaving", &load, &drain)]);
     let agent = daemon(status_of("vm-1", "agent", "aaaa", &own), 0);
     let line = "mark e-1 --shutdown --drained --drained-within 600ms";
-    let ended = ask(&bench.environment, &[agent], line);
-    assert_eq!(ended.exit, Exit::NotInForce, "{ended:?}");
-    assert!(ended.err.contains("3 requests still run"), "{ended:?}");
+    let result = ask(&platform.environment, &[agent], line);
+    assert_eq!(result.exit, Exit::NotInForce, "{result:?}");
+    assert!(result.err.contains("3 requests still run"), "{result:?}");
 }
--- a/crates/peppercrank-cli/tests/verify_local.rs
+++ b/crates/peppercrank-cli/tests/verify_local.rs
@@ -19,12 +19,12 @@
 use support::run;
 
 /// Hands on what is written when it is flushed, so that a verb that serves on can be read.
-struct Spy {
+struct FlushSink {
     text: Vec<u8>,
     out: Sender<String>,
 }
 
-impl Write for Spy {
+impl Write for FlushSink {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         self.text.extend(buf);
         Ok(buf.len())
@@ -41,11 +41,11 @@
     let (out, told) = mpsc::channel();
     thread::spawn(move || {
         let args = words.split(' ').map(OsString::from).collect();
-        let mut spy = Spy {
+        let mut sink = FlushSink {
             text: Vec::new(),
             out,
         };
-        peppercrank_cli::run(args, &Environment::default(), &mut spy, &mut io::sink())
+        peppercrank_cli::run(args, &Environment::default(), &mut sink, &mut io::sink())
     });
     told.recv_timeout(Duration::from_secs(60))
         .expect("a fleet that came together")
@@ -70,15 +70,15 @@
 }
 
 #[test]
-fn verify_other_verbs_reach_a_local_fleet_by_the_line_it_prints() {
+fn verify_printed_environment_reaches_a_local_fleet() {
     let words = "local --agents --port 0 --engines 2 --services 1 --run-time 600s";
     let environment = environment(&local(words));
     let verb = |line: &str| {
         let mut words = line.split(' ').collect::<Vec<_>>();
         words.extend(["--output", "json"]);
-        let ended = run(&environment, &words);
-        assert_eq!(ended.exit, Exit::Done, "{line}: {ended:?}");
-        ended.json()
+        let result = run(&environment, &words);
+        assert_eq!(result.exit, Exit::Done, "{line}: {result:?}");
+        result.json()
     };
     let status = verb("status");
     assert_eq!(
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn verify_a_local_fleet_sends_straight_to_targets_and_tells_where_it_is() {
+fn verify_local_fleet_without_agents_prints_its_addresses() {
     let text = local("local --port 0 --engines 2 --services 1 --run-time 600s");
     let of = |part: &str| text.lines().filter(|l| l.starts_with(part)).count();
     assert_eq!((of("router "), of("target "), of("store ")), (2, 3, 1));
@@ -103,15 +103,15 @@
 }
 
 #[test]
-fn verify_flags_of_the_other_fleet_are_refused() {
+fn verify_platform_port_requires_agents() {
     let environment = Environment::default();
-    let ended = run(&environment, &["local", "--platform-port", "1"]);
-    assert_eq!(ended.exit, Exit::Usage, "{ended:?}");
-    assert!(ended.err.contains("--agents"), "{ended:?}");
+    let result = run(&environment, &["local", "--platform-port", "1"]);
+    assert_eq!(result.exit, Exit::Usage, "{result:?}");
+    assert!(result.err.contains("--agents"), "{result:?}");
 }
 
 #[test]
-fn verify_daemons_of_the_environment_are_addresses() {
+fn verify_malformed_daemons_variable_is_rejected() {
     for text in [
         "10.0.0.1",
         "10.0.0.1:7002,",
@@ -123,8 +123,8 @@
             daemons: Some(text.to_owned()),
             ..Environment::default()
         };
-        let ended = run(&environment, &["status"]);
-        assert_eq!(ended.exit, Exit::Usage, "{text}: {ended:?}");
-        assert!(ended.err.contains("PEPPERCRANK_DAEMONS"), "{ended:?}");
+        let result = run(&environment, &["status"]);
+        assert_eq!(result.exit, Exit::Usage, "{text}: {result:?}");
+        assert!(result.err.contains("PEPPERCRANK_DAEMONS"), "{result:?}");
     }
 }
--- a/crates/peppercrank-cli/tests/verify_orders.rs
+++ b/crates/peppercrank-cli/tests/verify_orders.rs
@@ -38,7 +38,7 @@
 
 /// A platform, and engines that check fencing numbers, each with its agent.
 struct Fleet {
-    bench: TestPlatform,
+    platform: TestPlatform,
     engines: Vec<peppercrank_standin::Running>,
     agents: Vec<agent::Running>,
     keys: String,
@@ -48,11 +48,11 @@
 
 impl Fleet {
     fn new() -> Self {
-        let bench = TestPlatform::new();
-        Self::on(bench)
+        let platform = TestPlatform::new();
+        Self::on(platform)
     }
 
-    fn on(bench: TestPlatform) -> Self {
+    fn on(platform: TestPlatform) -> Self {
         let runtime = Runtime::new().expect("a runtime");
         let (stopper, signal) = stop::stop();
         let (mut engines, mut agents) = (Vec::new(), Vec::new());
@@ -67,7 +67,7 @@
                 "checks_orders": true,
             });
             let target = serde_json::from_value(target).expect("a target");
-            let settings = AgentSettings::new(fleet(&bench, name), any_port(), target);
+            let settings = AgentSettings::new(fleet(&platform, name), any_port(), target);
             let agent = agent::start(settings, Log::disabled(), signal.clone());
             agents.push(runtime.block_on(agent).expect("an agent"));
             engines.push(engine);
@@ -81,7 +81,7 @@
             ),
         );
         Self {
-            bench,
+            platform,
             engines,
             agents,
             keys,
@@ -107,14 +107,14 @@
         for at in &daemons {
             words.extend(["--daemon", at]);
         }
-        run(&self.bench.environment, &words)
+        run(&self.platform.environment, &words)
     }
 
     #[track_caller]
     fn order(&self, exit: Exit, line: &str) -> RunResult {
-        let ended = self.order_by(&self.keys, line);
-        assert_eq!(ended.exit, exit, "{line}: {ended:?}");
-        ended
+        let result = self.order_by(&self.keys, line);
+        assert_eq!(result.exit, exit, "{line}: {result:?}");
+        result
     }
 
     /// The orders that an engine obeyed, in turn.
@@ -134,21 +134,21 @@
 
     /// The pool's lease as the platform holds it.
     fn lease(&self) -> Value {
-        let at = self.bench.address;
+        let at = self.platform.address;
         let page = ureq::get(format!("http://{at}/objects/lease/galley-llm")).call();
         page.expect("a lease").body_mut().read_json().expect("JSON")
     }
 }
 
-fn outcomes(ended: &RunResult) -> Vec<String> {
-    let told = ended.json();
+fn outcomes(result: &RunResult) -> Vec<String> {
+    let told = result.json();
     let targets = told["targets"].as_array().expect("targets").clone();
     let words = targets.iter().filter_map(|t| t["outcome"].as_str());
     words.map(str::to_owned).collect()
 }
 
 #[test]
-fn verify_a_pool_obeys_and_the_lease_goes_back() {
+fn verify_pool_obeys_and_lease_is_released() {
     let fleet = Fleet::new();
     let first = fleet.order(Exit::Done, "galley-llm --load-model galley-plan");
     assert_eq!(outcomes(&first), ["obeyed", "obeyed"]);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn verify_an_order_sent_again_by_its_id_is_passed_once() {
+fn verify_repeated_order_id_is_forwarded_once() {
     let fleet = Fleet::new();
     fleet.engine_faults(r#"{"only": "orders", "times": 1, "drop_after": true}"#);
     let first = fleet.order(Exit::Unknown, "galley-llm --load-adapter a");
@@ -182,26 +182,26 @@
 }
 
 #[test]
-fn verify_an_engine_that_refuses_is_told() {
+fn verify_engine_refusal_is_reported() {
     let fleet = Fleet::new();
     let at = fleet.engines[0].addr;
     let newer = json!({ "fence": 1_000_000, "order": { "set_role": "decode" } });
     let posted = ureq::post(format!("http://{at}/orders")).send_json(newer);
     assert_eq!(posted.expect("an answer").status(), 200);
-    let ended = fleet.order(Exit::Failure, "galley-llm --set-role prefill");
-    assert_eq!(outcomes(&ended), ["refused", "obeyed"]);
+    let result = fleet.order(Exit::Failure, "galley-llm --set-role prefill");
+    assert_eq!(outcomes(&result), ["refused", "obeyed"]);
 }
 
 #[test]
-fn verify_other_keys_give_no_orders() {
+fn verify_orders_sealed_with_other_keys_are_rejected() {
     let fleet = Fleet::new();
     let keys = file(
         "other-keys.jsonc",
         &format!("[{{ \"id\": 1, \"secret\": \"{}\" }}]", "f0".repeat(16)),
     );
-    let ended = fleet.order_by(&keys, "galley-llm --set-role prefill");
-    assert_eq!(ended.exit, Exit::Failure, "{ended:?}");
-    assert_eq!(outcomes(&ended), ["unauthentic", "unauthentic"]);
+    let result = fleet.order_by(&keys, "galley-llm --set-role prefill");
+    assert_eq!(result.exit, Exit::Failure, "{result:?}");
+    assert_eq!(outcomes(&result), ["unauthentic", "unauthentic"]);
     assert!(fleet.obeyed(0).is_empty() && fleet.obeyed(1).is_empty());
 }
 
@@ -209,14 +209,14 @@
 fn verify_nothing_is_ordered_without_the_lease() {
     let fleet = Fleet::new();
     let line = "galley-llm --set-role prefill --within 1s";
-    fleet.bench.faults(r#"{"outage": true}"#);
+    fleet.platform.faults(r#"{"outage": true}"#);
     let away = fleet.order(Exit::Unavailable, line);
     assert_eq!(away.error()["error"], "unavailable");
-    fleet.bench.faults("{}");
+    fleet.platform.faults("{}");
     let lease = json!({
         "holder": "operator-1", "session": 1, "beat": 1, "duration_ms": 15_000, "released": false,
     });
-    let at = format!("http://{}/objects/lease/galley-llm", fleet.bench.address);
+    let at = format!("http://{}/objects/lease/galley-llm", fleet.platform.address);
     let put = ureq::put(at).header("if-none-match", "*").send_json(&lease);
     assert_eq!(put.expect("an answer").status(), 200);
     let held = fleet.order(Exit::Conflict, line);
@@ -228,19 +228,19 @@
 
 #[test]
 fn verify_an_agent_that_reads_the_lease_late_gets_a_renewed_number() {
-    let bench = TestPlatform::new();
-    bench.faults(r#"{"only": "get", "outage": true}"#);
-    let fleet = Fleet::on(bench);
-    let tries = || fleet.bench.calls()["calls"]["get"].as_u64().unwrap_or(0);
+    let platform = TestPlatform::new();
+    platform.faults(r#"{"only": "get", "outage": true}"#);
+    let fleet = Fleet::on(platform);
+    let tries = || fleet.platform.calls()["calls"]["get"].as_u64().unwrap_or(0);
     let end = StdInstant::now() + Duration::from_secs(60);
     // Both agents have failed to read the lease at their start, and read it again with the order.
     while tries() < 2 {
-        assert!(StdInstant::now() < end, "{}", fleet.bench.calls());
+        assert!(StdInstant::now() < end, "{}", fleet.platform.calls());
     }
-    fleet.bench.faults("{}");
-    let ended = fleet.order(Exit::Done, "galley-llm --set-role prefill");
-    assert_eq!(outcomes(&ended), ["obeyed", "obeyed"]);
-    let first = ended.json()["fence"].as_u64();
+    fleet.platform.faults("{}");
+    let result = fleet.order(Exit::Done, "galley-llm --set-role prefill");
+    assert_eq!(outcomes(&result), ["obeyed", "obeyed"]);
+    let first = result.json()["fence"].as_u64();
     for engine in [0, 1] {
         let obeyed = fleet.obeyed(engine);
         assert_eq!(obeyed.len(), 1, "{obeyed:?}");
@@ -259,18 +259,18 @@
     ] {
         fleet.order(exit, line);
     }
-    let ended = fleet.order_by("no-such-file", "galley-llm --set-role a");
-    assert_eq!(ended.exit, Exit::Failure, "{ended:?}");
+    let result = fleet.order_by("no-such-file", "galley-llm --set-role a");
+    assert_eq!(result.exit, Exit::Failure, "{result:?}");
     assert!(fleet.obeyed(0).is_empty() && fleet.obeyed(1).is_empty());
 }
 
 /// A holder of the lease of a pool, on a clock that the test moves.
 fn holder<'a>(
-    bench: &TestPlatform,
+    platform: &TestPlatform,
     session: u64,
     clock: &'a Cell<u64>,
 ) -> Holder<impl Fn() -> Instant + use<'a>> {
-    let platform = Platform::new(&Access::new(bench.address));
+    let platform = Platform::new(&Access::new(platform.address));
     let pool = PoolName::new("galley-llm").expect("a name");
     let vm = VmName::new(&format!("operator-{session}")).expect("a name");
     let now = || Instant::from_millis(clock.get());
@@ -279,9 +279,9 @@
 
 #[test]
 fn verify_a_holder_paused_past_its_lease_does_not_act() {
-    let bench = TestPlatform::new();
+    let platform = TestPlatform::new();
     let (clock, other_clock) = (Cell::new(0), Cell::new(0));
-    let mut holder = holder(&bench, 1, &clock);
+    let mut holder = holder(&platform, 1, &clock);
     // The clocks stand still unless the test moves them, so nothing may wait.
     let end = Instant::ZERO;
     let first = holder.acquire(end).expect("the lease");
@@ -298,7 +298,7 @@
         "not a moment longer, whatever was not yet noticed"
     );
     // Another takes over by its own clock, 16 s after it saw the lease.
-    let mut other = self::holder(&bench, 2, &other_clock);
+    let mut other = self::holder(&platform, 2, &other_clock);
     assert_eq!(other.acquire(end), None);
     assert_eq!(other.other_holder().map(VmName::as_str), Some("operator-1"));
     let mut second = None;
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn verify_fates_and_their_exit_codes() {
+fn verify_order_outcomes_and_exit_codes() {
     let told = |text: &str| OrderOutcome::from_reply(Ok(text.to_owned()));
     let cases = [
         (told(r#"{"Passed":"Obeyed"}"#), OrderOutcome::Obeyed, 0),
--- a/crates/peppercrank-cli/tests/verify_pages.rs
+++ b/crates/peppercrank-cli/tests/verify_pages.rs
@@ -94,7 +94,7 @@
 
 /// A stand-in and one daemon's pages, on which all is in force at once.
 struct Fleet {
-    bench: TestPlatform,
+    platform: TestPlatform,
     port: String,
     _stopper: Stopper,
     _runtime: Runtime,
@@ -140,7 +140,7 @@
         let vm = json!({ "name": "entry-1", "zone": "rae", "address": "127.0.0.1:7000", "role": "router" });
         let settings = serde_json::from_value(json!({ "vms": [vm], "vms_lag_ms": 0 }));
         Self {
-            bench: TestPlatform::with(settings.expect("settings")),
+            platform: TestPlatform::with(settings.expect("settings")),
             port: address.port().to_string(),
             _stopper: stopper,
             _runtime: runtime,
@@ -169,18 +169,18 @@
         }
         let mut words = words.iter().map(String::as_str).collect::<Vec<_>>();
         words.extend(["--operators-port", &self.port]);
-        let ended = run(&self.bench.environment, &words);
-        assert_eq!(ended.exit.code(), exit, "{line}: {ended:?}");
+        let result = run(&self.platform.environment, &words);
+        assert_eq!(result.exit.code(), exit, "{line}: {result:?}");
         if let Some(file) = into {
-            fs::write(file, ended.out).expect("a file");
+            fs::write(file, result.out).expect("a file");
         }
     }
 }
 
 fn check_settings(words: &[String]) {
     let words = ["check-settings", &words[1], "--daemon-kind", &words[0]];
-    let ended = run(&Environment::default(), &words);
-    assert_eq!(ended.exit, Exit::Done, "{ended:?}");
+    let result = run(&Environment::default(), &words);
+    assert_eq!(result.exit, Exit::Done, "{result:?}");
 }
 
 #[test]
--- a/crates/peppercrank-cli/tests/verify_standin.rs
+++ b/crates/peppercrank-cli/tests/verify_standin.rs
@@ -20,7 +20,7 @@
 use support::run;
 
 #[test]
-fn verify_each_stand_in_serves_until_it_is_told_to_stop() {
+fn verify_each_stand_in_serves_until_sigterm() {
     for kind in ["engine", "service", "platform"] {
         let path = file(
             &format!("{kind}.jsonc"),
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn verify_faulty_stand_in_settings_are_refused() {
+fn verify_invalid_stand_in_settings_are_rejected() {
     let environment = Environment::default();
     let cases = [
         ("engine", "{ \"slots\": \"many\" }", Exit::Invalid),
@@ -63,7 +63,7 @@
     ];
     for (kind, text, exit) in cases {
         let path = file(&format!("faulty-{kind}.jsonc"), text);
-        let ended = run(&environment, &["standin", kind, &path]);
-        assert_eq!(ended.exit, exit, "{ended:?}");
+        let result = run(&environment, &["standin", kind, &path]);
+        assert_eq!(result.exit, exit, "{result:?}");
     }
 }
--- a/crates/peppercrank-cli/tests/verify_usage.rs
+++ b/crates/peppercrank-cli/tests/verify_usage.rs
@@ -37,21 +37,21 @@
 ];
 
 #[test]
-fn verify_every_verb_has_its_own_help() {
+fn verify_every_subcommand_has_its_own_help() {
     let environment = Environment::default();
     let whole = run(&environment, &["--help"]);
     assert_eq!(whole.exit, Exit::Done);
     for (verb, word) in VERBS {
-        let ended = run(&environment, &[verb, "--help"]);
-        assert_eq!(ended.exit, Exit::Done, "{ended:?}");
+        let result = run(&environment, &[verb, "--help"]);
+        assert_eq!(result.exit, Exit::Done, "{result:?}");
         assert!(
-            ended.out.starts_with(&format!("peppercrank {verb}\n")),
-            "{ended:?}"
+            result.out.starts_with(&format!("peppercrank {verb}\n")),
+            "{result:?}"
         );
-        assert!(ended.out.contains(word), "{ended:?}");
-        assert!(ended.out.contains("--platform"), "{ended:?}");
-        let heads = ended.out.matches("peppercrank ").count();
-        assert_eq!(heads, 1, "another verb's help: {ended:?}");
+        assert!(result.out.contains(word), "{result:?}");
+        assert!(result.out.contains("--platform"), "{result:?}");
+        let heads = result.out.matches("peppercrank ").count();
+        assert_eq!(heads, 1, "another verb's help: {result:?}");
         assert!(
             whole.out.contains(&format!("\npeppercrank {verb}\n")),
             "{verb}"
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn verify_every_verb_has_its_row() {
+fn verify_every_subcommand_is_documented() {
     let page = include_str!("../../../docs/operators/command-line.md");
     for (verb, _) in VERBS {
         let row = |l: &&str| {
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn verify_misuse_is_told_before_anything_is_done() {
+fn verify_usage_errors_are_reported_first() {
     let environment = Environment {
         platform: Some("platform:80".to_owned()),
         ..Environment::default()
@@ -101,15 +101,15 @@
         (&["unmark", "t", "--publish-id", "abc"], "hexadecimal"),
     ];
     for (words, told) in cases {
-        let ended = run(&environment, words);
-        assert_eq!(ended.exit, Exit::Usage, "{ended:?}");
-        assert!(ended.err.contains(told), "{words:?}: {ended:?}");
-        assert_eq!(ended.out, "");
+        let result = run(&environment, words);
+        assert_eq!(result.exit, Exit::Usage, "{result:?}");
+        assert!(result.err.contains(told), "{words:?}: {result:?}");
+        assert_eq!(result.out, "");
     }
 }
 
 #[test]
-fn verify_exit_codes_are_the_documented_ones() {
+fn verify_exit_codes_match_the_documentation() {
     let page = include_str!("../../../docs/operators/command-line.md");
     for exit in Exit::ALL {
         let row = format!("| {} | `{}` |", exit.code(), exit.name());
@@ -122,31 +122,31 @@
 }
 
 #[test]
-fn verify_platform_that_refuses_is_no_outage() {
+fn verify_platform_refusal_is_not_an_outage() {
     for status in [400, 401, 403] {
         let address = http_server(move |_| rouille::Response::text("no").with_status_code(status));
         let environment = Environment {
             platform: Some(format!("http://{address}")),
             ..Environment::default()
         };
-        let ended = run(&environment, &["get", "template", "t"]);
-        assert_eq!(ended.exit, Exit::Failure, "{ended:?}");
-        assert!(ended.err.contains(&status.to_string()), "{ended:?}");
-        let ended = run(&environment, &["mark", "t", "--shutdown"]);
-        assert_eq!(ended.exit, Exit::Failure, "{ended:?}");
+        let result = run(&environment, &["get", "template", "t"]);
+        assert_eq!(result.exit, Exit::Failure, "{result:?}");
+        assert!(result.err.contains(&status.to_string()), "{result:?}");
+        let result = run(&environment, &["mark", "t", "--shutdown"]);
+        assert_eq!(result.exit, Exit::Failure, "{result:?}");
     }
 }
 
 #[test]
-fn verify_settings_faults_name_file_line_and_column() {
+fn verify_settings_errors_name_file_line_and_column() {
     let environment = Environment::default();
     let router = include_str!("../../../deploy/examples/router.jsonc");
     let agent = include_str!("../../../deploy/examples/agent-engine.jsonc");
     for (name, text) in [("router", router), ("agent", agent)] {
         let path = file(&format!("sound-{name}.jsonc"), text);
-        let ended = run(&environment, &["check-settings", &path, "--output", "json"]);
-        assert_eq!(ended.exit, Exit::Done, "{ended:?}");
-        assert_eq!(ended.json()["daemon"], name);
+        let result = run(&environment, &["check-settings", &path, "--output", "json"]);
+        assert_eq!(result.exit, Exit::Done, "{result:?}");
+        assert_eq!(result.json()["daemon"], name);
     }
     let cases = [
         (
@@ -182,13 +182,13 @@
     ];
     for (at, (text, sound, faulty, reason)) in cases.iter().enumerate() {
         let path = file(&format!("fault-{at}.jsonc"), &text.replace(sound, faulty));
-        let ended = run(&environment, &["check-settings", &path, "--output", "json"]);
-        assert_eq!(ended.exit, Exit::Invalid, "{ended:?}");
-        let error = ended.error();
+        let result = run(&environment, &["check-settings", &path, "--output", "json"]);
+        assert_eq!(result.exit, Exit::Invalid, "{result:?}");
+        let error = result.error();
         let message = error["message"].as_str().expect("a message");
         assert!(
             message.starts_with(&path) && message.contains(reason),
-            "{ended:?}"
+            "{result:?}"
         );
         let before = text.split(sound).next().expect("a place");
         let line = before.matches('\n').count() + 1;
@@ -196,7 +196,7 @@
         assert_eq!(
             [&error["line"], &error["column"]],
             [line, column],
-            "{ended:?}"
+            "{result:?}"
         );
     }
     let missing = run(&environment, &["check-settings", "/no/such/file"]);
--- a/crates/peppercrank-cli/tests/verify_verbs.rs
+++ b/crates/peppercrank-cli/tests/verify_verbs.rs
@@ -12,56 +12,56 @@
 use support::template;
 
 #[test]
-fn verify_object_goes_through_its_life() {
-    let bench = TestPlatform::new();
+fn verify_object_lifecycle() {
+    let platform = TestPlatform::new();
     let [one, two] = [1, 2].map(template);
-    let done = bench.expect(
+    let done = platform.expect(
         Exit::Done,
         &format!("publish template t {one} --output json"),
     );
     assert_eq!(done.json()["version"], 1);
     assert_eq!(done.json()["how"], "written");
 
-    let got = bench.expect(Exit::Done, "get template t");
+    let got = platform.expect(Exit::Done, "get template t");
     assert!(
         got.out.starts_with("// template `t`, version 1\n{"),
         "{got:?}"
     );
     // What `get` prints is a file that `diff` and `revise` take.
     let kept = file("kept.jsonc", &got.out);
-    bench.expect(Exit::Done, &format!("diff template t {kept}"));
-    let same = bench.expect(
+    platform.expect(Exit::Done, &format!("diff template t {kept}"));
+    let same = platform.expect(
         Exit::Done,
         &format!("revise template t {kept} --output json"),
     );
     assert_eq!(same.json()["how"], "unchanged");
     assert_eq!(same.json()["version"], 1);
 
-    let differs = bench.expect(
+    let differs = platform.expect(
         Exit::Differs,
         &format!("diff template t {two} --output json"),
     );
     let weight = json!([{ "path": "parameters.weight", "ours": 2, "theirs": 1 }]);
     assert_eq!(differs.json()["differences"], weight);
-    let revised = bench.expect(Exit::Done, &format!("revise template t {two}"));
+    let revised = platform.expect(Exit::Done, &format!("revise template t {two}"));
     assert!(revised.out.contains("it replaces version 1"), "{revised:?}");
     assert!(
         revised.out.contains("parameters.weight: 1 -> 2"),
         "{revised:?}"
     );
 
-    let list = bench
+    let list = platform
         .expect(Exit::Done, "list template --output json")
         .json();
     assert_eq!(list["objects"][0]["name"], "t");
     assert_eq!(list["objects"][0]["version"], 2);
-    bench.expect(Exit::Done, "delete template t");
-    bench.expect(Exit::NotFound, "get template t");
-    let list = bench
+    platform.expect(Exit::Done, "delete template t");
+    platform.expect(Exit::NotFound, "get template t");
+    let list = platform
         .expect(Exit::Done, "list template --output json")
         .json();
     assert_eq!(list["objects"], json!([]));
-    let again = bench.expect(
+    let again = platform.expect(
         Exit::Done,
         &format!("publish template t {one} --output json"),
     );
@@ -69,8 +69,8 @@
 }
 
 #[test]
-fn verify_what_is_not_there_is_not_found() {
-    let bench = TestPlatform::new();
+fn verify_missing_objects_are_not_found() {
+    let platform = TestPlatform::new();
     let one = template(1);
     let lines = [
         "get pool p",
@@ -81,43 +81,43 @@
         &format!("diff template t {one}"),
     ];
     for line in lines {
-        bench.expect(Exit::NotFound, line);
+        platform.expect(Exit::NotFound, line);
     }
-    assert_eq!(bench.calls()["writes"], 0);
+    assert_eq!(platform.calls()["writes"], 0);
 }
 
 #[test]
-fn verify_faulty_file_is_not_sent() {
-    let bench = TestPlatform::new();
+fn verify_invalid_file_is_not_sent() {
+    let platform = TestPlatform::new();
     let broken = file("broken.jsonc", "{\n  \"parameters\": {,}\n}");
     let heavy = template(1001);
     for verb in ["publish", "validate"] {
-        let ended = bench.expect(
+        let result = platform.expect(
             Exit::Invalid,
             &format!("{verb} template t {broken} --output json"),
         );
-        assert_eq!(ended.error()["line"], 2);
-        assert_eq!(ended.error()["column"], 18);
-        let ended = bench.expect(
+        assert_eq!(result.error()["line"], 2);
+        assert_eq!(result.error()["column"], 18);
+        let result = platform.expect(
             Exit::Invalid,
             &format!("{verb} template t {heavy} --output json"),
         );
-        assert_eq!(ended.error()["path"], "spec.parameters.weight");
-        bench.expect(Exit::Failure, &format!("{verb} template t /no/such/file"));
+        assert_eq!(result.error()["path"], "spec.parameters.weight");
+        platform.expect(Exit::Failure, &format!("{verb} template t /no/such/file"));
     }
-    assert_eq!(bench.calls()["calls"], json!({}));
+    assert_eq!(platform.calls()["calls"], json!({}));
 }
 
 #[test]
-fn verify_organisation_parameters_stand_over_the_template() {
-    let bench = TestPlatform::new();
-    bench.expect(Exit::Done, &format!("publish template t {}", template(1)));
-    bench.expect(Exit::Usage, "set-organisation o weight=3");
-    bench.expect(
+fn verify_organisation_parameters_override_the_template() {
+    let platform = TestPlatform::new();
+    platform.expect(Exit::Done, &format!("publish template t {}", template(1)));
+    platform.expect(Exit::Usage, "set-organisation o weight=3");
+    platform.expect(
         Exit::Done,
         "set-organisation o template=t weight=3 models=a,b",
     );
-    let got = bench
+    let got = platform
         .expect(Exit::Done, "get-organisation o --output json")
         .json();
     assert_eq!(got["parameters"]["weight"], 3);
@@ -128,8 +128,8 @@
         json!({ "weight": 3, "models": ["a", "b"] })
     );
 
-    bench.expect(Exit::Done, "set-organisation o weight= models=*");
-    let got = bench
+    platform.expect(Exit::Done, "set-organisation o weight= models=*");
+    let got = platform
         .expect(Exit::Done, "get-organisation o --output json")
         .json();
     assert_eq!(got["overrides"], json!({ "models": [] }));
@@ -143,50 +143,50 @@
         "weight",
     ];
     for fault in faults {
-        bench.expect(Exit::Usage, &format!("set-organisation o {fault}"));
+        platform.expect(Exit::Usage, &format!("set-organisation o {fault}"));
     }
-    bench.expect(Exit::Invalid, "set-organisation o weight=0");
-    bench.expect(Exit::Invalid, "set-organisation o keys=abc");
-    bench.expect(Exit::Usage, "set-organisation o");
+    platform.expect(Exit::Invalid, "set-organisation o weight=0");
+    platform.expect(Exit::Invalid, "set-organisation o keys=abc");
+    platform.expect(Exit::Usage, "set-organisation o");
 }
 
 #[test]
-fn verify_marks_are_set_changed_and_taken_back() {
-    let bench = TestPlatform::new();
-    bench.expect(Exit::Done, "mark e-1 --shutdown");
-    let got = bench
+fn verify_marks_are_set_changed_and_removed() {
+    let platform = TestPlatform::new();
+    platform.expect(Exit::Done, "mark e-1 --shutdown");
+    let got = platform
         .expect(Exit::Done, "get mark e-1 --output json")
         .json();
     assert_eq!(got["spec"]["action"], "shutdown");
-    let same = bench
+    let same = platform
         .expect(Exit::Done, "mark e-1 --shutdown --output json")
         .json();
     assert_eq!(same["how"], "unchanged");
-    bench.expect(Exit::Done, "mark e-1 --remove --grace 30s");
-    let got = bench
+    platform.expect(Exit::Done, "mark e-1 --remove --grace 30s");
+    let got = platform
         .expect(Exit::Done, "get mark e-1 --output json")
         .json();
     assert_eq!(
         got["spec"],
         json!({ "target": "e-1", "action": "remove", "grace_ms": 30_000 })
     );
-    bench.expect(Exit::Done, "unmark e-1");
-    bench.expect(Exit::NotFound, "unmark e-1");
+    platform.expect(Exit::Done, "unmark e-1");
+    platform.expect(Exit::NotFound, "unmark e-1");
 
     for line in [
         "mark e-1",
         "mark e-1 --remove --shutdown",
         "mark e-1 --shutdown --grace 1s",
     ] {
-        bench.expect(Exit::Usage, line);
+        platform.expect(Exit::Usage, line);
     }
 }
 
 #[test]
 fn verify_objects_are_checked_together() {
-    let bench = TestPlatform::new();
-    bench.expect(Exit::Done, "set-organisation o template=gone");
-    let told = bench
+    let platform = TestPlatform::new();
+    platform.expect(Exit::Done, "set-organisation o template=gone");
+    let told = platform
         .expect(Exit::Done, "check-objects --output json")
         .json();
     assert_eq!(told["objects"], 1);
@@ -194,19 +194,19 @@
         told["warnings"],
         json!(["organisation `o`: no template `gone`"])
     );
-    bench.expect(
+    platform.expect(
         Exit::Done,
         &format!("publish template gone {}", template(1)),
     );
-    let told = bench.expect(Exit::Done, "check-objects").out;
+    let told = platform.expect(Exit::Done, "check-objects").out;
     assert!(told.contains("2 objects, all valid"), "{told}");
 
     // An object that was written past our tools.
-    let path = format!("http://{}/objects/pool/p", bench.address);
+    let path = format!("http://{}/objects/pool/p", platform.address);
     let body = r#"{ "spec": { "serves": { "models": [] } } }"#;
     let answer = ureq::put(path).header("if-none-match", "*").send(body);
     assert!(answer.expect("an answer").status().is_success());
-    let told = bench.expect(Exit::Invalid, "check-objects").out;
+    let told = platform.expect(Exit::Invalid, "check-objects").out;
     assert!(
         told.contains("invalid: pool `p`, version 3: pool: `spec"),
         "{told}"
