--- a/crates/peppercrank-direct/src/attribution.rs
+++ b/crates/peppercrank-direct/src/attribution.rs
@@ -22,9 +22,9 @@
 /// How a request ended for which targets had answered with failures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// Another target served it.
+    /// Another target served the request.
     Served,
-    /// No target served it.
+    /// No target served the request.
     Failed,
 }
 
--- a/crates/peppercrank-direct/src/catch_up.rs
+++ b/crates/peppercrank-direct/src/catch_up.rs
@@ -29,7 +29,7 @@
 pub enum Proof {
     /// It was the newest when the query was sent.
     Newest,
-    /// There may be newer versions.
+    /// The answer does not exclude that the store has newer versions.
     Nothing,
 }
 
--- a/crates/peppercrank-direct/src/freshness.rs
+++ b/crates/peppercrank-direct/src/freshness.rs
@@ -25,12 +25,12 @@
 /// already rely on.
 pub const DENIAL_MAX_AGE: Duration = Duration::from_secs(4);
 
-/// `Source` is who confirmed the known keys.
+/// `Source` is who confirmed last that the known keys are current.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
     /// The store, by its own answer.
     Store,
-    /// Another router.
+    /// Another router, by the age of its own copy.
     Router,
 }
 
--- a/crates/peppercrank-direct/src/peers.rs
+++ b/crates/peppercrank-direct/src/peers.rs
@@ -81,10 +81,11 @@
     pub prefix_hash: u64,
 }
 
-/// Hints per datagram, so that they and the work of a large fleet's pool fit.
+/// Maximum number of hints per datagram, which leaves room for the work on a large fleet's targets.
 const MAX_HINTS_PER_DATAGRAM: usize = 40;
 
-/// Hints that wait to be sent; with more, they would be stale before they were sent.
+/// Maximum number of queued hints. In a longer queue hints would be outdated before they were sent,
+/// so the oldest are dropped.
 const MAX_QUEUED_HINTS: usize = 2_000;
 
 /// Queue of hints that have not been sent to all peers yet.
--- a/crates/peppercrank-direct/src/place.rs
+++ b/crates/peppercrank-direct/src/place.rs
@@ -263,8 +263,8 @@
 enum PrefixSource {
     /// This target is known to hold all of it.
     Known(TargetKey),
-    /// No target is known to hold all of it, so the home is assumed to hold it. The home may copy it
-    /// from the previous home.
+    /// No target is known to hold all of it, so the home is assumed to hold it, or to copy it from
+    /// the previous home.
     Home {
         /// The target that was the home before; `None` if the home has not changed.
         previous: Option<TargetKey>,
--- a/crates/peppercrank-direct/src/reports.rs
+++ b/crates/peppercrank-direct/src/reports.rs
@@ -19,8 +19,8 @@
 use crate::peers::TargetId;
 use crate::stats::Stats;
 
-/// Reports per datagram. The busiest targets come first: the load cap needs to know these, and a
-/// short datagram can be sent often.
+/// Maximum number of reports per datagram. A short datagram can be sent often, and the busiest
+/// targets, whose loads the load cap depends on most, come first.
 const MAX_REPORTS_PER_DATAGRAM: usize = 20;
 
 /// Longest datagram of reports, in bytes: for each report four of the target's id, at most three of
--- a/crates/peppercrank-direct/src/warm_up.rs
+++ b/crates/peppercrank-direct/src/warm_up.rs
@@ -20,7 +20,7 @@
 //! | it registered after the first list | the pool's warm-up time after that |
 //! | its availability zone was restored after an evacuation | the pool's warm-up time after that |
 //! | a connection to it was refused or timed out | the pool's warm-up time after the last one |
-//! | the store has not answered for a while, so restarts may have been missed | the store answers again |
+//! | the store has not answered for a while, so restarts may be unknown | the store answers |
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/crates/peppercrank-gateway/src/admin.rs
+++ b/crates/peppercrank-gateway/src/admin.rs
@@ -19,12 +19,12 @@
 
 use crate::gateway::Gateway;
 
-/// Share of the bound on key age after which a router reports itself not ready: other routers may
-/// still reach the store.
+/// Share of the maximum key age after which a router reports that it is not ready, so that callers
+/// go to routers that may still reach the store.
 const READY_SHARE: f64 = 0.5;
 
-/// Maximum time without the store while ready. Even if other routers confirm what is known about
-/// keys, this router does not learn of targets that join and leave.
+/// Time without the store after which a router reports that it is not ready. Even if other routers
+/// confirm that its keys are current, it does not learn of targets that join and leave.
 const MAX_STORE_OUTAGE: Duration = Duration::from_millis(1_500);
 
 /// Returns whether the router should get new callers.
@@ -47,7 +47,7 @@
     keys_fresh && in_touch && listed && !gateway.stop_signal.is_stopping()
 }
 
-/// Answers a health check.
+/// Answers the load balancer's health check, and logs when the router's readiness changes.
 #[must_use]
 pub fn ready(gateway: &Gateway, call: &Call) -> Reply {
     let mut reply = Reply::new(body::empty());
--- a/crates/peppercrank-gateway/src/choose.rs
+++ b/crates/peppercrank-gateway/src/choose.rs
@@ -194,7 +194,7 @@
     now: Instant,
     job: &'a Job,
     settings: &'a GatewaySettings,
-    /// Time since peers last reported their load.
+    /// Mean age of the loads that peers reported.
     peer_lag: Duration,
     /// Learnt time for which a request occupies a slot, in milliseconds.
     slot_hold_ms: f64,
--- a/crates/peppercrank-gateway/src/confirm.rs
+++ b/crates/peppercrank-gateway/src/confirm.rs
@@ -22,8 +22,8 @@
 use crate::gateway::Gateway;
 use crate::gossip;
 
-/// Time for another router's answer: a few round trips between availability zones, plus the delay
-/// of a busy router. The store is asked after that.
+/// Time for another router's answer, after which the store is asked instead: a few round trips
+/// between availability zones, plus the delay of a busy router.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(120);
 
 /// Confirms the configuration and keys with other routers.
@@ -36,7 +36,7 @@
 }
 
 impl Confirmer {
-    /// Creates a confirmer that sends its questions over this socket.
+    /// Creates a confirmer that sends its requests over this socket.
     #[must_use]
     pub fn new(gateway: &Arc<Gateway>, socket: &Arc<UdpSocket>) -> Self {
         Self {
@@ -96,7 +96,7 @@
     }
 }
 
-/// Answers another router's question; `None` if no configuration is known.
+/// Answers another router's confirmation request; `None` if no configuration is known.
 #[must_use]
 pub fn answer_confirmation_request(
     gateway: &Gateway,
@@ -112,7 +112,7 @@
     Confirmation::new(question, known)
 }
 
-/// Applies an answer if it belongs to the pending question.
+/// Applies a confirmation if it answers the pending request.
 pub fn apply_confirmation(gateway: &Gateway, confirmation: Confirmation) {
     let mut state = gateway.state();
     let version = state.config.index().map(|i| i.desired().version);
@@ -124,7 +124,8 @@
             state.freshness.confirm(at, Source::Router);
             state.pending_confirmation = None;
         }
-        // The question stays pending, which shows that its answer confirmed nothing.
+        // The request stays pending, by which the waiting task sees that the answer confirmed
+        // nothing.
         Some(Verdict::Outdated) => {}
         Some(Verdict::Unusable) | None => return,
     }
--- a/crates/peppercrank-gateway/src/crashes.rs
+++ b/crates/peppercrank-gateway/src/crashes.rs
@@ -60,7 +60,7 @@
     if gateway.state().quarantine.is_empty() {
         return news.await;
     }
-    // Either outcome means that there are reports to send.
+    // Both new crashes and the end of the interval mean that there are reports to send.
     let _result = timeout(RETRANSMIT_INTERVAL, news).await;
 }
 
--- a/crates/peppercrank-gateway/src/evacuations.rs
+++ b/crates/peppercrank-gateway/src/evacuations.rs
@@ -20,7 +20,8 @@
     }
 }
 
-/// Has the evacuations read again if another router, which asks the store, knows of different ones.
+/// Causes the evacuations to be read again if their digest differs from that of another router,
+/// which asks the store.
 pub fn compare_digest(gateway: &Gateway, digest: u64) {
     if gateway.state().directory.evacuations.digest() != digest {
         gateway.evacuations_outdated.notify_one();
--- a/crates/peppercrank-gateway/src/follow.rs
+++ b/crates/peppercrank-gateway/src/follow.rs
@@ -164,7 +164,7 @@
             let state = self.gateway.state();
             return state.catch_up.next_read(state.freshness.age(now));
         }
-        // Another follower may have noticed a new era first, in which the known revision is invalid.
+        // If another follower noticed a new era first, the known revision is no longer valid.
         let same_era = self.gateway.state().eras.newest() == self.era;
         let revision = self.intake.revision.filter(|_| same_era);
         revision.map_or(ReadMode::Snapshot, ReadMode::Changes)
--- a/crates/peppercrank-gateway/src/gossip.rs
+++ b/crates/peppercrank-gateway/src/gossip.rs
@@ -26,8 +26,8 @@
 use crate::gateway::Gateway;
 use crate::state::State;
 
-/// Interval between summaries, which is the lag of peer loads in a small fleet. In a larger fleet
-/// the byte allowance spreads the summaries out.
+/// Interval between summaries. In a small fleet, peers know of this router's work with up to this
+/// delay. In a larger fleet, the byte allowance makes the summaries to each peer rarer.
 const SUMMARY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Datagram bytes that a router may send per second, headers included. The users allow each daemon
--- a/crates/peppercrank-gateway/src/limits.rs
+++ b/crates/peppercrank-gateway/src/limits.rs
@@ -24,8 +24,8 @@
     idle_timeout: Duration::from_secs(15),
 };
 
-/// Factor on the idle time that is announced to callers, after which the router closes a connection.
-/// A caller that reuses a connection late in the announced time thus still finds it open.
+/// Factor on the idle time announced to callers that gives when the router closes an idle
+/// connection. A caller that reuses it late in the announced time thus still finds it open.
 const IDLE_FACTOR: u32 = 2;
 
 /// Divisor of the process's memory that gives the share for request bodies.
--- a/crates/peppercrank-gateway/src/outage.rs
+++ b/crates/peppercrank-gateway/src/outage.rs
@@ -5,8 +5,8 @@
 
 use tokio::sync::watch;
 
-/// Notifies all followers when one of them finds the store unavailable or recovered, since the
-/// others may be waiting on dead connections.
+/// Notifies all followers when one of them finds that the store is unavailable or has recovered.
+/// Without that, the others might wait for answers on connections that are dead.
 #[derive(Debug, Clone)]
 pub struct Outage(watch::Sender<bool>);
 
--- a/crates/peppercrank-gateway/src/role.rs
+++ b/crates/peppercrank-gateway/src/role.rs
@@ -9,9 +9,9 @@
 
 use crate::confirm::Confirmer;
 
-/// Wait of calls that confirm what is known about keys. An answer confirms the state as of the time
-/// of its question, so answering at once keeps the knowledge fresher than the same number of calls
-/// that wait.
+/// Wait of calls that confirm what is known about keys. An answer confirms the state at the time at
+/// which the call was made, so the known state is fresher with calls that are answered at once than
+/// with the same number of calls that wait for a change.
 const CONFIRM_WAIT: Duration = Duration::from_millis(1);
 
 /// Wait of the configuration watch, below the history that the store keeps. Changes end it at once.
--- a/crates/peppercrank-gateway/src/serve.rs
+++ b/crates/peppercrank-gateway/src/serve.rs
@@ -50,7 +50,7 @@
 /// predicted time to the first part of its answer.
 const PREDICTION_FACTOR: f64 = 4.0;
 
-/// Answers one call.
+/// Answers a caller's request: reads its body, finds its route, checks its key and forwards it.
 pub async fn answer_call(gateway: Arc<Gateway>, call: Call) -> Reply {
     let received_at = gateway.now();
     let body = match call.body.read().await {
@@ -94,11 +94,11 @@
     }
 }
 
-/// What follows an attempt.
+/// Next step of a request after an attempt.
 enum RequestStep {
-    /// Return this answer.
+    /// The caller gets this answer.
     Answer(Reply),
-    /// Make another attempt.
+    /// Another attempt is made.
     Retry,
 }
 
--- a/crates/peppercrank-gateway/src/state.rs
+++ b/crates/peppercrank-gateway/src/state.rs
@@ -47,7 +47,8 @@
     pub config: ActiveConfiguration,
     /// The age of what is known about API keys.
     pub freshness: Freshness,
-    /// The pending question to another router, if any.
+    /// The unanswered request to another router to confirm this router's keys; `None` if there is
+    /// none.
     pub pending_confirmation: Option<PendingRequest>,
     /// Up to which revision the configuration was read.
     pub catch_up: CatchUp,
--- a/crates/peppercrank-gateway/src/targets.rs
+++ b/crates/peppercrank-gateway/src/targets.rs
@@ -33,7 +33,7 @@
                 gateway.state().terminations.terminate(old);
                 let info = target_info(gateway, old);
                 forget_target(gateway, old, &info);
-                // Idle connections lead to the process that has ended.
+                // The idle connections are to the process that has ended.
                 if let Some(address) = info.address {
                     gateway.client.close(address);
                 }
--- a/crates/peppercrank-settings/src/agent.rs
+++ b/crates/peppercrank-settings/src/agent.rs
@@ -115,7 +115,7 @@
     #[serde(default = "default_weight")]
     #[serde(deserialize_with = "checked::count::<_, 0, 10_000>")]
     pub weight: u32,
-    /// The kind of target.
+    /// Whether the target is a model engine or a plain service.
     pub kind: TargetKind,
     /// The TCP address of the target, usually on the same VM.
     pub address: SocketAddr,
