--- a/crates/peppercrank-wire/src/body.rs
+++ b/crates/peppercrank-wire/src/body.rs
@@ -69,19 +69,13 @@
 #[must_use]
 pub fn channel(depth: usize) -> (BodySender, Body) {
     let (tx, rx) = mpsc::channel(depth);
-    let whole = Arc::new(AtomicBool::new(false));
+    let finished = Arc::new(AtomicBool::new(false));
     let fed = ChannelBody {
         rx,
-        finished: Arc::clone(&whole),
+        finished: Arc::clone(&finished),
         ended: false,
     };
-    (
-        BodySender {
-            tx,
-            finished: whole,
-        },
-        fed.boxed_unsync(),
-    )
+    (BodySender { tx, finished }, fed.boxed_unsync())
 }
 
 /// Writes a body frame by frame.
--- a/crates/peppercrank-wire/src/client/mod.rs
+++ b/crates/peppercrank-wire/src/client/mod.rs
@@ -136,10 +136,10 @@
 impl Client {
     /// Creates a client without connections.
     #[must_use]
-    pub fn new(times: ClientConfig) -> Self {
-        let pool = Pool::new(times.keep, times.spare);
+    pub fn new(config: ClientConfig) -> Self {
+        let pool = Pool::new(config.keep, config.spare);
         Self {
-            config: Arc::new(times),
+            config: Arc::new(config),
             pool: Arc::new(pool),
             counters: Arc::default(),
             pending_connections: Arc::default(),
--- a/crates/peppercrank-wire/src/control/client.rs
+++ b/crates/peppercrank-wire/src/control/client.rs
@@ -131,9 +131,9 @@
     /// A process must create a single client per identity and clone it: calls of two clients with
     /// the same identity would look like replays of each other's calls.
     #[must_use]
-    pub fn new(identity: Identity, ring: KeyRing, times: ControlClientConfig) -> Self {
+    pub fn new(identity: Identity, ring: KeyRing, config: ControlClientConfig) -> Self {
         Self {
-            config: times,
+            config,
             codec: Arc::new(ControlCodec::for_client(identity, ring)),
             connections: Arc::default(),
         }
--- a/crates/peppercrank-wire/src/pages.rs
+++ b/crates/peppercrank-wire/src/pages.rs
@@ -115,8 +115,8 @@
         let bound = Server::new(address, move |request| respond(&self, request));
         let server = bound.map_err(|e| bind_error(&*e))?.pool_size(threads);
         let address = server.server_addr();
-        let over = Arc::new(AtomicBool::new(false));
-        let stop = Arc::clone(&over);
+        let stopped = Arc::new(AtomicBool::new(false));
+        let stop = Arc::clone(&stopped);
         let run = move || {
             while !stop.load(Ordering::Acquire) {
                 server.poll_timeout(STOP_POLL_INTERVAL);
@@ -127,7 +127,7 @@
         let thread = spawned.map_err(|e| errors::io(Step::Spawn, &e))?;
         Ok(PagesServer {
             address,
-            stopped: over,
+            stopped,
             thread: Some(thread),
         })
     }
@@ -193,12 +193,12 @@
 }
 
 fn is_authorized(pages: &Pages, request: &Request) -> bool {
-    let Some(bearers) = &pages.tokens else {
+    let Some(tokens) = &pages.tokens else {
         return true;
     };
     request
         .header("Authorization")
-        .is_some_and(|v| bearers.matches(v))
+        .is_some_and(|v| tokens.matches(v))
 }
 
 fn response(page: Page) -> Response {
--- a/crates/peppercrank-wire/src/platform/exchange.rs
+++ b/crates/peppercrank-wire/src/platform/exchange.rs
@@ -152,12 +152,12 @@
 
     fn read_response(&self, mut response: Response<Body>) -> Result<RawResponse, Error> {
         let status = response.status().as_u16();
-        let after = retry_after(&response);
+        let retry_after = retry_after(&response);
         let body = response.body_mut();
         let body = body.with_config().limit(self.answer).read_to_vec()?;
         Ok(RawResponse {
             status,
-            retry_after: after,
+            retry_after,
             body,
         })
     }
--- a/crates/peppercrank-wire/src/seal/keys.rs
+++ b/crates/peppercrank-wire/src/seal/keys.rs
@@ -130,8 +130,8 @@
                 return Err(KeyError::DuplicateId(pair[0].id));
             }
         }
-        let sign = keys.len().checked_sub(1).ok_or(KeyError::MissingKey)?;
-        Ok(Self { keys, signer: sign })
+        let signer = keys.len().checked_sub(1).ok_or(KeyError::MissingKey)?;
+        Ok(Self { keys, signer })
     }
 
     /// Returns the same key ring, but signing with the key that has this id.
