--- a/crates/peppercrank-core/src/status.rs
+++ b/crates/peppercrank-core/src/status.rs
@@ -83,7 +83,7 @@
 /// An object version that failed validation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InvalidObject {
-    /// The invalid object.
+    /// The object whose version is invalid.
     pub key: ObjectKey,
     /// The invalid version.
     pub version: u64,
--- a/crates/peppercrank-direct/src/directory.rs
+++ b/crates/peppercrank-direct/src/directory.rs
@@ -37,14 +37,13 @@
 /// about two seconds.
 pub const RETURN_GRACE: Duration = Duration::from_secs(2);
 
-/// Time for which a departed target and its leaving mark are remembered. It exceeds the age
-/// of any copy that the store may be restored from, and the time for which a leaving target keeps
-/// running.
+/// Time for which a departed target and its leaving mark are remembered. It exceeds the age of any
+/// copy that the store may be restored from, and the time for which a leaving target keeps running.
 const DEPARTED_RETENTION: Duration = Duration::from_secs(60);
 
 /// Time for which entries of departed targets are held back after the store was restored from an
 /// older copy. By then the entry of a dead target has expired, after three heartbeats of 1.2 s, and
-/// that has been read, up to 0.9 s later.
+/// this router has read that it expired, up to 0.9 s later.
 pub const RESTORE_HOLD: Duration = Duration::from_secs(6);
 
 /// `Directory` holds the registered targets.
--- a/crates/peppercrank-direct/src/quarantine/spread.rs
+++ b/crates/peppercrank-direct/src/quarantine/spread.rs
@@ -23,7 +23,7 @@
 const REMINDER_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Interval between transmissions of the same report, so that a single burst of loss does not drop
-/// both.
+/// all transmissions.
 pub const RETRANSMIT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time for which reports are collected for one datagram: all answers of a target that crashes
@@ -105,10 +105,10 @@
     }
 }
 
-/// Number of routers that a router sends an empty list of reports at its start, which asks for
-/// their quarantined requests. Without it, and with reminders only, six routers of which one per
-/// second restarted sent a quarantined request that arrived 50 times a second to targets 45 to 92
-/// more times (three seeds in virtual time); with it, not once.
+/// Number of other routers that a router asks for their quarantined requests when it starts, by an
+/// empty list of reports. When they did not ask and there were only reminders, six routers of which
+/// one per second restarted sent a quarantined request that arrived 50 times a second to targets 45
+/// to 92 more times (three seeds in virtual time). When they ask, they do not send it once.
 pub const STARTUP_FANOUT: usize = 4;
 
 /// Returns the reports that the sender of `reports` lacks; those of quarantined requests if `reports`
@@ -128,8 +128,8 @@
     missing.collect()
 }
 
-/// Returns whether evidence of another router is relayed: in a small fleet that router sends it to
-/// all peers itself.
+/// Returns whether evidence that another router has sent is relayed. In a small fleet it is not,
+/// since that router sends it to all peers itself.
 #[must_use]
 pub const fn should_relay(peers: usize) -> bool {
     peers > FANOUT
--- a/crates/peppercrank-direct/src/target.rs
+++ b/crates/peppercrank-direct/src/target.rs
@@ -55,15 +55,15 @@
 /// `Target` is one registered target.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// Its latest entry.
+    /// The latest entry of this start.
     pub registration: Registration,
     /// Whether it takes new work.
     pub state: State,
-    /// Time at which the router first learnt of it.
+    /// Time at which the router first learnt of this start.
     pub first_seen: Instant,
-    /// Time until which it is cold, by its entry.
+    /// Time until which the target is cold by its entry.
     pub cold_until: Instant,
-    /// End of the pause that it asked this router for.
+    /// End of the pause that the target asked this router for; `None` if it asked for none.
     pub(crate) paused_until: Option<Instant>,
     /// Entry of another start in the store, and the time from which it is accepted.
     pub(crate) conflicting: Option<(Registration, Instant)>,
@@ -118,7 +118,7 @@
             .map(|(entry, from)| (entry, *from))
     }
 
-    /// Returns why its entry keeps it from new work; `None` if it may get some.
+    /// Returns why the target's entry keeps it from new work; `None` if it does not.
     #[must_use]
     pub fn withheld_reason(&self, now: Instant) -> Option<WithheldReason> {
         match self.state {
@@ -129,13 +129,13 @@
         }
     }
 
-    /// Returns the end of its pause; `None` if it is not paused.
+    /// Returns the end of the target's pause; `None` if it is not paused.
     #[must_use]
     pub fn pause_end(&self, now: Instant) -> Option<Instant> {
         self.paused_until.filter(|until| now < *until)
     }
 
-    /// Returns whether it takes new work and no other start conflicts with it.
+    /// Returns whether the target takes new work by its entry and no other start conflicts with it.
     pub(crate) const fn is_ready_without_conflict(&self) -> bool {
         matches!(self.state, State::Ready) && self.conflicting.is_none()
     }
--- a/crates/peppercrank-gateway/src/eligible.rs
+++ b/crates/peppercrank-gateway/src/eligible.rs
@@ -21,7 +21,7 @@
 /// Why a request is sent to no target, and when its caller should retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rejection {
-    /// The reason for the refusal.
+    /// Why no target can be used, as it is told to the caller.
     pub reason: Reason,
     /// Time after which a retry may succeed.
     pub retry_after: Duration,
--- a/crates/peppercrank-gateway/src/intake.rs
+++ b/crates/peppercrank-gateway/src/intake.rs
@@ -75,7 +75,8 @@
             Kind::Routers => {
                 let own = self.gateway.settings().name.clone();
                 let is_own = |e: &Entry| matches!(e, Entry::Router(r) if *r.name == *own);
-                // The first list may predate this router's own entry.
+                // The first list may have been read before this router wrote its own entry, so only
+                // a later list shows that the entry is missing.
                 let listed_before = std::mem::replace(&mut self.listed, true);
                 if listed_before && !entries.iter().any(is_own) {
                     self.gateway.entry_missing.notify_one();
--- a/crates/peppercrank-gateway/src/metrics.rs
+++ b/crates/peppercrank-gateway/src/metrics.rs
@@ -247,7 +247,7 @@
         r.register("targets", "Targets registered", self.targets.clone());
     }
 
-    /// Counts a refused request.
+    /// Counts a refused request by its reason.
     pub fn count_refusal(&self, reason: Reason) {
         let reason = reason.code();
         self.refused.get_or_create(&ReasonLabel { reason }).inc();
@@ -267,7 +267,7 @@
         self.repeats.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// Counts a call to the store.
+    /// Counts a call to the store by the kind of entries and the result's stable name.
     pub fn count_store_call(&self, kind: &'static str, outcome: &'static str) {
         let label = CallLabel { kind, outcome };
         self.store_calls.get_or_create(&label).inc();
--- a/crates/peppercrank-gateway/src/serve.rs
+++ b/crates/peppercrank-gateway/src/serve.rs
@@ -132,11 +132,11 @@
     pub in_progress: Arc<InProgressGuard>,
     /// The state shared by all tasks.
     pub gateway: Arc<Gateway>,
-    /// The request.
+    /// The request with its route, limits and prompt.
     pub job: Arc<Job>,
     /// The attempts made so far and those still allowed.
     pub plan: RetryPlan,
-    /// The targets that it was sent to so far.
+    /// The targets that the request was sent to so far.
     pub tried: Vec<TargetKey>,
     /// When its caller should retry if it is refused.
     pub retry_after: Duration,
--- a/crates/peppercrank-log/src/lib.rs
+++ b/crates/peppercrank-log/src/lib.rs
@@ -27,7 +27,7 @@
 /// Maximum number of lines in the queue; further lines are dropped and counted.
 const QUEUE_CAPACITY: usize = 4_096;
 
-/// A logger of numbered events.
+/// Writes numbered events as lines of JSON from a background thread.
 #[derive(Debug, Clone)]
 pub struct Log {
     logger: Logger,
@@ -112,7 +112,7 @@
 /// Value of a field in a log line.
 #[derive(Debug, Clone, Copy)]
 pub enum Field<'a> {
-    /// Text.
+    /// A text, written as a JSON string.
     Text(&'a str),
     /// An unsigned integer.
     Number(u64),
--- a/crates/peppercrank-settings/src/fleet.rs
+++ b/crates/peppercrank-settings/src/fleet.rs
@@ -57,7 +57,7 @@
     /// Bearer tokens for the operators' endpoints; without tokens, all requests are rejected.
     #[serde(default)]
     pub tokens: Vec<Secret>,
-    /// Silence after which the process counts as out of touch.
+    /// Silence of the peers and of the platform after which the process counts as out of touch.
     #[serde(default)]
     pub touch: ContactLimits,
     /// The minimum level of events that are logged.
--- a/crates/peppercrank-settings/src/gateway.rs
+++ b/crates/peppercrank-settings/src/gateway.rs
@@ -94,7 +94,7 @@
     Home,
 }
 
-/// Bound on the age of the known keys.
+/// Bound on how long a revoked key may still be accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyRevocation {
--- a/crates/peppercrank-settings/src/limits.rs
+++ b/crates/peppercrank-settings/src/limits.rs
@@ -32,7 +32,8 @@
 /// Default time for a whole request and its response.
 pub const DEFAULT_TOTAL_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Limits on connections and requests.
+/// Limits that protect a daemon from too many connections and from requests that are too large or
+/// arrive too slowly.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
--- a/crates/peppercrank-settings/src/router.rs
+++ b/crates/peppercrank-settings/src/router.rs
@@ -51,7 +51,7 @@
     #[serde(default = "default_stop_time")]
     #[serde(deserialize_with = "checked::duration::<_, 0, 3_600_000>")]
     pub stop_time: Duration,
-    /// Backoff between attempts.
+    /// Waits before the second and further attempts of a request.
     #[serde(default)]
     pub retry: RetryBackoff,
     /// Claims that prevent a request from running twice.
