--- a/crates/peppercrank-standin/src/engine/prompt.rs
+++ b/crates/peppercrank-standin/src/engine/prompt.rs
@@ -59,8 +59,7 @@
 
     /// Returns the prompt text: the role and the content of each message on lines of their own.
     ///
-    /// The prompt followed by the answer and a newline is a prefix of the prompt of the chat's next
-    /// request.
+    /// The prompt followed by the answer and a newline is a prefix of the chat's next prompt.
     #[must_use]
     pub fn prompt(&self) -> String {
         let mut text = String::new();
--- a/crates/peppercrank-standin/src/platform/store.rs
+++ b/crates/peppercrank-standin/src/platform/store.rs
@@ -12,8 +12,7 @@
 use crate::Error;
 use crate::Result;
 
-/// Maximum size of a value, in bytes of JSON text: one megabyte, the limit that the platform
-/// documents.
+/// Maximum size of a value, in bytes of JSON text: one megabyte, as the platform documents.
 pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
 /// Precondition of a write.
--- a/crates/peppercrank-standin/tests/verify_engine.rs
+++ b/crates/peppercrank-standin/tests/verify_engine.rs
@@ -127,11 +127,8 @@
     let cached = usage["prompt_tokens_details"]["cached_tokens"]
         .as_u64()
         .expect("a number");
-    // The first prompt is "user
-    // " + 1,000 + "
-    // " + "assistant
-    // ", 1,016 bytes; the answer adds 117
-    // and the newline after it 1. Whole blocks of 64 bytes (16 tokens) are cached.
+    // The first prompt, "user\n" + 1,000 + "\n" + "assistant\n", is 1,016 bytes; the answer adds
+    // 117 and the newline after it 1. Of these, whole blocks of 64 bytes (16 tokens) are cached.
     assert_eq!(cached, (1_016 + answer.len() as u64 + 1) / 64 * 16);
     let page = get(at, "/cache-events?since=0");
     let kinds: Vec<&Value> = page["events"].as_array().expect("events").iter().collect();
@@ -159,8 +156,7 @@
         send(at, CHAT, &keys, &body).expect("an answer");
     }
     let page = get(at, "/cache-events?since=0");
-    // Event 0: 0a stored. 1: 0b stored (omitted, a gap). 2: 0a evicted, as half of its context is
-    // gone.
+    // Event 0: 0a stored. 1: 0b stored (omitted, a gap). 2: 0a evicted, half of its context is gone.
     let expected = json!([
         {"seq": 0, "kind": "stored", "key": "0a"},
         {"seq": 2, "kind": "evicted", "key": "0a"},
--- a/crates/peppercrank-standin/tests/verify_parts.rs
+++ b/crates/peppercrank-standin/tests/verify_parts.rs
@@ -58,10 +58,7 @@
 #[test]
 fn verify_time_of_prefill_and_decoding() {
     let mut engine = engine();
-    // "u
-    // " + 112 + "
-    // " + "assistant
-    // " is 125 bytes: 32 tokens, none of them cached.
+    // "u\n" + 112 + "\n" + "assistant\n" is 125 bytes: 32 tokens, none of them cached.
     let key = engine
         .submit(at(0), chat("a", 0, &"x".repeat(112)))
         .expect("a stream");
