--- a/crates/peppercrank-standin/tests/verify_engine.rs
+++ b/crates/peppercrank-standin/tests/verify_engine.rs
@@ -156,7 +156,7 @@
         send(at, CHAT, &keys, &body).expect("an answer");
     }
     let page = get(at, "/cache-events?since=0");
-    // Event 0: 0a stored. 1: 0b stored (omitted, a gap). 2: 0a evicted, half of its context is gone.
+    // Event 0: 0a stored. 1: 0b stored (omitted, a gap). 2: 0a evicted: half of it is gone.
     let expected = json!([
         {"seq": 0, "kind": "stored", "key": "0a"},
         {"seq": 2, "kind": "evicted", "key": "0a"},
--- a/crates/peppercrank-standin/tests/verify_platform.rs
+++ b/crates/peppercrank-standin/tests/verify_platform.rs
@@ -204,7 +204,7 @@
         let deleted = send(at, &format!("DELETE {path}"), &[("if-match", version)], "");
         assert_eq!(deleted.expect("an answer").status, 200);
     }
-    // The tombstone of `a`, version 2, was pruned: a client that has only seen version 1 must relist.
+    // The tombstone of `a`, version 2, was pruned: a client that only saw version 1 must relist.
     for (since, status) in [(1, 410), (2, 200), (4, 200), (5, 410)] {
         let response = send(at, &format!("GET /watch/pool?since={since}"), &[], "");
         assert_eq!(response.expect("an answer").status, status, "since {since}");
@@ -230,7 +230,7 @@
 
 #[test]
 fn verify_platform_faults() {
-    // Faults, the status that the writer receives (`None`: no response), whether the write is applied.
+    // Faults, the status of the write (`None`: no response), whether the write is applied.
     let cases = [
         (json!({"outage": true, "only": "put"}), Some(503), false),
         (json!({"throttle": true, "only": "put"}), Some(429), false),
