--- a/crates/peppercrank-cli/tests/support/mod.rs
+++ b/crates/peppercrank-cli/tests/support/mod.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! A platform stand-in and the command, in the test's own process.
+//! Helpers that run a platform stand-in and the command in the test's own process.
 
 #![expect(dead_code, reason = "each test file uses its own part of these")]
 
@@ -23,10 +23,10 @@
 use serde_json::json;
 use tokio::runtime::Runtime;
 
-/// The operators' token of the daemons of a test.
+/// Operator token of the daemons in tests.
 pub const TOKEN: &str = "an-operators-token";
 
-/// How one run of the command result.
+/// Result of one run of the command.
 #[derive(Debug)]
 pub struct RunResult {
     pub exit: Exit,
@@ -35,18 +35,18 @@
 }
 
 impl RunResult {
-    /// What a run that was asked for JSON printed.
+    /// Parses the standard output of a run with `--output json`.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.out).unwrap_or_else(|e| panic!("{e}: {self:?}"))
     }
 
-    /// The error that a run that was asked for JSON printed.
+    /// Parses the standard error of a run with `--output json`.
     pub fn error(&self) -> Value {
         serde_json::from_str(&self.err).unwrap_or_else(|e| panic!("{e}: {self:?}"))
     }
 }
 
-/// Runs the command with these words.
+/// Runs the command with these arguments.
 pub fn run(environment: &Environment, words: &[&str]) -> RunResult {
     let args = words.iter().map(OsString::from).collect();
     let (mut out, mut err) = (Vec::new(), Vec::new());
@@ -59,7 +59,7 @@
     }
 }
 
-/// A platform stand-in with the command set up for it.
+/// A platform stand-in with the environment that points the command at it.
 #[derive(Debug)]
 pub struct TestPlatform {
     pub environment: Environment,
@@ -96,7 +96,7 @@
         run(&self.environment, &line.split(' ').collect::<Vec<_>>())
     }
 
-    /// Runs the command, which must end with `exit`.
+    /// Runs the command and asserts its exit code.
     #[track_caller]
     pub fn expect(&self, exit: Exit, line: &str) -> RunResult {
         let result = self.run(line);
@@ -104,13 +104,13 @@
         result
     }
 
-    /// Sets the stand-in's faults.
+    /// Configures fault injection of the stand-in.
     pub fn faults(&self, json: &str) {
         let answer = ureq::put(format!("http://{}/faults", self.address)).send(json);
         assert!(answer.expect("an answer").status().is_success(), "{json}");
     }
 
-    /// What the stand-in counted.
+    /// Returns the call counters of the stand-in.
     pub fn calls(&self) -> Value {
         let answer = ureq::get(format!("http://{}/calls", self.address)).call();
         answer
@@ -121,7 +121,8 @@
     }
 }
 
-/// A file in a scratch directory that cargo sets aside, apart from other processes' files.
+/// Writes a file to cargo's scratch directory under a name that is unique to this process, and
+/// returns its path.
 pub fn file(name: &str, text: &str) -> String {
     let own = format!("{}-{name}", std::process::id());
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(own);
@@ -129,18 +130,19 @@
     path.to_str().expect("a path").to_owned()
 }
 
-/// A template of a weight, with a comment as operators write them.
+/// Writes a template with this weight, with a comment as operators write them, and returns its
+/// path.
 pub fn template(weight: u32) -> String {
     let text = format!(
         "// Weight {weight}.\n{{ \"parameters\": {{ \"weight\": {weight}, \"priority\": 5, \
          \"limit\": 1000, \"output\": 100, \"deadline_ms\": 60000 }} }}"
     );
-    // Tests run side by side: none may see another's file half written.
+    // Tests run concurrently and must not see another test's half-written file.
     let own = std::thread::current().id();
     file(&format!("template-{weight}-{own:?}.jsonc"), &text)
 }
 
-/// An HTTP server that answers every request by one function, as a daemon's pages would.
+/// Starts an HTTP server that answers every request with `answer`, like the pages of a daemon.
 pub fn http_server<F>(answer: F) -> SocketAddr
 where
     F: Fn(&Request) -> Response + Send + Sync + 'static,
@@ -151,12 +153,12 @@
     address
 }
 
-/// A free port of loopback.
+/// Returns the loopback address with port 0, for any free port.
 pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// The part of the settings that all daemons of a test share.
+/// Returns the settings shared by all daemons of a test.
 pub fn fleet(platform: &TestPlatform, vm: &str) -> FleetSettings {
     let settings = json!({
         "vm": vm, "zone": "rae", "gossip": any_port(), "control": any_port(), "operators": any_port(),
--- a/crates/peppercrank-cli/tests/verify_daemons.rs
+++ b/crates/peppercrank-cli/tests/verify_daemons.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The command against real daemons: a change in force everywhere, a drain, a status.
+//! The command against real daemons: changes in force, drains and status.
 
 mod support;
 
@@ -37,7 +37,7 @@
 use support::template;
 use tokio::runtime::Runtime;
 
-/// The lines of a daemon's log.
+/// Captures the log of a daemon.
 #[derive(Debug, Clone, Default)]
 struct Lines(Arc<Mutex<Vec<u8>>>);
 
@@ -53,7 +53,7 @@
 }
 
 impl Lines {
-    /// Tells whether an event was logged about this.
+    /// Returns whether an event about this subject was logged.
     fn has(&self, event: Event, about: &str) -> bool {
         let bytes = self.0.lock().expect("a lock").clone();
         let text = String::from_utf8(bytes).expect("text");
@@ -65,7 +65,7 @@
     }
 }
 
-/// A platform, an engine with its agent, and a router, on loopback.
+/// A platform stand-in, an engine with its agent, and a router, on loopback.
 struct Fleet {
     platform: TestPlatform,
     operators: [SocketAddr; 2],
@@ -143,7 +143,7 @@
     }
 }
 
-/// Returns once `seen` is true, which it is soon unless something is broken.
+/// Waits until `seen` returns true; panics after a minute.
 fn until(mut seen: impl FnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(60);
     while !seen() {
@@ -151,7 +151,7 @@
     }
 }
 
-/// One daemon's status page.
+/// Returns the status page of a daemon.
 fn page(operators: SocketAddr) -> Value {
     let page = ureq::get(format!("http://{operators}/status"));
     let page = page.header("authorization", format!("Bearer {TOKEN}"));
@@ -214,7 +214,7 @@
     until(|| fleet.log.has(Event::ControlMessageRefused, " x 1"));
 }
 
-/// Sends a chat through the router and returns its whole answer.
+/// Sends a chat request through the router and returns status and body.
 fn chat(router: SocketAddr, tokens: u32) -> (u16, String) {
     let config = ureq::Agent::config_builder()
         .http_status_as_error(false)
@@ -243,7 +243,7 @@
     let router = fleet.router.address;
     let known = |status: Value| status["targets"].as_array().map(Vec::len) == Some(1);
     until(|| known(page(fleet.operators[1])));
-    // Two seconds of an answer, which the mark comes in the middle of.
+    // An answer of two seconds, in the middle of which the target is marked.
     let stream = thread::spawn(move || chat(router, 100));
     until(|| {
         assert!(!stream.is_finished(), "it never ran");
--- a/crates/peppercrank-cli/tests/verify_deploy.rs
+++ b/crates/peppercrank-cli/tests/verify_deploy.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Every file under `deploy/` parses, passes its checks, and refers to what is there.
+//! Every file under `deploy/` parses, passes validation, and refers only to things that exist.
 
 mod support;
 
@@ -45,7 +45,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy")
 }
 
-/// All files under a directory.
+/// Returns all files under a directory.
 fn files(at: &Path) -> Vec<PathBuf> {
     let entries = fs::read_dir(at).expect("a directory");
     let paths = entries.map(|e| e.expect("an entry").path());
@@ -62,7 +62,7 @@
     parent.and_then(OsStr::to_str).expect("a directory")
 }
 
-/// The objects of one deployment.
+/// Reads and validates the objects of a deployment.
 fn objects(deployment: &str) -> BTreeMap<(ObjectKind, String), Spec> {
     let all = files(&root().join(deployment));
     let all = all.iter().filter_map(|path| {
@@ -78,7 +78,7 @@
     all.collect()
 }
 
-/// Reads a stand-in's settings, whose file is named after its kind.
+/// Parses a stand-in's settings; the kind is taken from the file name.
 fn check_stand_in(path: &Path, text: &str) {
     let parsed = match stem(path).split('-').next() {
         Some("platform") => parse::<PlatformSettings>(text).map(drop),
@@ -123,7 +123,7 @@
         for address in own {
             assert!(
                 taken.insert(address.to_string()),
-                "{name}: {address} stands twice"
+                "{name}: {address} is used twice"
             );
         }
         if let Some(target) = daemon.get("target") {
@@ -135,7 +135,7 @@
     }
 }
 
-/// The platform's file of roles names templates that are there and a program that is built.
+/// Checks that the platform's role file names existing templates and programs that it builds.
 fn check_roles(path: &Path) {
     let text = fs::read_to_string(path).expect("a text");
     let values = |key: &str| {
@@ -157,8 +157,8 @@
     }
 }
 
-/// A day of trouble says what it is after, is named like its file, and fits any deployment: what it names of one
-/// is a placeholder.
+/// Checks that a fault scenario names its source, is named like its file, and fits any deployment:
+/// names of one deployment's parts are placeholders.
 fn check_day(path: &Path) {
     let text = fs::read_to_string(path).expect("a text");
     assert!(text.starts_with("# "), "{}", path.display());
@@ -206,7 +206,8 @@
                 AgentSettings::parse(&text).map(drop)
             }
             "examples" if name.starts_with("gateway") => GatewaySettings::parse(&text).map(drop),
-            // Filled in and parsed beside the adapter, which knows the placeholders' names.
+            // These are filled in and parsed by the tests of the adapter, which knows the names of
+            // the placeholders.
             "platform" => {
                 assert!(text.contains("{{"), "{}", path.display());
                 Ok(())
@@ -302,7 +303,7 @@
     assert!(skew.wait_ms < reuse.wait_ms);
 }
 
-/// What `publish-all` did, counted by its word.
+/// Runs `publish-all` and counts its results.
 fn counts(platform: &TestPlatform, exit: Exit, line: &str) -> BTreeMap<String, usize> {
     let json = platform
         .expect(exit, &format!("{line} --output json"))
@@ -327,7 +328,7 @@
         assert_eq!(counts(&platform, Exit::Done, &line), of("unchanged", 15));
         assert_eq!(platform.calls()["writes"], 15);
 
-        // Somebody's later change is left alone unless it is meant to go.
+        // A later change is left alone unless `--revise` is given.
         let name = match *deployment {
             "pardikivi" => "vaike-air",
             _ => "county-clerks",
--- a/crates/peppercrank-cli/tests/verify_docs.rs
+++ b/crates/peppercrank-cli/tests/verify_docs.rs
@@ -1,8 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! All pages: links lead somewhere, indexes are whole, nothing is left to be filled in, and what
-//! they name exists.
+//! All documentation pages: links resolve, indexes are complete, no placeholders are left, and the
+//! names they mention exist.
 
 use std::fs;
 use std::path::Path;
@@ -10,14 +10,14 @@
 
 use peppercrank_core::events::Event;
 
-/// Directories of the repository that hold pages, besides those below `docs`.
+/// Directories with pages outside `docs`.
 const PLACES: &[&str] = &[".", "deploy"];
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// All pages.
+/// Returns all pages with their text.
 fn all() -> Vec<(PathBuf, String)> {
     let mut found = PLACES.iter().flat_map(|p| pages(p)).collect::<Vec<_>>();
     let mut places = vec!["docs".to_owned()];
@@ -34,7 +34,7 @@
     found
 }
 
-/// The pages of one directory, by name.
+/// Returns the pages of one directory, sorted by name.
 fn pages(place: &str) -> Vec<(PathBuf, String)> {
     let entries = fs::read_dir(root().join(place)).expect("a directory");
     let paths = entries.map(|e| e.expect("an entry").path());
@@ -49,7 +49,7 @@
     paths.into_iter().map(read).collect()
 }
 
-/// The anchor that a heading gets.
+/// Returns the anchor of a heading.
 fn anchor(heading: &str) -> String {
     let kept = heading.trim_start_matches('#').trim().to_lowercase();
     let kept = kept
@@ -117,8 +117,8 @@
     assert!(open.is_empty(), "{open:#?}");
 }
 
-/// The sources below one directory of every crate, those of the platform's folder included, in one
-/// text.
+/// Returns the concatenated sources below a directory, such as `tests`, of every crate, including
+/// those of the platform.
 fn sources(part: &str) -> String {
     let crates = fs::read_dir(root().join("crates")).expect("the crates");
     let platform = fs::read_dir(root().join("platform")).expect("the platform's crates");
@@ -148,7 +148,7 @@
     let mut lost = Vec::new();
     for (path, text) in all() {
         for name in text.split('`').skip(1).step_by(2) {
-            // `verify_…` stands for all of them, a page's own name of a file for its tests.
+            // `verify_…` stands for any test, and the name of a test file for all of its tests.
             let whole =
                 name.starts_with("verify_") && name.is_ascii() && !name.contains([' ', '/', '.']);
             let known = tests.contains(&format!("fn {name}(")) || is_file(name);
@@ -160,18 +160,18 @@
     assert!(lost.is_empty(), "{lost:#?}");
 }
 
-/// Tells whether a crate has a test file of this name.
+/// Returns whether a crate has a test file of this name.
 fn is_file(name: &str) -> bool {
     let crates = fs::read_dir(root().join("crates")).expect("the crates");
     let mut crates = crates.map(|e| e.expect("an entry").path());
     crates.any(|c| c.join(format!("tests/{name}.rs")).exists())
 }
 
-/// Tells whether a path such as `route::rank` or `router::job` names a module or an item.
+/// Returns whether a path such as `route::rank` or `router::job` names a module or an item.
 fn is_named(path: &str) -> bool {
     let parts = path.split("::").collect::<Vec<_>>();
     let own = root().join(format!("crates/peppercrank-{}/src", parts[0]));
-    // Modules of the daemons stand without their crate's name.
+    // Modules of the daemons are written without their crate's name.
     let (source, rest) = if own.exists() {
         (own, &parts[1..])
     } else {
--- a/crates/peppercrank-cli/tests/verify_fleet.rs
+++ b/crates/peppercrank-cli/tests/verify_fleet.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! What the command learns from the daemons' operators' pages: status, and changes in force.
+//! Subcommands that query the operator pages of daemons: status, and waiting for changes to be in
+//! force.
 
 mod support;
 
@@ -22,7 +23,7 @@
 
 const TOKEN: &str = "an-operators-token";
 
-/// A daemon's pages: the object is in force from the `after`th look on.
+/// Starts the pages of a daemon, on which the object is in force after `after` requests.
 fn daemon(status: Value, after: u64) -> SocketAddr {
     let looks = AtomicU64::new(0);
     http_server(move |request| {
@@ -63,7 +64,7 @@
     run(environment, &words)
 }
 
-/// An address at which nothing listens.
+/// Returns an address at which nothing listens.
 fn nobody() -> SocketAddr {
     let socket = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     socket.local_addr().expect("an address")
@@ -156,7 +157,7 @@
         { "daemon": gone.to_string(), "why": { "silent": "unreached" } },
     ]);
     assert_eq!(error["missing"], missing);
-    // The change itself stands.
+    // The change itself has been written.
     platform.expect(Exit::Done, "get mark e-1");
 
     let nobody = platform.expect(Exit::NotInForce, "unmark e-1 --wait");
--- a/crates/peppercrank-cli/tests/verify_local.rs
+++ b/crates/peppercrank-cli/tests/verify_local.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! `local`, and the other verbs with the environment that it prints.
+//! `local`, and other subcommands with the environment that it prints.
 
 mod support;
 
@@ -18,7 +18,8 @@
 use serde_json::json;
 use support::run;
 
-/// Hands on what is written when it is flushed, so that a verb that serves on can be read.
+/// Forwards written text on each flush, so that the output of a subcommand that keeps running can
+/// be read.
 struct FlushSink {
     text: Vec<u8>,
     out: Sender<String>,
@@ -36,7 +37,7 @@
     }
 }
 
-/// Starts a local fleet, which ends with the test's process, and returns what it prints.
+/// Starts a local fleet that runs until the test process ends, and returns its output.
 fn local(words: &'static str) -> String {
     let (out, told) = mpsc::channel();
     thread::spawn(move || {
@@ -51,7 +52,7 @@
         .expect("a fleet that came together")
 }
 
-/// The environment of the line that `local` prints for it.
+/// Parses the environment from the `export` line that `local` prints.
 fn environment(text: &str) -> Environment {
     let line = text.lines().find_map(|l| l.strip_prefix("export "));
     let line = line.expect("a line to export");
--- a/crates/peppercrank-cli/tests/verify_orders.rs
+++ b/crates/peppercrank-cli/tests/verify_orders.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Orders from the command line, through real agents, to engines.
+//! Orders sent by the command through real agents to engine stand-ins.
 
 mod support;
 
@@ -36,7 +36,7 @@
 use support::run;
 use tokio::runtime::Runtime;
 
-/// A platform, and engines that check fencing numbers, each with its agent.
+/// A platform stand-in and engines that check fencing numbers, each with its agent.
 struct Fleet {
     platform: TestPlatform,
     engines: Vec<peppercrank_standin::Running>,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Runs `order` with these words, by the file of keys given.
+    /// Runs `order` with these arguments and this key file.
     fn order_by(&self, keys: &str, line: &str) -> RunResult {
         let daemons = self.agents.iter().map(|a| a.operators.to_string());
         let daemons = daemons.collect::<Vec<_>>();
@@ -117,7 +117,7 @@
         result
     }
 
-    /// The orders that an engine obeyed, in turn.
+    /// Returns the orders that an engine carried out, in order.
     fn obeyed(&self, engine: usize) -> Vec<Value> {
         let at = self.engines[engine].addr;
         let page = ureq::get(format!("http://{at}/orders")).call();
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The pool's lease as the platform holds it.
+    /// Returns the pool's lease as stored on the platform.
     fn lease(&self) -> Value {
         let at = self.platform.address;
         let page = ureq::get(format!("http://{at}/objects/lease/galley-llm")).call();
@@ -159,7 +159,7 @@
     }
     assert_eq!(first.json()["given_back"], true);
     assert_eq!(fleet.lease()["body"]["released"], true);
-    // The next run need not wait, and its number is higher.
+    // The next run acquires the lease at once, with a higher fencing number.
     let second = fleet.order(Exit::Done, "e-2 --set-role prefill");
     assert_eq!(outcomes(&second), ["obeyed"]);
     assert!(second.json()["fence"].as_u64() > Some(fence));
@@ -233,7 +233,7 @@
     let fleet = Fleet::on(platform);
     let tries = || fleet.platform.calls()["calls"]["get"].as_u64().unwrap_or(0);
     let end = StdInstant::now() + Duration::from_secs(60);
-    // Both agents have failed to read the lease at their start, and read it again with the order.
+    // Both agents failed to read the lease at startup and read it again with the order.
     while tries() < 2 {
         assert!(StdInstant::now() < end, "{}", fleet.platform.calls());
     }
@@ -264,7 +264,7 @@
     assert!(fleet.obeyed(0).is_empty() && fleet.obeyed(1).is_empty());
 }
 
-/// A holder of the lease of a pool, on a clock that the test moves.
+/// Returns a lease holder with a clock that the test controls.
 fn holder<'a>(
     platform: &TestPlatform,
     session: u64,
@@ -282,7 +282,7 @@
     let platform = TestPlatform::new();
     let (clock, other_clock) = (Cell::new(0), Cell::new(0));
     let mut holder = holder(&platform, 1, &clock);
-    // The clocks stand still unless the test moves them, so nothing may wait.
+    // The clocks only advance when the test moves them, so nothing may block.
     let end = Instant::ZERO;
     let first = holder.acquire(end).expect("the lease");
     clock.set(13_999);
@@ -297,7 +297,7 @@
         None,
         "not a moment longer, whatever was not yet noticed"
     );
-    // Another takes over by its own clock, 16 s after it saw the lease.
+    // Another holder takes over by its own clock, 16 s after it saw the lease.
     let mut other = self::holder(&platform, 2, &other_clock);
     assert_eq!(other.acquire(end), None);
     assert_eq!(other.other_holder().map(VmName::as_str), Some("operator-1"));
@@ -309,7 +309,8 @@
     }
     assert_eq!(other_clock.get(), 20_000, "at the first look after 16 s");
     assert!(second > Some(first));
-    // The first wakes: no renewal brings it back, and what it owes is nothing of the other's.
+    // The first holder resumes: a renewal does not bring the lease back, and releasing does not
+    // affect the new holder.
     holder.renew();
     assert_eq!(holder.fence(), None);
     assert!(holder.release(end));
@@ -333,7 +334,7 @@
         (told(r#""Busy""#), OrderOutcome::Busy, 1),
         (told(r#""no_target""#), OrderOutcome::NoEngine, 1),
         (told(r#""malformed""#), OrderOutcome::Malformed, 1),
-        // A newer agent's word may mean anything.
+        // An unknown reply of a newer agent may mean anything.
         (told(r#""Deferred""#), OrderOutcome::Unknown, 8),
         (
             OrderOutcome::from_reply(Err(ControlError::Timeout)),
--- a/crates/peppercrank-cli/tests/verify_pages.rs
+++ b/crates/peppercrank-cli/tests/verify_pages.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The operators' pages: every command is run as written, every table agrees with the code.
+//! The operator documentation: every command runs as written, and every table matches the code.
 
 mod support;
 
@@ -37,7 +37,7 @@
 use support::run;
 use tokio::runtime::Runtime;
 
-/// The pages whose commands are run here.
+/// Pages whose commands are run by this test.
 const PAGES: &[&str] = &[
     "command-line.md",
     "draining.md",
@@ -50,7 +50,8 @@
     "upgrade.md",
 ];
 
-/// Commands of other programs, and the one of ours that does not end by itself.
+/// Prefixes of commands that are not run: those of other programs, and one of ours that does not
+/// end by itself.
 const ELSEWHERE: &[&str] = &["cargo build --release", "openssl rand -hex 32", "printf %s"];
 
 fn root() -> PathBuf {
@@ -62,7 +63,7 @@
     fs::read_to_string(path).expect("a page")
 }
 
-/// The lines of a page's `sh` blocks, without comments of their own.
+/// Returns the lines of a page's `sh` blocks without comments.
 fn commands(page: &str) -> Vec<String> {
     let mut inside = false;
     let mut found = Vec::new();
@@ -77,7 +78,7 @@
     found
 }
 
-/// A path of a page as this test finds it: the repository's own, else in the scratch directory.
+/// Resolves a path in a page: to the repository for `deploy/`, else to the scratch directory.
 fn place(word: &str) -> String {
     let path = if word.starts_with("deploy/") {
         root().join(word)
@@ -92,7 +93,7 @@
     word.starts_with("deploy/") || word.contains(".json")
 }
 
-/// A stand-in and one daemon's pages, on which all is in force at once.
+/// A platform stand-in and the pages of one daemon, on which every change is in force at once.
 struct Fleet {
     platform: TestPlatform,
     port: String,
@@ -100,7 +101,8 @@
     _runtime: Runtime,
 }
 
-/// An agent's control address, where every order is obeyed, and the keys for it in a file.
+/// Starts an agent's control server that accepts every order, writes a matching key file, and
+/// returns the address.
 async fn agent(stop: Stop) -> SocketAddr {
     let secret = "0f".repeat(16);
     let keys = format!("[{{ \"id\": 1, \"secret\": \"{secret}\" }}]");
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Runs one line of a page.
+    /// Runs one command line of a page.
     fn run(&self, line: &str) {
         let (line, exit) = match line.split_once(" # exit ") {
             Some((line, code)) => (line, code.parse::<u8>().expect("a code")),
@@ -163,7 +165,7 @@
         });
         let words = words.collect::<Vec<_>>();
         if matches!(words[0].as_str(), "router" | "agent") {
-            // It serves until it is told to stop: that its settings are sound is checked here.
+            // The daemon would run until it is stopped, so only its settings are checked.
             check_settings(&words);
             return;
         }
@@ -198,7 +200,7 @@
             let known = ["PLATFORM=", "TOKEN=", "OPERATORS_TOKEN="];
             let ours = variable.is_some_and(|v| known.iter().any(|k| v.starts_with(k)));
             let theirs = ELSEWHERE.iter().any(|c| line.starts_with(c));
-            assert!(ours || theirs, "{name}: nobody runs `{line}`");
+            assert!(ours || theirs, "{name}: `{line}` is not run by this test");
         }
     }
 }
@@ -224,7 +226,7 @@
     }
 }
 
-/// The codes of requests at fault, as they stand in the daemons' sources.
+/// Returns the error codes of invalid requests found in the daemons' sources.
 fn faults() -> BTreeSet<String> {
     const ENDS: &[&str] = &[
         "_empty",
@@ -294,7 +296,7 @@
     assert_eq!(numbers, all);
 }
 
-/// The rows of the settings page: path, default, least and greatest value.
+/// Returns the rows of the settings page: path, default, minimum and maximum.
 fn rows() -> Vec<[String; 4]> {
     let text = page("settings.md");
     let rows = text.lines().filter(|l| l.starts_with("| `"));
@@ -308,7 +310,7 @@
     rows.collect()
 }
 
-/// Sets the value at a path, or takes it out.
+/// Sets the value at a path, or removes it.
 fn set(settings: &mut Value, path: &str, value: Option<&str>) {
     let (parents, last) = path.rsplit_once('.').unwrap_or(("", path));
     let mut at = settings;
@@ -326,7 +328,7 @@
     };
 }
 
-/// What the daemon makes of a file: its settings, as their debug text.
+/// Parses settings as the daemon does and returns their debug text.
 fn parsed(settings: &Value, agent: bool) -> Result<String, String> {
     let text = settings.to_string();
     if agent {
@@ -373,7 +375,7 @@
             with(Some(bound)).unwrap_or_else(|e| panic!("{path} {bound}: {e}"));
         }
         if !least.is_empty() {
-            // One more of the same unit is past the greatest value.
+            // One more in the same unit exceeds the maximum.
             let past = past(&most);
             let refused = with(Some(&past)).expect_err("past the greatest value");
             assert!(refused.contains("outside"), "{path} {past}: {refused}");
@@ -386,7 +388,7 @@
     );
 }
 
-/// A value one above, with the same unit.
+/// Returns the value increased by one, with the same unit.
 fn past(most: &str) -> String {
     let digits = most.trim_start_matches('"');
     let end = digits
--- a/crates/peppercrank-cli/tests/verify_promises.rs
+++ b/crates/peppercrank-cli/tests/verify_promises.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! docs/PROMISES.md: every module, test and model property that it names exists.
+//! Every module, test and model property that docs/PROMISES.md names exists.
 
 use std::fs;
 use std::path::Path;
@@ -15,7 +15,7 @@
     fs::read_to_string(path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// The rows of the page's tables whose head has this first and second cell.
+/// Returns the first two cells of the rows of tables whose header starts with `head`.
 fn rows(head: [&str; 2]) -> Vec<[String; 2]> {
     let page = text(&root().join("docs/PROMISES.md"));
     let mut inside = false;
@@ -39,7 +39,7 @@
     found
 }
 
-/// The words of a cell that stand in backticks.
+/// Returns the words of a cell that are in backticks.
 fn names(cell: &str) -> Vec<&str> {
     cell.split('`').skip(1).step_by(2).collect()
 }
@@ -60,7 +60,7 @@
     }
 }
 
-/// Tells whether a test file has a function of this name that is run as a test.
+/// Returns whether a source has a function of this name with a test attribute.
 fn has(source: &str, test: &str) -> bool {
     let heads = [format!("fn {test}()"), format!("async fn {test}()")];
     let mut before = "";
--- a/crates/peppercrank-cli/tests/verify_races.rs
+++ b/crates/peppercrank-cli/tests/verify_races.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Operators that race, answers that are lost, a platform that is out.
+//! Concurrent operators, lost answers and platform outages.
 
 mod support;
 
@@ -133,7 +133,7 @@
 fn verify_unknown_outcome_is_resolved_by_publish_id() {
     let platform = TestPlatform::new();
     let one = template(1);
-    // The first read passes; the write takes effect, and nothing is heard of it nor after it.
+    // The first read succeeds; the write takes effect, but its answer and all later ones are lost.
     platform.faults(r#"{ "skip": 1, "drop_after": true }"#);
     let line = format!("publish template t {one} --timeout 5s --output json");
     let error = platform.expect(Exit::Unknown, &line).error();
@@ -145,7 +145,7 @@
     assert_eq!(done["how"], "written before, recognised");
     assert_eq!(platform.calls()["writes"], 1);
 
-    // Another operator's act is not taken for it.
+    // Another operator's change is not mistaken for it.
     let two = template(2);
     platform.expect(Exit::Conflict, &format!("publish template t {two}"));
 }
--- a/crates/peppercrank-cli/tests/verify_shares.rs
+++ b/crates/peppercrank-cli/tests/verify_shares.rs
@@ -1,7 +1,8 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Shares of the tree: coordination holds its part; what tests take is printed.
+//! Share of the source lines that implement coordination, which must not fall below a minimum; the
+//! share of tests is printed.
 //!
 //! `cargo test -p peppercrank-cli --test verify_shares -- --nocapture` prints both.
 
@@ -9,7 +10,7 @@
 use std::fs;
 use std::path::Path;
 
-/// The crates whose `src` decides how nodes act together.
+/// Crates whose `src` implements coordination between nodes.
 const COORDINATION: &[&str] = &[
     "peppercrank-admit",
     "peppercrank-config",
@@ -20,13 +21,13 @@
     "peppercrank-spec",
 ];
 
-/// Modules of the gateway that do the same: routing, membership, state and its recovery. The rest of
-/// that crate moves bytes and does not count.
+/// Modules of the gateway that do the same: routing, membership, state and its recovery. The rest
+/// of that crate moves bytes and does not count.
 const GATEWAY: &[&str] = &[
     "choose", "flight", "follow", "gossip", "intake", "register", "state",
 ];
 
-/// The lines of those modules.
+/// Counts the lines of the gateway's coordination modules.
 fn gateway() -> Lines {
     let place = Path::new(env!("CARGO_MANIFEST_DIR")).join("../peppercrank-gateway/src");
     let mut lines = Lines::default();
@@ -37,7 +38,7 @@
     lines
 }
 
-/// Lines of sources: all, and those that are neither blank nor a comment.
+/// Line counts: all lines, and those that are neither blank nor a comment.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct Lines {
     all: u64,
@@ -58,13 +59,13 @@
         self.code += other.code;
     }
 
-    /// Thousandths of `whole`, by all lines and by lines of code.
+    /// Returns the share of `whole` in thousandths, by all lines and by lines of code.
     fn share(self, whole: Self) -> (u64, u64) {
         (self.all * 1_000 / whole.all, self.code * 1_000 / whole.code)
     }
 }
 
-/// The lines below a directory.
+/// Counts the lines below a directory.
 fn count(place: &Path) -> Lines {
     let mut lines = Lines::default();
     for entry in fs::read_dir(place).into_iter().flatten() {
@@ -78,7 +79,7 @@
     lines
 }
 
-/// The lines of each part (`src`, `tests`, `examples`, `benches`) of each crate.
+/// Counts the lines of each part (`src`, `tests`, `examples`, `benches`) of each crate.
 fn parts() -> BTreeMap<(String, String), Lines> {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let mut parts = BTreeMap::new();
--- a/crates/peppercrank-cli/tests/verify_standin.rs
+++ b/crates/peppercrank-cli/tests/verify_standin.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The stand-ins as the command runs them: they tell their address, serve, and end on SIGTERM.
+//! The stand-ins run by the command: they print their address, serve, and end on SIGTERM.
 
 mod support;
 
--- a/crates/peppercrank-cli/tests/verify_usage.rs
+++ b/crates/peppercrank-cli/tests/verify_usage.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! Usage: help for every verb, misuse, exit codes, and settings files.
+//! Usage: help of every subcommand, usage errors, exit codes and settings files.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use support::http_server;
 use support::run;
 
-/// The verbs and a word that the help of each must hold.
+/// The subcommands and a text that the help of each must contain.
 const VERBS: &[(&str, &str)] = &[
     ("publish", "--publish-id"),
     ("publish-all", "--revise"),
@@ -51,7 +51,7 @@
         assert!(result.out.contains(word), "{result:?}");
         assert!(result.out.contains("--platform"), "{result:?}");
         let heads = result.out.matches("peppercrank ").count();
-        assert_eq!(heads, 1, "another verb's help: {result:?}");
+        assert_eq!(heads, 1, "the help of another subcommand: {result:?}");
         assert!(
             whole.out.contains(&format!("\npeppercrank {verb}\n")),
             "{verb}"
@@ -61,7 +61,7 @@
     assert_eq!(
         heads.count(),
         VERBS.len(),
-        "a verb that this test does not know"
+        "a subcommand that this test does not know"
     );
 }
 
--- a/crates/peppercrank-cli/tests/verify_verbs.rs
+++ b/crates/peppercrank-cli/tests/verify_verbs.rs
@@ -1,7 +1,7 @@
 // Copyright (c) the peppercrank maintainers.
 // SPDX-License-Identifier: MIT OR Apache-2.0
 
-//! The verbs against the platform's stand-in: objects, organisations, marks.
+//! Subcommands against the platform stand-in: objects, organisations and marks.
 
 mod support;
 
@@ -27,7 +27,7 @@
         got.out.starts_with("// template `t`, version 1\n{"),
         "{got:?}"
     );
-    // What `get` prints is a file that `diff` and `revise` take.
+    // The output of `get` is a file that `diff` and `revise` accept.
     let kept = file("kept.jsonc", &got.out);
     platform.expect(Exit::Done, &format!("diff template t {kept}"));
     let same = platform.expect(
@@ -201,7 +201,7 @@
     let told = platform.expect(Exit::Done, "check-objects").out;
     assert!(told.contains("2 objects, all valid"), "{told}");
 
-    // An object that was written past our tools.
+    // An object that was written without this tool.
     let path = format!("http://{}/objects/pool/p", platform.address);
     let body = r#"{ "spec": { "serves": { "models": [] } } }"#;
     let answer = ureq::put(path).header("if-none-match", "*").send(body);
