--- a/crates/peppercrank-cli/src/fate.rs
+++ b/crates/peppercrank-cli/src/fate.rs
@@ -50,8 +50,8 @@
 impl OrderOutcome {
     /// Returns the outcome for an agent's reply or for a failed call.
     #[must_use]
-    pub fn from_reply(told: Result<String, ControlError>) -> Self {
-        match told {
+    pub fn from_reply(reply: Result<String, ControlError>) -> Self {
+        match reply {
             Ok(text) => Self::parse(&text),
             Err(ControlError::Connect(_)) => Self::Unreached,
             Err(ControlError::Busy) => Self::Busy,
@@ -103,14 +103,14 @@
     /// An unknown outcome takes precedence over a lost race for the lease, which takes precedence
     /// over any other failure.
     #[must_use]
-    pub fn worst_exit(fates: impl IntoIterator<Item = Self>) -> Exit {
+    pub fn worst_exit(outcomes: impl IntoIterator<Item = Self>) -> Exit {
         let rank = |exit: &Exit| match exit {
             Exit::Done => 0,
             Exit::Failure => 1,
             Exit::Conflict => 2,
             _ => 3,
         };
-        let exits = fates.into_iter().map(Self::exit);
+        let exits = outcomes.into_iter().map(Self::exit);
         exits.max_by_key(rank).unwrap_or(Exit::Done)
     }
 }
--- a/crates/peppercrank-cli/src/help.rs
+++ b/crates/peppercrank-cli/src/help.rs
@@ -6,15 +6,16 @@
 /// Name of the command, which starts the heading of each section.
 const COMMAND: &str = "peppercrank";
 
-/// Returns the help for `verb` followed by the global flags, or the complete text if `verb` is
-/// `None` or unknown.
-pub(crate) fn help_for(whole: &str, verb: Option<&str>) -> String {
-    verb.and_then(|v| section(whole, v))
+/// Returns the help for `subcommand` followed by the global flags, or the complete text if
+/// `subcommand` is `None` or unknown.
+pub(crate) fn help_for(whole: &str, subcommand: Option<&str>) -> String {
+    subcommand
+        .and_then(|v| section(whole, v))
         .unwrap_or_else(|| whole.to_owned())
 }
 
-fn section(whole: &str, verb: &str) -> Option<String> {
-    let head = format!("{COMMAND} {verb}");
+fn section(whole: &str, subcommand: &str) -> Option<String> {
+    let head = format!("{COMMAND} {subcommand}");
     let mut lines = whole.lines().skip_while(|line| *line != head);
     let first = lines.next()?;
     let rest = lines.take_while(|line| !is_section_heading(line));
@@ -35,6 +36,6 @@
 
 /// Returns whether a line is the heading of a subcommand's section.
 fn is_section_heading(line: &str) -> bool {
-    let verb = line.strip_prefix(COMMAND);
-    verb.is_some_and(|v| v.starts_with(' '))
+    let subcommand = line.strip_prefix(COMMAND);
+    subcommand.is_some_and(|v| v.starts_with(' '))
 }
--- a/crates/peppercrank-cli/src/run.rs
+++ b/crates/peppercrank-cli/src/run.rs
@@ -25,12 +25,12 @@
     out: &mut dyn Write,
     err: &mut dyn Write,
 ) -> Exit {
-    let verb = find_subcommand(&args);
+    let subcommand = find_subcommand(&args);
     let form = error_format(&args);
     let flags = match Peppercrank::from_vec(args) {
         Ok(flags) => flags,
         Err(e) if e.is_help() => {
-            let text = help::help_for(&e.to_string(), verb.as_deref());
+            let text = help::help_for(&e.to_string(), subcommand.as_deref());
             return write(out, err, &text, Exit::Done);
         }
         Err(e) => return print_error(err, &Error::Arguments(e), form),
--- a/crates/peppercrank-cli/src/verbs/explain.rs
+++ b/crates/peppercrank-cli/src/verbs/explain.rs
@@ -23,26 +23,26 @@
 
 /// Reads the logs and reports the history of the request.
 pub(super) fn explain(flags: &flags::Explain) -> Result<Report> {
-    let mut story = RequestTrace::new(&flags.id);
+    let mut trace = RequestTrace::new(&flags.id);
     if flags.files.is_empty() {
-        let read = story.read(io::stdin().lock());
+        let read = trace.read(io::stdin().lock());
         read.map_err(|e| read_error(Path::new("standard input"), e))?;
     }
     for path in &flags.files {
         let log = File::open(path).map_err(|e| read_error(path, e))?;
-        let read = story.read(BufReader::new(log));
+        let read = trace.read(BufReader::new(log));
         read.map_err(|e| read_error(path, e))?;
     }
-    Ok(report(&flags.id, &story))
+    Ok(report(&flags.id, &trace))
 }
 
 fn read_error(path: &Path, e: io::Error) -> Error {
     Error::Settings(peppercrank_settings::errors::unreadable_file(path, e))
 }
 
-fn report(id: &str, story: &RequestTrace) -> Report {
-    let steps = story.steps();
-    let cause = story.likely_cause();
+fn report(id: &str, trace: &RequestTrace) -> Report {
+    let steps = trace.steps();
+    let cause = trace.likely_cause();
     if steps.is_empty() {
         let text = format!("these logs contain no entry for {id}\nlikely cause: {cause}");
         let json = json!({ "id": id, "steps": [], "cause": cause });
@@ -54,8 +54,11 @@
     }
     // Writing to a string never fails.
     let _written = write!(text, "likely cause: {cause}");
-    let told = steps.iter().map(|s| step_json(s)).collect::<Vec<_>>();
-    Report::done(text, json!({ "id": id, "steps": told, "cause": cause }))
+    let steps_json = steps.iter().map(|s| step_json(s)).collect::<Vec<_>>();
+    Report::done(
+        text,
+        json!({ "id": id, "steps": steps_json, "cause": cause }),
+    )
 }
 
 fn write_step(text: &mut String, step: &TraceStep) {
@@ -63,8 +66,8 @@
     let event = step.event.text();
     // Writing to a string never fails.
     let _written = writeln!(text, "{} {} {event}: {fields}", step.time, step.process);
-    for belief in &step.process_state {
-        let _written = writeln!(text, "    since {}: {}", belief.time, belief.description);
+    for entry in &step.process_state {
+        let _written = writeln!(text, "    since {}: {}", entry.time, entry.description);
     }
 }
 
@@ -78,14 +81,14 @@
 }
 
 fn step_json(step: &TraceStep) -> Value {
-    let beliefs = step.process_state.iter();
-    let beliefs = beliefs.map(|b| json!({ "since": b.time, "what": b.description }));
+    let entries = step.process_state.iter();
+    let entries = entries.map(|b| json!({ "since": b.time, "what": b.description }));
     json!({
         "time": step.time,
         "process": step.process,
         "event": step.event.number(),
         "text": step.event.text(),
         "fields": step.fields,
-        "beliefs": beliefs.collect::<Vec<_>>(),
+        "beliefs": entries.collect::<Vec<_>>(),
     })
 }
--- a/crates/peppercrank-cli/src/verbs/local.rs
+++ b/crates/peppercrank-cli/src/verbs/local.rs
@@ -110,8 +110,8 @@
     let (signal, mut signalled) = stop::stop();
     daemon::on_signal(signal)?;
     let local = runtime.block_on(AgentFleet::start(&AgentFleetOptions::from_flags(flags)))?;
-    let told = writeln!(out, "{}", local.render(access.format)).and_then(|()| out.flush());
-    told.map_err(Error::Output)?;
+    let written = writeln!(out, "{}", local.render(access.format)).and_then(|()| out.flush());
+    written.map_err(Error::Output)?;
     runtime.block_on(async {
         match &flags.run_time {
             // A signal and the timeout both end the run.
--- a/crates/peppercrank-cli/src/verbs/local/direct.rs
+++ b/crates/peppercrank-cli/src/verbs/local/direct.rs
@@ -50,8 +50,8 @@
     daemon::on_signal(signal)?;
     let started = runtime.block_on(LocalFleet::start(&options(flags)));
     let local = started.map_err(|e| Error::Daemon(e.into()))?;
-    let told = writeln!(out, "{}", render(&local, access.format)).and_then(|()| out.flush());
-    told.map_err(Error::Output)?;
+    let written = writeln!(out, "{}", render(&local, access.format)).and_then(|()| out.flush());
+    written.map_err(Error::Output)?;
     let ended = runtime.block_on(async {
         match &flags.run_time {
             // A signal and the timeout both end the run.
--- a/crates/peppercrank-cli/src/verbs/local/show.rs
+++ b/crates/peppercrank-cli/src/verbs/local/show.rs
@@ -58,7 +58,7 @@
             ));
         }
         let daemons: Vec<_> = self.operators().iter().map(ToString::to_string).collect();
-        lines.push("for the other verbs, in another terminal:".to_owned());
+        lines.push("for the other subcommands, in another terminal:".to_owned());
         // A single line can be copied and pasted at once.
         lines.push(format!(
             "export {PLATFORM_VAR}=http://{platform} {OPERATORS_TOKEN_VAR}={LOCAL_TOKEN} {DAEMONS_VAR}={}",
--- a/crates/peppercrank-cli/src/verbs/mark.rs
+++ b/crates/peppercrank-cli/src/verbs/mark.rs
@@ -42,7 +42,7 @@
     };
     let remote = PlatformClient::new(access)?;
     let current = remote.read(&key)?;
-    let act = PublishRequest {
+    let request = PublishRequest {
         key,
         base: current
             .as_ref()
@@ -52,7 +52,7 @@
         wait: Wait::new(flags.wait, flags.within),
         replaced: current,
     };
-    let report = publish_and_report(access, &remote, &act)?;
+    let report = publish_and_report(access, &remote, &request)?;
     if !flags.drained {
         return Ok(report);
     }
@@ -65,7 +65,7 @@
     let key = object_key(ObjectKind::Mark, flags.target.as_str())?;
     let remote = PlatformClient::new(access)?;
     let base = removal_base(&remote, &key, flags.publish_id)?;
-    let act = PublishRequest {
+    let request = PublishRequest {
         key,
         base,
         change: Change::Delete,
@@ -73,5 +73,5 @@
         wait: Wait::new(flags.wait, flags.within),
         replaced: None,
     };
-    publish_and_report(access, &remote, &act)
+    publish_and_report(access, &remote, &request)
 }
--- a/crates/peppercrank-cli/src/verbs/mod.rs
+++ b/crates/peppercrank-cli/src/verbs/mod.rs
@@ -52,10 +52,10 @@
 /// Executes a subcommand.
 pub(crate) fn dispatch(
     access: &Access,
-    verb: &PeppercrankCmd,
+    subcommand: &PeppercrankCmd,
     out: &mut dyn Write,
 ) -> Result<Report> {
-    match verb {
+    match subcommand {
         PeppercrankCmd::Publish(flags) => write::publish(access, flags),
         PeppercrankCmd::PublishAll(flags) => batch::publish_all(access, flags),
         PeppercrankCmd::Revise(flags) => write::revise(access, flags),
--- a/crates/peppercrank-cli/src/verbs/order.rs
+++ b/crates/peppercrank-cli/src/verbs/order.rs
@@ -101,7 +101,7 @@
         session,
         clock,
     );
-    let mut giver = OrderSender {
+    let mut sender = OrderSender {
         holder: holder.map_err(|e| Error::Daemon(e.into()))?,
         client,
         runtime: Builder::new_current_thread()
@@ -112,13 +112,13 @@
         order: json!(command).to_string(),
     };
     let end = Instant::from_origin(flags.within.map_or(DEFAULT_TIMEOUT, |s| s.0));
-    let Some(fence) = giver.holder.acquire(end) else {
-        giver.holder.release(end + RELEASE_TIMEOUT);
-        return Err(lease_error(giver.holder.other_holder()));
+    let Some(fence) = sender.holder.acquire(end) else {
+        sender.holder.release(end + RELEASE_TIMEOUT);
+        return Err(lease_error(sender.holder.other_holder()));
     };
-    let fates = giver.send_all(&found.targets, end);
-    let back = giver.holder.release(clock() + RELEASE_TIMEOUT);
-    Ok(report(&found, &command, id, fence, &fates, back))
+    let outcomes = sender.send_all(&found.targets, end);
+    let released = sender.holder.release(clock() + RELEASE_TIMEOUT);
+    Ok(report(&found, &command, id, fence, &outcomes, released))
 }
 
 fn command(flags: &flags::Order) -> Result<Command> {
@@ -193,27 +193,28 @@
         targets: &[(TargetName, Option<SocketAddr>)],
         end: Instant,
     ) -> Vec<OrderOutcome> {
-        let mut fates = vec![OrderOutcome::NoAgent; targets.len()];
+        let mut outcomes = vec![OrderOutcome::NoAgent; targets.len()];
         let mut open = (0..targets.len()).collect::<Vec<_>>();
         loop {
-            for lot in open.chunks(MAX_CONCURRENCY) {
+            for batch in open.chunks(MAX_CONCURRENCY) {
                 self.holder.renew();
-                let sends = lot.iter().map(|at| self.send(targets[*at].1));
-                let told = self.runtime.block_on(join_all(sends));
-                lot.iter()
-                    .zip(told)
-                    .for_each(|(at, fate)| fates[*at] = fate);
+                let sends = batch.iter().map(|at| self.send(targets[*at].1));
+                let results = self.runtime.block_on(join_all(sends));
+                batch
+                    .iter()
+                    .zip(results)
+                    .for_each(|(at, outcome)| outcomes[*at] = outcome);
             }
-            open.retain(|at| matches!(fates[*at], OrderOutcome::Stale { .. }));
-            let least = open.iter().filter_map(|at| match fates[*at] {
+            open.retain(|at| matches!(outcomes[*at], OrderOutcome::Stale { .. }));
+            let least = open.iter().filter_map(|at| match outcomes[*at] {
                 OrderOutcome::Stale { least } => Some(Version(least)),
                 _ => None,
             });
             let Some(least) = least.max() else {
-                return fates;
+                return outcomes;
             };
             if !self.holder.wait_for_fence(least, end) {
-                return fates;
+                return outcomes;
             }
         }
     }
@@ -241,31 +242,37 @@
     command: &Command,
     id: OrderIdArg,
     fence: Version,
-    fates: &[OrderOutcome],
-    back: bool,
+    outcomes: &[OrderOutcome],
+    released: bool,
 ) -> Report {
-    let pairs = || found.targets.iter().zip(fates);
+    let pairs = || found.targets.iter().zip(outcomes);
     let mut rows = vec![row(&["TARGET", "OUTCOME"])];
-    rows.extend(pairs().map(|((target, _), fate)| row(&[target.as_str(), &fate.to_string()])));
-    let back_text = if back {
+    rows.extend(
+        pairs().map(|((target, _), outcome)| row(&[target.as_str(), &outcome.to_string()])),
+    );
+    let release_text = if released {
         ""
     } else {
         "\nthe lease could not be released and will expire by itself"
     };
     let text = format!(
-        "order {id} under the lease of {} with fencing numbers from {}\n{}{back_text}",
+        "order {id} under the lease of {} with fencing numbers from {}\n{}{release_text}",
         found.pool,
         fence.0,
         table(&rows).trim_end(),
     );
-    let targets = pairs().map(|((target, _), fate)| {
-        let mut value = json!(fate);
+    let targets = pairs().map(|((target, _), outcome)| {
+        let mut value = json!(outcome);
         value["target"] = json!(target);
         value
     });
     let json = json!({
         "order": id.to_string(), "command": command, "pool": found.pool, "fence": fence.0,
-        "given_back": back, "targets": targets.collect::<Vec<Value>>(),
+        "given_back": released, "targets": targets.collect::<Vec<Value>>(),
     });
-    Report::with_exit(OrderOutcome::worst_exit(fates.iter().copied()), text, json)
+    Report::with_exit(
+        OrderOutcome::worst_exit(outcomes.iter().copied()),
+        text,
+        json,
+    )
 }
--- a/crates/peppercrank-cli/src/verbs/organisation.rs
+++ b/crates/peppercrank-cli/src/verbs/organisation.rs
@@ -60,7 +60,7 @@
         .as_ref()
         .map_or(Base::Absent, |c| Base::Version(c.version));
     let named = flags.if_version.map(|v| Base::Version(Version(v)));
-    let act = PublishRequest {
+    let request = PublishRequest {
         key,
         base: named.unwrap_or(found),
         change: Change::Put(json!(organisation)),
@@ -68,7 +68,7 @@
         wait: Wait::new(flags.wait, flags.within),
         replaced: current,
     };
-    publish_and_report(access, &remote, &act)
+    publish_and_report(access, &remote, &request)
 }
 
 /// Prints the effective parameters and the origin of each.
--- a/crates/peppercrank-cli/src/verbs/standin.rs
+++ b/crates/peppercrank-cli/src/verbs/standin.rs
@@ -42,8 +42,8 @@
         OutputFormat::Text => format!("{kind} stand-in listens on {}", running.addr),
         OutputFormat::Json => json!({ "standin": kind, "address": running.addr }).to_string(),
     };
-    let told = writeln!(out, "{line}").and_then(|()| out.flush());
-    told.map_err(Error::Output)?;
+    let written = writeln!(out, "{line}").and_then(|()| out.flush());
+    written.map_err(Error::Output)?;
     signals.forever().next();
     runtime.block_on(running.stop());
     let text = format!("{kind} stand-in stopped");
--- a/crates/peppercrank-cli/src/verbs/write.rs
+++ b/crates/peppercrank-cli/src/verbs/write.rs
@@ -44,7 +44,7 @@
 /// Creates an object from a file.
 pub(super) fn publish(access: &Access, flags: &flags::Publish) -> Result<Report> {
     let key = key(flags.kind, &flags.name);
-    let act = PublishRequest {
+    let request = PublishRequest {
         change: Change::Put(object::read(&flags.file)?),
         key,
         base: Base::Absent,
@@ -52,7 +52,7 @@
         wait: Wait::new(flags.wait, flags.within),
         replaced: None,
     };
-    publish_and_report(access, &PlatformClient::new(access)?, &act)
+    publish_and_report(access, &PlatformClient::new(access)?, &request)
 }
 
 /// Replaces an object with the content of a file.
@@ -68,7 +68,7 @@
     };
     let found = replaced.as_ref().map(|c| Base::Version(c.version));
     let base = named.or(found).unwrap_or(Base::Absent);
-    let act = PublishRequest {
+    let request = PublishRequest {
         key,
         base,
         change: Change::Put(spec),
@@ -76,7 +76,7 @@
         wait: Wait::new(flags.wait, flags.within),
         replaced,
     };
-    publish_and_report(access, &remote, &act)
+    publish_and_report(access, &remote, &request)
 }
 
 /// Deletes an object.
@@ -87,7 +87,7 @@
         (Some(version), _) => Base::Version(Version(version)),
         (None, id) => removal_base(&remote, &key, id)?,
     };
-    let act = PublishRequest {
+    let request = PublishRequest {
         key,
         base,
         change: Change::Delete,
@@ -95,7 +95,7 @@
         wait: Wait::new(flags.wait, flags.within),
         replaced: None,
     };
-    publish_and_report(access, &remote, &act)
+    publish_and_report(access, &remote, &request)
 }
 
 /// Returns the version to delete. Only a deletion that is repeated by its publish id may find no
@@ -116,30 +116,32 @@
 pub(super) fn publish_and_report(
     access: &Access,
     remote: &PlatformClient,
-    act: &PublishRequest,
+    request: &PublishRequest,
 ) -> Result<Report> {
-    let id = act.id.unwrap_or_else(|| PublishId(rand::random()));
-    let changes = changes(act);
+    let id = request.id.unwrap_or_else(|| PublishId(rand::random()));
+    let changes = changes(request);
     let publish = Publish::new(
-        act.key.clone(),
+        request.key.clone(),
         id,
-        act.base,
-        act.change.clone(),
+        request.base,
+        request.change.clone(),
         remote.deadline(),
     );
-    let done = match already_published(act, &changes) {
+    let done = match already_published(request, &changes) {
         Some(done) => done,
-        None => remote.publish(&act.key, publish)?,
+        None => remote.publish(&request.key, publish)?,
     };
-    let daemons = act.wait.wait_for(access, &act.key, done.version.0)?;
+    let daemons = request
+        .wait
+        .wait_for(access, &request.key, done.version.0)?;
     let mut json = json!({
-        "kind": act.key.kind,
-        "name": act.key.name,
+        "kind": request.key.kind,
+        "name": request.key.name,
         "version": done.version.0,
         "how": outcome_text(done),
         "publish": id,
     });
-    if let Some(current) = &act.replaced {
+    if let Some(current) = &request.replaced {
         json["replaced"] = json!(current.version.0);
         json["differences"] = object::differences_json(&changes);
     }
@@ -147,16 +149,16 @@
         json["daemons"] = json!(daemons);
     }
     Ok(Report::done(
-        report_text(act, done, &changes, daemons),
+        report_text(request, done, &changes, daemons),
         json,
     ))
 }
 
 /// An unchanged object needs no write, except that a change with a publish id is still looked up
 /// by that id.
-fn already_published(act: &PublishRequest, changes: &[Difference]) -> Option<Done> {
-    let current = act.replaced.as_ref()?;
-    let same = act.id.is_none() && changes.is_empty();
+fn already_published(request: &PublishRequest, changes: &[Difference]) -> Option<Done> {
+    let current = request.replaced.as_ref()?;
+    let same = request.id.is_none() && changes.is_empty();
     same.then_some(Done {
         version: current.version,
         how: How::Unchanged,
@@ -164,18 +166,18 @@
 }
 
 fn report_text(
-    act: &PublishRequest,
+    request: &PublishRequest,
     done: Done,
     changes: &[Difference],
     daemons: Option<usize>,
 ) -> String {
-    let title = object::display_name(&act.key);
+    let title = object::display_name(&request.key);
     let how = outcome_text(done);
-    let mut lines = vec![match act.change {
+    let mut lines = vec![match request.change {
         Change::Put(_) => format!("{title} is at version {} ({how})", done.version),
         Change::Delete => format!("{title} is deleted ({how})"),
     }];
-    if let Some(current) = &act.replaced {
+    if let Some(current) = &request.replaced {
         if !changes.is_empty() {
             lines.push(format!("it replaces version {}:", current.version));
         }
@@ -194,8 +196,8 @@
 }
 
 /// Returns the fields in which the change differs from the object it replaces.
-fn changes(act: &PublishRequest) -> Vec<Difference> {
-    match (&act.change, &act.replaced) {
+fn changes(request: &PublishRequest) -> Vec<Difference> {
+    match (&request.change, &request.replaced) {
         (Change::Put(spec), Some(current)) => diff(spec, &object::spec(&current.body)),
         _ => Vec::new(),
     }
