--- a/crates/peppercrank-spec/src/eras.rs
+++ b/crates/peppercrank-spec/src/eras.rs
@@ -7,7 +7,7 @@
 //! store is taken at any time, and the store may be restored from it in a new era: its revisions go
 //! back and are assigned again. A live target rewrites its entry within a time step; a dead
 //! target's entry expires within two. The router reads from time to time and decides with the real
-//! [`peppercrank_direct::era::Eras`] and [`peppercrank_direct::directory::Directory`].
+//! [`peppercrank_direct::era::EraTracker`] and [`peppercrank_direct::directory::Directory`].
 
 use std::hash::Hash;
 use std::hash::Hasher;
--- a/crates/peppercrank-spec/src/evacuations.rs
+++ b/crates/peppercrank-spec/src/evacuations.rs
@@ -6,7 +6,7 @@
 //! An operator evacuates the zone and restores it; the store may be restored from a copy that lacks
 //! either change, and the operator rewrites its setting within a time step. The router lists
 //! entries, follows the change history, loses contact for any time and may restart with no state.
-//! It decides with the real [`peppercrank_direct::era::Eras`] and
+//! It decides with the real [`peppercrank_direct::era::EraTracker`] and
 //! [`peppercrank_direct::evacuations::Evacuations`].
 
 use std::hash::Hash;
