--- a/crates/peppercrank-direct/src/place.rs
+++ b/crates/peppercrank-direct/src/place.rs
@@ -232,20 +232,20 @@
 }
 
 /// Returns the number of requests that a target may hold in a pool with this mean load.
-fn max_load(cap: f64, mean: f64, candidates: &[Candidate]) -> f64 {
+fn max_load(cap_factor: f64, mean_load: f64, candidates: &[Candidate]) -> f64 {
     let slots = candidates.iter().map(|c| c.slots).min().unwrap_or(1);
-    let used = if mean > f64::from(slots) {
+    let fraction = if mean_load > f64::from(slots) {
         CAP_FRACTION_SATURATED
     } else {
         CAP_FRACTION
     };
-    (mean * cap * used + CAP_SLACK).max(1.0)
+    (mean_load * cap_factor * fraction + CAP_SLACK).max(1.0)
 }
 
-/// Returns a target's rank for the hash of a home. The target with the highest rank is the home.
+/// Returns the rank of a target for `home_hash`. The target with the highest rank is the home.
 #[must_use]
-pub fn rendezvous_rank(home: u64, name: u32) -> u64 {
-    hash64(HOME_SEED ^ home, &name.to_le_bytes())
+pub fn rendezvous_rank(home_hash: u64, placement_id: u32) -> u64 {
+    hash64(HOME_SEED ^ home_hash, &placement_id.to_le_bytes())
 }
 
 fn home(request: &PlacementRequest, candidates: &[Candidate]) -> TargetKey {
@@ -322,7 +322,7 @@
     source: PrefixSource,
     /// Home of the request.
     home: TargetKey,
-    /// Mean load of the pool.
+    /// Mean load of the candidates.
     mean_load: f64,
 }
 
