--- a/crates/peppercrank-standin/src/errors.rs
+++ b/crates/peppercrank-standin/src/errors.rs
@@ -109,25 +109,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Listen(e) => write!(f, "cannot listen: {e}"),
-            Self::InvalidBody(reason) => write!(f, "invalid request body: {reason}"),
+            Self::InvalidBody(reason) => write!(f, "the body is not what the call takes: {reason}"),
             Self::InvalidParameter(name) => write!(f, "`{name}` is missing or malformed"),
-            Self::UnsupportedFault(name) => write!(
-                f,
-                "this stand-in does not support the fault setting `{name}`"
-            ),
-            Self::NotFound => f.write_str("no endpoint or resource exists for this path or id"),
+            Self::UnsupportedFault(name) => write!(f, "this stand-in has no switch `{name}`"),
+            Self::NotFound => f.write_str("nothing is known by this path or id"),
             Self::ModelNotLoaded(name) => write!(f, "the model `{name}` is not loaded"),
-            Self::DuplicateStream => f.write_str("a stream with this id is still running"),
-            Self::StaleFence { highest } => write!(
-                f,
-                "an order with the higher fencing number {highest} was received before"
-            ),
-            Self::WatchTooOld => {
-                f.write_str("the watch does not start within the retained changes")
-            }
-            Self::Conflict { .. } => f.write_str("the precondition failed"),
-            Self::TooLarge => f.write_str("the value is too large"),
-            Self::Throttled => f.write_str("the rate limit is exceeded"),
+            Self::DuplicateStream => f.write_str("a stream of this id is still running"),
+            Self::StaleFence { highest } => write!(f, "an order numbered {highest} came before"),
+            Self::WatchTooOld => f.write_str("the watch starts before the oldest known change"),
+            Self::Conflict { .. } => f.write_str("the condition does not hold"),
+            Self::TooLarge => f.write_str("the value is too long"),
+            Self::Throttled => f.write_str("the rate limit is used up"),
             Self::Outage => f.write_str("out of service"),
         }
     }
